--- /dev/null
+++ b/src/controller/leader_bytes_test.cpp
@@ -0,0 +1,107 @@
+// The literal form of the record `pool/`, which the leader alone reads and writes, of the keys it
+// knows, and of its body for a worker's /orders.
+#include "bytes.h"
+#include "controller/leader.h"
+
+namespace reachramp::controller {
+namespace {
+
+settings::Platform platform() {
+  settings::Platform p;
+  p.teams = {{"red", 0, 0, 0, 0}};
+  p.workers = {1, 10, 15, 4, 30};
+  p.state_limits = {1000, 100, 4, 8};
+  p.state_next = p.state_limits;
+  p.cloud_limits = {10, 2};
+  return p;
+}
+
+Snapshot snapshot() {
+  Snapshot made;
+  made.all_upgraded = true;
+  made.catalog =
+      state::Entry{"catalog",
+                   test::received(
+                       R"({"rigs":[{"label":"small","vcpus":4.0,"accelerators":0.0,"ram_gb":16.0,
+              "cache_gb":50.0,"pull_gb_per_s":1.0,"rate":0.5,"low_price":0.25,"boot_s":5.0,
+              "halls":["a"]}]})"),
+                   3};
+  return made;
+}
+
+const wire::Json* written(const Outbox& out, const std::string& key) {
+  if (!out.commit) return nullptr;
+  for (const state::Write& write : out.commit->transaction.writes) {
+    if (write.key == key && write.value) return &*write.value;
+  }
+  return nullptr;
+}
+
+// Versions 0.2.0, 0.3.0 and 0.4.0 write the same.
+TEST(PoolRecordBytes, OpenRequestIsReadFromLiteral) {
+  Snapshot from = snapshot();
+  from.pools = {{"pool/small/a/spot",
+                 test::received(R"({"open":true,"name":"r-39-2","type":"small","zone":"a",
+                                    "spot":true,"count":3})"),
+                 8},
+                {"pool/small/b/ordinary", test::received(R"({"open":false})"), 9}};
+  Leader leader(platform(), {}, 40, from, 0);
+  const Outbox out = leader.advance(0.1);
+  ASSERT_EQ(out.cloud.size(), 1u);
+  EXPECT_EQ(out.cloud[0].kind, CloudOrder::Kind::hire);
+  EXPECT_EQ(out.cloud[0].hire.name, "r-39-2");
+  EXPECT_EQ(out.cloud[0].hire.type, "small");
+  EXPECT_EQ(out.cloud[0].hire.zone, "a");
+  EXPECT_TRUE(out.cloud[0].hire.spot);
+  EXPECT_EQ(out.cloud[0].hire.count, 3);
+}
+
+TEST(PoolRecordBytes, RequestAndItsEndAreWrittenAsLiteral) {
+  Snapshot from = snapshot();
+  from.jobs = {{"job/j-1",
+                test::received(
+                    R"({"spec":{"ref":"j-1","jobclass":"c","owner":"red","shape":"array",
+                        "urgency":"normal","pieces":4,"vcpus":1.0,"accelerators":0.0,"ram_gb":1.0,
+                        "bundle":"img","pull_gb":0.5,"together":false,"scatter":false,
+                        "loaner":false,"expected_s":60.0,"snapshot_every_s":0.0,
+                        "snapshot_cost_s":0.0},"cancelled":false,"done":0,"running":0,"born":0})"),
+                7}};
+  Leader leader(platform(), {}, 40, from, 0);
+  leader.on_list({}, 0, 0.1);
+  constexpr const char* kKey = "pool/small/a/ordinary";
+  bool asked = false;
+  for (double now = 0.5; now < 30 && !asked; now += 0.5) {
+    leader.on_jobs_current(now);
+    const Outbox out = leader.advance(now);
+    if (const wire::Json* value = written(out, kKey)) {
+      asked = true;
+      EXPECT_TRUE(test::is_written_as(
+          *value,
+          R"({"open":true,"name":"r-40-1","type":"small","zone":"a","spot":false,"count":1})"));
+    }
+    if (!out.commit) continue;
+    state::Committed committed;
+    committed.outcome = state::Outcome::ok;
+    committed.epoch = 50;
+    leader.on_settled(committed, now);
+  }
+  ASSERT_TRUE(asked);
+  leader.on_hired({"r-40-1", "small", "a", false, 1}, {cloud::Verdict::ok, {"n-1"}}, 31);
+  bool ended = false;
+  for (double now = 31; now < 40 && !ended; now += 0.5) {
+    const Outbox out = leader.advance(now);
+    if (const wire::Json* value = written(out, kKey)) {
+      ended = true;
+      EXPECT_TRUE(test::is_written_as(*value, R"({"open":false})"));
+    }
+  }
+  EXPECT_TRUE(ended);
+}
+
+TEST(LeaderRecordKeys, KeysAreLiteral) {
+  EXPECT_STREQ(kLeaderKey, "leader");
+  EXPECT_STREQ(kCatalogKey, "catalog");
+}
+
+}  // namespace
+}  // namespace reachramp::controller
--- /dev/null
+++ b/src/levels/levels_bytes_test.cpp
@@ -0,0 +1,65 @@
+// The literal form of the records `level` and `claim/`.
+#include "bytes.h"
+#include "levels/book.h"
+#include "levels/levels.h"
+
+namespace reachramp::levels {
+namespace {
+
+using test::is_written_as;
+using test::received;
+
+TEST(LevelRecordBytes, RecordIsReadAndWrittenAsLiteral) {
+  constexpr const char* kRecord = R"({"level":5,"writes":4,"settled":false})";
+  EXPECT_TRUE(is_written_as(encode_stored({5, 4, false}), kRecord));
+  EXPECT_EQ(decode_stored(received(kRecord)), (Stored{5, 4, false}));
+  EXPECT_EQ(decode_stored(received(R"({"level":6,"writes":6,"settled":true})")),
+            (Stored{6, 6, true}));
+  EXPECT_STREQ(kLevelKey, "level");
+}
+
+TEST(LevelRecordBytes, RecordOfVersion040IsRead) {
+  EXPECT_EQ(decode_stored(received(R"({"level":3,"settled":false,"writes":3})")),
+            (Stored{3, 3, false}));
+}
+
+TEST(ClaimRecordBytes, RecordIsReadAndWrittenAsLiteral) {
+  constexpr const char* kRecord =
+      R"({"version":"0.5.0","oldest":1,"newest":6,"hold":4,"digest":18446744073709551615})";
+  EXPECT_TRUE(is_written_as(encode_claim({"node-1", "0.5.0", 1, 6, 4, 18446744073709551615ull, 0}),
+                            kRecord));
+  const Claim claim = decode_claim({"claim/node-1", received(kRecord), 30, 9});
+  EXPECT_EQ(claim.node, "node-1");
+  EXPECT_EQ(claim.version, "0.5.0");
+  EXPECT_EQ(claim.oldest, 1u);
+  EXPECT_EQ(claim.newest, 6u);
+  EXPECT_EQ(claim.hold_at, 4u);
+  EXPECT_EQ(claim.digest, 18446744073709551615ull);
+  EXPECT_EQ(claim.stamp, 30u);
+  EXPECT_EQ(claim_key("node-1"), "claim/node-1");
+}
+
+TEST(ClaimRecordBytes, RecordOfVersion040IsRead) {
+  const Claim claim = decode_claim(
+      {"claim/node-2",
+       received(R"({"digest":4711,"hold":0,"newest":5,"oldest":1,"version":"0.4.0"})"), 31, 9});
+  EXPECT_EQ(claim.node, "node-2");
+  EXPECT_EQ(claim.version, "0.4.0");
+  EXPECT_EQ(claim.newest, 5u);
+  EXPECT_EQ(claim.hold_at, 0u);
+  EXPECT_EQ(claim.digest, 4711u);
+}
+
+// What stands in the state service from each level on.
+TEST(LevelTableBytes, NumbersAndVersionsAreFixed) {
+  const std::pair<std::uint32_t, const char*> rows[] = {{1, "0.2.0"}, {2, "0.3.0"}, {3, "0.4.0"},
+                                                        {4, "0.4.0"}, {5, "0.4.0"}, {6, "0.5.0"}};
+  ASSERT_EQ(kTable.size(), std::size(rows));
+  for (std::size_t i = 0; i < kTable.size(); ++i) {
+    EXPECT_EQ(kTable[i].number, rows[i].first);
+    EXPECT_STREQ(kTable[i].since, rows[i].second);
+  }
+}
+
+}  // namespace
+}  // namespace reachramp::levels
--- /dev/null
+++ b/src/zones/zones_bytes_test.cpp
@@ -0,0 +1,26 @@
+// The literal form of the record `zones`.
+#include "bytes.h"
+#include "zones/zones.h"
+
+namespace reachramp::zones {
+namespace {
+
+TEST(ZonesRecordBytes, RecordIsReadAndWrittenAsLiteral) {
+  constexpr const char* kRecord =
+      R"({"zones":[{"name":"a","state":0,"flaps":2},{"name":"b","state":1,"flaps":0},
+                   {"name":"c","state":2,"flaps":1},{"name":"d","state":3,"flaps":4}]})";
+  const settings::Platform platform;
+  Cluster cluster(platform, 1, jobs::Format::compact);
+  Zones zones;
+  zones.inherit(test::received(kRecord), cluster, 5, 10);
+  EXPECT_EQ(zones.state(cluster.zones.find("a")), State::well);
+  EXPECT_EQ(zones.state(cluster.zones.find("b")), State::doubtful);
+  EXPECT_EQ(zones.state(cluster.zones.find("c")), State::lost);
+  EXPECT_EQ(zones.state(cluster.zones.find("d")), State::returning);
+  EXPECT_TRUE(test::is_written_as(zones.encode(cluster), kRecord));
+  EXPECT_TRUE(test::is_written_as(Zones().encode(cluster), R"({"zones":[]})"));
+  EXPECT_STREQ(kZonesKey, "zones");
+}
+
+}  // namespace
+}  // namespace reachramp::zones
--- /dev/null
+++ b/test/bytes.h
@@ -0,0 +1,25 @@
+// Whether a message or record is written exactly as a literal, types of numbers included: as
+// MessagePack 1 and 1.0 differ.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include "wire/message.h"
+
+namespace reachramp::test {
+
+inline testing::AssertionResult is_written_as(const wire::Json& written, const char* literal) {
+  const wire::Json expected = wire::Json::parse(literal);
+  if (written == expected && wire::Json::to_msgpack(written) == wire::Json::to_msgpack(expected)) {
+    return testing::AssertionSuccess();
+  }
+  return testing::AssertionFailure()
+         << "written: " << written.dump() << "\nliteral: " << expected.dump();
+}
+
+// As it comes from the wire.
+inline wire::Json received(const char* literal) {
+  return wire::decode_map(wire::encode(wire::Json::parse(literal)));
+}
+
+}  // namespace reachramp::test
