--- /dev/null
+++ b/src/peers/readiness_bytes_test.cpp
@@ -0,0 +1,96 @@
+// The literal form of what nodes ask and answer each other.
+#include "peers/readiness.h"
+#include "peers/relay.h"
+#include "recorder.h"
+#include "state/clock.h"
+
+namespace reachramp::peers {
+namespace {
+
+using test::is_written_as;
+using test::received;
+
+TEST(PeerBytes, ToldCancellationsAreWrittenAsLiteral) {
+  EXPECT_TRUE(is_written_as(encode_told({12.5, {"j-1", "j-2"}}),
+                            R"({"complete_s":12.5,"cancelled":["j-1","j-2"]})"));
+}
+
+TEST(PeerBytes, ToldCancellationsAreReadFromLiteral) {
+  const auto word =
+      decode_word({true, true, 200, received(R"({"served":true,"ago_s":0.5,"leader_stamp":40,
+                    "told":{"complete_s":12.5,"cancelled":["j-1","j-2"]}})"),
+                   0});
+  ASSERT_TRUE(word);
+  EXPECT_EQ(word->complete_s, 12.5);
+  EXPECT_EQ(word->cancelled, (std::vector<std::string>{"j-1", "j-2"}));
+}
+
+settings::Platform platform(const wire::Address& other) {
+  settings::Platform made;
+  made.node_name = "node-0";
+  made.members = {{"node-1", "b", other}};
+  return made;
+}
+
+TEST(PeerBytes, ServedIsAnsweredWithLiteralFields) {
+  state::Client state({"127.0.0.1", 1}, 10);
+  Told told(1e9, state::steady_now());
+  told.note("j-1", state::steady_now());
+  Health health(state, platform({"127.0.0.1", 1}), told);
+  wire::Json plain = health.served("", 40).body;
+  EXPECT_TRUE(plain.at("ago_s").is_number_float());
+  plain["ago_s"] = 0.5;
+  EXPECT_TRUE(is_written_as(plain, R"({"served":true,"ago_s":0.5,"leader_stamp":40})"));
+  wire::Json asked =
+      health.served(wire::encode(wire::Json::parse(R"({"told_within_s":60.5})")), 40).body;
+  EXPECT_TRUE(asked.at("told").at("complete_s").is_number_float());
+  asked["ago_s"] = 0.5;
+  asked["told"]["complete_s"] = 12.5;
+  EXPECT_TRUE(is_written_as(asked, R"({"served":true,"ago_s":0.5,"leader_stamp":40,
+                                       "told":{"complete_s":12.5,"cancelled":["j-1"]}})"));
+}
+
+TEST(PeerBytes, QuestionsToOtherNodesAreLiteral) {
+  test::Recorder other([](const wire::Request&) -> wire::Reply {
+    return {200, received(R"({"served":true,"ago_s":0.5,"leader_stamp":41,
+                         "told":{"complete_s":12.5,"cancelled":["j-7"]}})"),
+            0};
+  });
+  state::Client state({"127.0.0.1", 1}, 10);
+  Told told(1e9, state::steady_now());
+  Health health(state, platform(other.at()), told);
+  const auto words = health.ask_told({60.5});
+  ASSERT_EQ(words.size(), 1u);
+  EXPECT_EQ(words[0].cancelled, std::vector<std::string>{"j-7"});
+  EXPECT_TRUE(health.cut_off(100, 5, 40)) << "leader_stamp is later";
+  EXPECT_FALSE(health.cut_off(100, 5, 41));
+  const std::vector<test::Asked> asked = other.asked();
+  ASSERT_EQ(asked.size(), 3u);
+  EXPECT_EQ(asked[0].line, "GET /served");
+  EXPECT_TRUE(is_written_as(asked[0].body, R"({"told_within_s":60.5})"));
+  EXPECT_EQ(asked[1].line, "GET /served");
+  EXPECT_TRUE(asked[1].body.is_null());
+}
+
+TEST(PeerBytes, ReportIsCarriedAsItIs) {
+  constexpr const char* kReport = R"({"host":"n-1","newer":1.0})";
+  test::Recorder leader([](const wire::Request&) -> wire::Reply {
+    return {200, received(R"({"baton":40,"orders":[]})"), 0};
+  });
+  Relay relay(platform(leader.at()));
+  const double until = state::steady_now() + 5;
+  const auto straight = relay.carry("node-1", received(kReport), false, until);
+  ASSERT_TRUE(straight);
+  EXPECT_TRUE(is_written_as(straight->body, R"({"baton":40,"orders":[]})"));
+  ASSERT_TRUE(relay.carry("", received(kReport), true, until));
+  const std::vector<test::Asked> asked = leader.asked();
+  ASSERT_EQ(asked.size(), 2u);
+  EXPECT_EQ(asked[0].line, "POST /relay/report");
+  EXPECT_TRUE(is_written_as(asked[0].body, kReport));
+  EXPECT_EQ(asked[1].line, "POST /relay/onward");
+  EXPECT_TRUE(is_written_as(asked[1].body, kReport));
+  EXPECT_EQ(kMisdirected, 421);
+}
+
+}  // namespace
+}  // namespace reachramp::peers
