--- /dev/null
+++ b/src/cloud/client_bytes_test.cpp
@@ -0,0 +1,105 @@
+// The literal form of the stored catalog and of the cloud's messages.
+#include "cloud/client.h"
+#include "recorder.h"
+
+namespace reachramp::cloud {
+namespace {
+
+using test::is_written_as;
+using test::received;
+
+constexpr const char* kCatalog =
+    R"({"rigs":[{"label":"g8","vcpus":96.5,"accelerators":8.5,"ram_gb":768.5,"cache_gb":200.5,
+        "pull_gb_per_s":1.5,"rate":12.5,"low_price":4.5,"boot_s":45.5,"halls":["a","b"]}]})";
+
+// Versions 0.2.0, 0.3.0 and 0.4.0 write the record `catalog` the same.
+TEST(CatalogBytes, RecordIsReadAndWrittenAsLiteral) {
+  const Catalog catalog{{"g8", 96.5, 8.5, 768.5, 200.5, 1.5, 12.5, 4.5, 45.5, {"a", "b"}}};
+  EXPECT_TRUE(is_written_as(encode_catalog(catalog), kCatalog));
+  const Catalog read = decode_catalog(received(kCatalog));
+  ASSERT_EQ(read.size(), 1u);
+  EXPECT_EQ(read[0].name, "g8");
+  EXPECT_EQ(read[0].cpus, 96.5);
+  EXPECT_EQ(read[0].gpus, 8.5);
+  EXPECT_EQ(read[0].ram_gb, 768.5);
+  EXPECT_EQ(read[0].cache_gb, 200.5);
+  EXPECT_EQ(read[0].fetch_gb_per_s, 1.5);
+  EXPECT_EQ(read[0].price, 12.5);
+  EXPECT_EQ(read[0].spot_price, 4.5);
+  EXPECT_EQ(read[0].boot_s, 45.5);
+  EXPECT_EQ(read[0].zones, (std::vector<std::string>{"a", "b"}));
+}
+
+TEST(CloudBytes, HireIsWrittenAsLiteral) {
+  EXPECT_TRUE(
+      is_written_as(encode_hire({"r-40-1", "g8", "a", true, 3}),
+                    R"({"hire":"r-40-1","rig":"g8","hall":"a","loaner":true,"how_many":3})"));
+}
+
+TEST(CloudBytes, ListedMachineIsReadFromLiteral) {
+  const Listed listed = decode_listed(received(
+      R"({"ref":"n-1","address":"10.0.0.1:9000","rig":"g8","hall":"a","loaner":true,
+          "phase":"running","held_s":12.5})"));
+  EXPECT_EQ(listed.name, "n-1");
+  EXPECT_EQ(listed.address, "10.0.0.1:9000");
+  EXPECT_EQ(listed.type, "g8");
+  EXPECT_EQ(listed.zone, "a");
+  EXPECT_TRUE(listed.spot);
+  EXPECT_EQ(listed.phase, MachinePhase::running);
+  EXPECT_EQ(listed.held_s, 12.5);
+  const std::pair<const char*, MachinePhase> phases[] = {{"starting", MachinePhase::starting},
+                                                         {"running", MachinePhase::running},
+                                                         {"failed", MachinePhase::failed}};
+  for (const auto& [word, phase] : phases) {
+    Json body{{"ref", "n-1"}, {"rig", "g8"}, {"hall", "a"}, {"loaner", false}, {"phase", word}};
+    EXPECT_EQ(decode_listed(body).phase, phase) << word;
+  }
+}
+
+TEST(CloudBytes, EachCallSendsItsLiteralRequestAndReadsItsLiteralAnswer) {
+  test::Recorder service([](const wire::Request& request) -> wire::Reply {
+    if (request.path == "/catalog") return {200, received(kCatalog), 0};
+    if (request.path == "/hosts/return") return {200, Json::object(), 0};
+    if (request.method == "POST") return {200, received(R"({"hosts":["n-1","n-2"]})"), 0};
+    return {200, received(R"({"truncated":true,"hosts":[{"ref":"n-1","rig":"g8","hall":"a",
+                              "loaner":false,"phase":"running"}]})"),
+            0};
+  });
+  Client client(service.at());
+  ASSERT_TRUE(client.catalog());
+  const Hired hired = client.hire({"r-40-1", "g8", "a", false, 3});
+  EXPECT_EQ(hired.verdict, Verdict::ok);
+  EXPECT_EQ(hired.machines, (std::vector<std::string>{"n-1", "n-2"}));
+  EXPECT_TRUE(client.give_back({"n-1", "n-2"}));
+  const ListPage page = client.list("");
+  EXPECT_EQ(page.verdict, Verdict::ok);
+  EXPECT_EQ(page.machines.size(), 1u);
+  EXPECT_TRUE(page.more);
+  client.list("n-1");
+  const std::pair<const char*, const char*> expected[] = {
+      {"GET /catalog", nullptr},
+      {"POST /hosts", R"({"hire":"r-40-1","rig":"g8","hall":"a","loaner":false,"how_many":3})"},
+      {"POST /hosts/return", R"({"hosts":["n-1","n-2"]})"},
+      {"GET /hosts?limit=500", nullptr},
+      {"GET /hosts?limit=500&after=n-1", nullptr}};
+  const std::vector<test::Asked> asked = service.asked();
+  ASSERT_EQ(asked.size(), std::size(expected));
+  for (std::size_t i = 0; i < asked.size(); ++i) {
+    EXPECT_EQ(asked[i].line, expected[i].first);
+    EXPECT_TRUE(is_written_as(asked[i].body, expected[i].second ? expected[i].second : "null"));
+  }
+}
+
+TEST(CloudBytes, RefusalsOfHireAreReadFromLiteral) {
+  wire::Reply reply{503, received(R"({"error":"no capacity"})"), 0};
+  test::Recorder service([&](const wire::Request&) { return reply; });
+  Client client(service.at());
+  EXPECT_EQ(client.hire({}).verdict, Verdict::no_capacity);
+  reply = {503, received(R"({"error":"outage"})"), 0};
+  EXPECT_EQ(client.hire({}).verdict, Verdict::later);
+  reply = {400, received(R"({"error":"bad"})"), 0};
+  EXPECT_EQ(client.hire({}).verdict, Verdict::bad);
+}
+
+}  // namespace
+}  // namespace reachramp::cloud
