--- /dev/null
+++ b/src/jobs/door_bytes_test.cpp
@@ -0,0 +1,137 @@
+// The literal form of the answers that users get, and of what they make the door store.
+#include "jobs/door.h"
+#include "recorder.h"
+#include "state/clock.h"
+
+namespace reachramp::jobs {
+namespace {
+
+using test::is_written_as;
+using test::received;
+
+constexpr const char* kSpec =
+    R"({"ref":"j-1","jobclass":"train","owner":"red","shape":"array","urgency":"normal",
+        "pieces":4,"vcpus":1.0,"accelerators":0.0,"ram_gb":1.0,"bundle":"img","pull_gb":0.5,
+        "together":false,"scatter":false,"loaner":true,"expected_s":60.0,"snapshot_every_s":0.0,
+        "snapshot_cost_s":0.0})";
+
+std::string header(const char* cancelled, int done, int running) {
+  return std::string(R"({"spec":)") + kSpec + R"(,"cancelled":)" + cancelled + R"(,"done":)" +
+         std::to_string(done) + R"(,"running":)" + std::to_string(running) + R"(,"born":0})";
+}
+
+std::string entry(const std::string& key, const std::string& value, int stamp) {
+  return R"({"k":")" + key + R"(","value":)" + value + R"(,"stamp":)" + std::to_string(stamp) + "}";
+}
+
+class DoorBytes : public ::testing::Test {
+ protected:
+  // Records that the state service has; a transaction is answered with `committed`.
+  std::map<std::string, std::string> records_;
+  wire::Reply committed_{200, received(R"({"epoch":50})"), 0};
+
+  wire::Reply submit(const std::string& body) {
+    return door_.submit(wire::encode(Json::parse(body)));
+  }
+  Json last_transaction() {
+    Json last;
+    for (const test::Asked& one : service_.asked()) {
+      if (one.line == "POST /multi") last = one.body;
+    }
+    return last;
+  }
+
+ private:
+  wire::Reply answer(const wire::Request& request) {
+    if (request.path == "/multi") return committed_;
+    if (request.path == "/keys") return {200, received(R"({"epoch":9,"entries":[]})"), 0};
+    const auto at = records_.find(request.path.substr(std::string("/keys/").size()));
+    if (at == records_.end()) return {404, received(R"({"epoch":9})"), 0};
+    return {200, received(entry(at->first, at->second, 7).c_str()), 0};
+  }
+
+  static settings::Platform platform() {
+    settings::Platform made;
+    made.node_name = "node-0";
+    made.teams = {{"red", 0, 0, 0, 0}};
+    made.workers = {1, 10, 15, 4, 30};
+    made.state_limits = {1000, 100, 4, 8};
+    made.state_next = made.state_limits;
+    return made;
+  }
+
+  const settings::Platform platform_ = platform();
+  test::Recorder service_{[this](const wire::Request& request) { return answer(request); }};
+  state::Client state_{service_.at(), 1000};
+  peers::Members members_{state_, platform_};
+  levels::Book book_{state_, platform_, {}};
+  peers::Told told_{30, state::steady_now()};
+
+ protected:
+  Door door_{state_, platform_, members_, book_, told_, [] {
+               return std::make_shared<const cloud::Catalog>(
+                   cloud::Catalog{{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a"}}});
+             }};
+};
+
+TEST_F(DoorBytes, AcceptedJobIsStoredAndAnsweredAsLiteral) {
+  const wire::Reply reply = submit(kSpec);
+  EXPECT_EQ(reply.status, 201);
+  EXPECT_TRUE(is_written_as(reply.body, R"({"ref":"j-1","phase":"pending","done":0,"running":0})"));
+  const std::string expected =
+      R"({"if":[{"k":"job/j-1","stamp":0},{"k":"end/j-1","stamp":0},{"k":"level","stamp":0}],
+          "then":[{"write":"job/j-1","value":)" +
+      header("false", 0, 0) + "}]}";
+  EXPECT_TRUE(is_written_as(last_transaction(), expected.c_str()));
+}
+
+TEST_F(DoorBytes, EachPhaseIsAnsweredAsLiteral) {
+  records_["job/j-1"] = header("false", 1, 0);
+  records_["job/j-2"] = header("false", 1, 2);
+  records_["job/j-3"] = header("true", 1, 2);
+  records_["end/j-4"] = R"({"cancelled":false,"done":4})";
+  records_["end/j-5"] = R"({"cancelled":true,"done":3})";
+  const std::pair<const char*, const char*> expected[] = {
+      {"j-1", R"({"ref":"j-1","phase":"pending","done":1,"running":0})"},
+      {"j-2", R"({"ref":"j-2","phase":"running","done":1,"running":2})"},
+      {"j-3", R"({"ref":"j-3","phase":"aborted","done":1,"running":0})"},
+      {"j-4", R"({"ref":"j-4","phase":"done","done":4,"running":0})"},
+      {"j-5", R"({"ref":"j-5","phase":"aborted","done":3,"running":0})"}};
+  for (const auto& [id, body] : expected) {
+    const wire::Reply reply = door_.query(id);
+    EXPECT_EQ(reply.status, 200);
+    EXPECT_TRUE(is_written_as(reply.body, body));
+  }
+}
+
+TEST_F(DoorBytes, WithdrawnJobIsStoredAndAnsweredAsLiteral) {
+  records_["job/j-1"] = header("false", 1, 2);
+  const wire::Reply reply = door_.withdraw("j-1");
+  EXPECT_EQ(reply.status, 200);
+  EXPECT_TRUE(is_written_as(reply.body, R"({"ref":"j-1","phase":"aborted","done":1,"running":0})"));
+  const std::string expected =
+      R"({"if":[{"k":"job/j-1","stamp":7},{"k":"level","stamp":0}],
+          "then":[{"write":"job/j-1","value":{"born":7,"cancelled":true,"done":1,"running":2,
+          "spec":)" +
+      std::string(kSpec) + "}}]}";
+  EXPECT_TRUE(is_written_as(last_transaction(), expected.c_str()));
+}
+
+TEST_F(DoorBytes, RefusalsAreAnsweredAsLiteral) {
+  wire::Reply reply = door_.query("j-9");
+  EXPECT_EQ(reply.status, 404);
+  EXPECT_TRUE(is_written_as(reply.body, R"({"error":"no such job"})"));
+  Json stranger = Json::parse(kSpec);
+  stranger["owner"] = "blue";
+  reply = submit(stranger.dump());
+  EXPECT_EQ(reply.status, 422);
+  EXPECT_TRUE(is_written_as(reply.body, R"({"error":"unknown team"})"));
+  committed_ = {503, Json::object(), 0};
+  reply = submit(kSpec);
+  EXPECT_EQ(reply.status, 503);
+  EXPECT_EQ(reply.retry_after_s, 1);
+  EXPECT_TRUE(is_written_as(reply.body, R"({"error":"cannot tell now"})"));
+}
+
+}  // namespace
+}  // namespace reachramp::jobs
