--- /dev/null
+++ b/src/controller/node_bytes_test.cpp
@@ -0,0 +1,169 @@
+// The routes of a node's two doors, and what it sends to a worker that it has not heard: of a node
+// in a process of its own, with a state service, a cloud and a worker that are played.
+#include <signal.h>
+#include <sys/prctl.h>
+#include <sys/wait.h>
+
+#include <thread>
+
+#include "controller/node.h"
+#include "loopback/state_server.h"
+#include "recorder.h"
+
+namespace reachramp::controller {
+namespace {
+
+using test::is_written_as;
+using test::received;
+
+class RunningNode {
+ public:
+  explicit RunningNode(const settings::Platform& platform) : pid_(::fork()) {
+    if (pid_ != 0) return;
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);
+    try {
+      Node(platform, {}, "").run();
+    } catch (...) {
+      ::_exit(1);
+    }
+  }
+  ~RunningNode() {
+    ::kill(pid_, SIGKILL);
+    ::waitpid(pid_, nullptr, 0);
+  }
+  RunningNode(const RunningNode&) = delete;
+
+ private:
+  const pid_t pid_;
+};
+
+class NodeBytes : public ::testing::Test {
+ protected:
+  NodeBytes() { state_.open("node-0", platform_.state.port); }
+
+  // The answer once it is not that nobody leads yet.
+  static wire::Answer ask(const wire::Address& at, const char* method, const std::string& path,
+                          const char* body = nullptr) {
+    wire::Client client(at, 0, wire::kBodyLimit);
+    const wire::Json message = wire::Json::parse(body == nullptr ? "null" : body);
+    wire::Answer answer;
+    for (int i = 0; i < 150; ++i) {
+      answer = client.call(method, path, body == nullptr ? nullptr : &message,
+                           std::chrono::milliseconds(4000));
+      if (answer.answered && answer.status != 503) return answer;
+      std::this_thread::sleep_for(std::chrono::milliseconds(100));
+    }
+    return answer;
+  }
+  static void expect(const wire::Answer& answer, int status, const char* body) {
+    EXPECT_EQ(answer.status, status);
+    EXPECT_TRUE(is_written_as(answer.body, body));
+  }
+  // As a literal cannot hold the token of the lead.
+  static wire::Json with_baton_40(wire::Json body) {
+    EXPECT_TRUE(body.value("baton", wire::Json()).is_number_unsigned());
+    body["baton"] = 40u;
+    return body;
+  }
+
+  lab::StateServer state_{{1000, 1000, 8, 8}, 1};
+  test::Recorder worker_{[](const wire::Request&) -> wire::Reply {
+    return {200,
+            received(R"({"host":"n-1","rig":"small","hall":"a","loaner":false,"tenure":4,"tick":1,
+                         "baton":0,"pieces":[]})"),
+            0};
+  }};
+  test::Recorder cloud_{[this](const wire::Request& request) -> wire::Reply {
+    if (request.path == "/catalog") {
+      return {200, received(R"({"rigs":[{"label":"small","vcpus":4.0,"ram_gb":16.0,"rate":0.5,
+                           "halls":["a"]}]})"),
+              0};
+    }
+    wire::Json list = received(
+        R"({"truncated":false,"hosts":[{"ref":"n-1","rig":"small","hall":"a","loaner":false,
+            "phase":"running","held_s":5.0}]})");
+    list["hosts"][0]["address"] = "127.0.0.1:" + std::to_string(worker_.at().port);
+    return {200, list, 0};
+  }};
+  test::PortReservations ports_;
+  const settings::Platform platform_ = [this] {
+    settings::Platform made;
+    made.node_name = "node-0";
+    made.serve_on = {"127.0.0.1", ports_.reserve()};
+    made.cluster_listen = {"127.0.0.1", ports_.reserve()};
+    made.state = {"127.0.0.1", ports_.reserve()};
+    made.cloud = cloud_.at();
+    made.teams = {{"red", 0, 0, 0, 0}};
+    made.workers = {1, 10, 15, 4, 30};
+    made.state_limits = {1000, 100, 4, 8};
+    made.state_next = made.state_limits;
+    made.cloud_limits = {10, 2};
+    return made;
+  }();
+};
+
+TEST_F(NodeBytes, EveryRouteAnswersAsLiteral) {
+  const RunningNode node(platform_);
+  const wire::Address& users = platform_.serve_on;
+  expect(ask(users, "GET", "/ready"), 200, R"({"ready":true})");
+  expect(ask(users, "GET", "/submissions/j-9"), 404, R"({"error":"no such job"})");
+  expect(ask(users, "POST", "/submissions/j-9/withdraw", "{}"), 404, R"({"error":"no such job"})");
+  expect(ask(users, "POST", "/submissions", "{}"), 400, R"({"error":"ref: missing"})");
+  expect(ask(users, "POST", "/ready", "{}"), 405, R"({"error":"no such method here"})");
+  expect(ask(users, "GET", "/v1/report"), 405, R"({"error":"no such method here"})");
+  expect(ask(users, "GET", "/nowhere"), 404, R"({"error":"no such path"})");
+  const wire::Address& peers = platform_.cluster_listen;
+  expect(ask(peers, "GET", "/relay/report"), 405, R"({"error":"no such method here"})");
+  expect(ask(peers, "GET", "/relay/onward"), 405, R"({"error":"no such method here"})");
+  expect(ask(peers, "POST", "/served", "{}"), 405, R"({"error":"no such method here"})");
+  expect(ask(peers, "GET", "/nowhere"), 404, R"({"error":"no such path"})");
+  const wire::Answer served = ask(peers, "GET", "/served", R"({"told_within_s":5.0})");
+  EXPECT_EQ(served.status, 200);
+  for (const char* field : {"served", "ago_s", "leader_stamp", "told"}) {
+    EXPECT_TRUE(served.body.contains(field)) << field;
+  }
+  int tick = 1;
+  for (const auto& [at, path] : {std::pair{users, "/v1/report"}, std::pair{peers, "/relay/report"},
+                                 std::pair{peers, "/relay/onward"}}) {
+    const std::string report =
+        R"({"host":"n-1","rig":"small","hall":"a","loaner":false,"tenure":5,"tick":)" +
+        std::to_string(++tick) + R"(,"baton":0,"pieces":[]})";
+    const wire::Answer answer = ask(at, "POST", path, report.c_str());
+    EXPECT_EQ(answer.status, 200) << path;
+    EXPECT_TRUE(is_written_as(with_baton_40(answer.body), R"({"baton":40,"orders":[]})"));
+  }
+}
+
+TEST_F(NodeBytes, RecordsStandUnderLiteralKeys) {
+  const RunningNode node(platform_);
+  // Once it leads and has told the state service what it speaks.
+  for (const char* key : {"leader", "member/node-0", "claim/node-0", "level", "catalog"}) {
+    bool stands = false;
+    for (int i = 0; i < 200 && !stands; ++i) {
+      stands = state_.with([&](const auto& model) {
+        const auto entries = model.list(key);
+        return !entries.empty() && entries.front().key == key;
+      });
+      if (!stands) std::this_thread::sleep_for(std::chrono::milliseconds(100));
+    }
+    EXPECT_TRUE(stands) << key;
+  }
+}
+
+TEST_F(NodeBytes, WorkerThatWasNotHeardIsAskedAndToldAsLiteral) {
+  const RunningNode node(platform_);
+  std::vector<test::Asked> asked;
+  for (int i = 0; i < 200 && asked.size() < 2; ++i) {
+    std::this_thread::sleep_for(std::chrono::milliseconds(100));
+    asked = worker_.asked();
+  }
+  ASSERT_GE(asked.size(), 2u);
+  EXPECT_EQ(asked[0].line, "GET /status");
+  EXPECT_TRUE(asked[0].body.is_null());
+  EXPECT_EQ(asked[1].line, "POST /orders");
+  EXPECT_TRUE(
+      is_written_as(with_baton_40(asked[1].body), R"({"baton":40,"tenure":4,"orders":[]})"));
+}
+
+}  // namespace
+}  // namespace reachramp::controller
--- a/src/levels/levels_bytes_test.cpp
+++ b/src/levels/levels_bytes_test.cpp
@@ -50,6 +50,17 @@
   EXPECT_EQ(claim.digest, 4711u);
 }
 
+// In every node's claim, and compared with the others': while a fleet is changed from one version
+// to the next it must stay the same for the same settings.
+TEST(ClaimRecordBytes, DigestOfSettingsIsFixed) {
+  settings::Platform platform;
+  platform.node_name = "node-1";
+  platform.members = {{"node-0", "b", {}}};
+  platform.teams = {{"red", 1, 2, 3, 4}};
+  platform.objectives = {{settings::Objective::Kind::finished, "train", 60, 1}};
+  EXPECT_EQ(digest_of(platform), 980543660533034833ull);
+}
+
 // What stands in the state service from each level on.
 TEST(LevelTableBytes, NumbersAndVersionsAreFixed) {
   const std::pair<std::uint32_t, const char*> rows[] = {{1, "0.2.0"}, {2, "0.3.0"}, {3, "0.4.0"},
