--- a/src/controller/leader_bytes_test.cpp
+++ b/src/controller/leader_bytes_test.cpp
@@ -8,6 +8,7 @@
 
 settings::Platform platform() {
   settings::Platform p;
+  p.node_name = "node-0";
   p.teams = {{"red", 0, 0, 0, 0}};
   p.workers = {1, 10, 15, 4, 30};
   p.state_limits = {1000, 100, 4, 8};
@@ -98,6 +99,78 @@
   EXPECT_TRUE(ended);
 }
 
+// A gang whose machines are drained stops everywhere at once, by orders that nobody asked for.
+TEST(DirectOrdersBytes, StopsOfDrainedGangAreWrittenAsLiteral) {
+  Snapshot from = snapshot();
+  from.level = state::Entry{"level", test::received(R"({"level":6,"writes":6,"settled":true})"), 4};
+  from.jobs = {{"job/j-1",
+                test::received(
+                    R"({"spec":{"ref":"j-1","jobclass":"c","owner":"red","shape":"ensemble",
+                        "urgency":"normal","pieces":2,"vcpus":3.0,"accelerators":0.0,"ram_gb":1.0,
+                        "bundle":"img","pull_gb":0.5,"together":false,"scatter":false,
+                        "loaner":false,"expected_s":6000.0,"snapshot_every_s":1.0,
+                        "snapshot_cost_s":0.5},"cancelled":false,"done":0,"running":0,"born":0})"),
+                7}};
+  Leader leader(platform(), {}, 40, from, 0, {1, 6, 0, "9.9.9"});
+  leader.on_claims(
+      {{"claim/node-0",
+        test::received(R"({"version":"9.9.9","oldest":1,"newest":6,"hold":0,"digest":0})"), 5}});
+  std::vector<std::pair<std::string, state::Json>> told;
+  std::map<std::string, std::string> running;  // by machine, as its report lists it
+  for (double now = 0.5; now < 90 && told.empty(); now += 0.5) {
+    std::vector<cloud::Listed> listed;
+    for (int i = 1; i <= 4; ++i) {
+      const std::string name = "n-" + std::to_string(i);
+      listed.push_back(
+          {name, name + ":9000", "small", "a", false, cloud::MachinePhase::running, 500 + now});
+      const std::string report =
+          R"({"host":")" + name + R"(","address":")" + name +
+          R"(:9000","rig":"small","hall":"a","loaner":false,"tenure":5,"baton":40,"tick":)" +
+          std::to_string(static_cast<int>(now * 2)) + R"(,"pieces":[)" + running[name] + "]}";
+      const auto answer = [&running, name](const wire::Json& body) {
+        if (body.is_null()) return;
+        for (const wire::Json& order : body.at("orders")) {
+          if (order.at("verb") != "start") continue;
+          running[name] = wire::Json{
+              {"piece", order.at("piece")},
+              {"try", order.at("try")},
+              {"phase",
+               "running"}}.dump();
+        }
+      };
+      leader.on_report(workers::decode_report(test::received(report.c_str())), answer, now);
+    }
+    leader.on_list(listed, now, now);
+    leader.on_jobs_current(now);
+    if (now == 4) {
+      std::string names;
+      for (const auto& [name, piece] : running) names += piece.empty() ? "" : " " + name;
+      const std::string text =
+          "(drains (serial 1) (budget (down 1)) (machines (names" + names + ")))";
+      leader.on_drains(
+          state::Entry{
+              "drains", {{"serial", 1u}, {"text", text}, {"stamps", wire::Json::array()}}, 60},
+          now);
+    }
+    const Outbox out = leader.advance(now);
+    told = out.stop_now;
+    if (!out.commit) continue;
+    state::Committed committed;
+    committed.outcome = state::Outcome::ok;
+    committed.epoch = 50 + static_cast<std::uint64_t>(now * 2);
+    leader.on_settled(committed, now);
+  }
+  ASSERT_EQ(told.size(), 2u);
+  for (const auto& [address, body] : told) {
+    const std::string host = address.substr(0, address.find(':'));
+    const wire::Json piece = wire::Json::parse(running[host]);
+    const std::string expected = R"({"baton":40,"tenure":5,"orders":[{"verb":"stop","piece":)" +
+                                 piece["piece"].dump() + R"(,"try":)" + piece["try"].dump() +
+                                 R"(,"wind_down_s":1.5}]})";
+    EXPECT_TRUE(test::is_written_as(body, expected.c_str()));
+  }
+}
+
 TEST(LeaderRecordKeys, KeysAreLiteral) {
   EXPECT_STREQ(kLeaderKey, "leader");
   EXPECT_STREQ(kCatalogKey, "catalog");
