--- /dev/null
+++ b/test/behaviour_digests.cpp
@@ -0,0 +1,174 @@
+// Prints one digest per seed of how the leaders of a simulated cluster behaved through its
+// troubles, and at the end one of all: `behaviour_digests FIRST_SEED SEEDS`. A change that is to
+// keep the behaviour leaves every line as it is; scripts/same-behaviour compares two versions. How
+// often each kind of event was recorded goes to standard error.
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <atomic>
+#include <cstdio>
+#include <cstdlib>
+#include <string>
+#include <thread>
+#include <vector>
+
+#include "simulated_cluster.h"
+
+namespace reachramp::test {
+namespace {
+
+constexpr unsigned kMostThreads = 4;
+constexpr int kRounds = 14;
+constexpr double kRound_s = 8;
+
+struct Recording {
+  std::uint64_t digest = 0;
+  BehaviourRecorder::Counts counts{};
+};
+
+// In turn by seed: an ordinary cluster, and those of the meetings (meetings_test.cpp). Every second
+// seed begins with nodes of version 0.2.0 that are changed one by one.
+SimulatedWorld world_of(std::uint64_t seed) {
+  SimulatedWorld world;
+  if (seed % 2 == 1) world.upgraded_after_s = 0;
+  switch (seed / 2 % 6) {
+    case 0:
+      break;
+    case 1:
+      world.platform.teams = {{"red", 2, 6, 0, 0}, {"blue", 2, 5, 0, 0}};
+      world.task_run_s = 40;
+      break;
+    case 2:
+      world.boot_least_s = 0.2;
+      world.boot_most_s = 2;
+      world.late_writes = 0.4;
+      world.rental_answer_s = 3;
+      break;
+    case 3:
+      world.kept_reports = 0.3;
+      world.task_run_s = 7;
+      break;
+    case 4:
+      world.platform.state_limits.write_rps = world.platform.state_next.write_rps = 30;
+      world.task_run_s = 3;
+      break;
+    default:
+      world.slow_links = 10;
+      world.machines_per_pool = 1;
+      world.task_run_s = 5;
+  }
+  return world;
+}
+
+jobs::Spec job(int number, std::mt19937_64& random) {
+  const std::uint64_t choice = random() % 1000;
+  jobs::Spec spec;
+  spec.id = "j-" + std::to_string(number);
+  spec.job_class = "class-" + std::to_string(choice % 3);
+  spec.team = choice % 2 == 0 ? "red" : "blue";
+  spec.shape = choice % 5 == 0 ? jobs::Shape::gang : jobs::Shape::array;
+  spec.tasks = spec.shape == jobs::Shape::gang ? 1 + choice % 3 : 1 + choice % 40;
+  spec.cpus = 1 + static_cast<double>(choice % 3);
+  spec.ram_gb = 2;
+  spec.image = "image-" + std::to_string(choice % 2);
+  spec.image_gb = 1;
+  spec.one_zone = choice % 7 == 0;
+  spec.spot = choice % 3 != 0;
+  spec.priority = choice % 4 == 2 ? jobs::Priority::high : jobs::Priority::normal;
+  spec.estimate_s = 5;
+  if (spec.shape == jobs::Shape::gang && choice % 2 == 0) {  // long enough to be moved
+    spec.checkpoint_s = 2;
+    spec.save_s = 0.5;
+    spec.estimate_s = 20;
+  }
+  if (choice % 4 == 1) {  // longer than a cancelled task may stay
+    spec.tasks = std::min(spec.tasks, 4u);
+    spec.estimate_s = 60;
+  }
+  for (int earlier = std::max(0, number - 5); earlier < number; ++earlier) {
+    if (random() % 5 == 0) spec.needs.push_back("j-" + std::to_string(earlier));
+  }
+  return spec;
+}
+
+// The operators' and users' part; the cluster's own troubles go on beside it.
+void play(SimulatedCluster& cluster, std::mt19937_64& random) {
+  for (int round = 0; round < kRounds; ++round) {
+    cluster.submit(job(2 * round, random));
+    cluster.submit(job(2 * round + 1, random));
+    cluster.run(kRound_s);
+    if (random() % 3 == 0) cluster.cancel("j-" + std::to_string(random() % (2 * round + 2)));
+    if (random() % 6 == 0) cluster.change_leader();
+    if (random() % 8 == 0) cluster.cancel_running(cluster.between(3, 70));
+    if (random() % 8 == 0) cluster.refuse(cluster.between(0, 6), cluster.between(10, 64));
+  }
+  cluster.run(60);
+}
+
+Recording record(std::uint64_t seed) {
+  constexpr int kCalmRounds = 15;
+  constexpr double kCalmRound_s = 20;
+  BehaviourRecorder recorder;
+  SimulatedCluster cluster(seed, world_of(seed));
+  cluster.record_to(recorder);
+  std::mt19937_64 random(seed + 1);
+  play(cluster, random);
+  cluster.calm();
+  for (int i = 0; i < kCalmRounds && !(cluster.all_over() && cluster.settled()); ++i) {
+    cluster.run(kCalmRound_s);
+  }
+  recorder.record(BehaviourRecorder::kEnd, 0,
+                  {cluster.all_over(), cluster.settled(), Json(cluster.broken)});
+  return {recorder.digest(), recorder.counts()};
+}
+
+// Seeds know nothing of each other: each thread takes the next one.
+std::vector<Recording> record_all(std::uint64_t first, std::size_t seeds) {
+  std::vector<Recording> recordings(seeds);
+  std::atomic<std::size_t> next{0};
+  std::vector<std::thread> threads(
+      std::clamp(std::thread::hardware_concurrency(), 1u, kMostThreads));
+  for (std::thread& thread : threads) {
+    thread = std::thread([&] {
+      for (std::size_t i = next++; i < seeds; i = next++) recordings[i] = record(first + i);
+    });
+  }
+  for (std::thread& thread : threads) thread.join();
+  return recordings;
+}
+
+void print(std::uint64_t first, const std::vector<Recording>& recordings) {
+  Digest all;
+  BehaviourRecorder::Counts counts{};
+  for (std::size_t i = 0; i < recordings.size(); ++i) {
+    const Recording& recording = recordings[i];
+    std::printf("%llu %016llx\n", static_cast<unsigned long long>(first + i),
+                static_cast<unsigned long long>(recording.digest));
+    all.add(&recording.digest, sizeof recording.digest);
+    for (std::size_t kind = 0; kind < counts.size(); ++kind) counts[kind] += recording.counts[kind];
+  }
+  std::printf("all %016llx\n", static_cast<unsigned long long>(all.value()));
+  static const char* const kNames[] = {
+      "leaders elected", "transactions",  "cloud requests",   "keys read back",
+      "ends looked up",  "greetings",     "direct stops",     "members asked",
+      "flags",           "responses",     "null responses",   "reports to the deposed",
+      "submissions",     "cancellations", "words of members", "ends"};
+  static_assert(std::size(kNames) == BehaviourRecorder::kKinds);
+  for (std::size_t kind = 0; kind < counts.size(); ++kind) {
+    std::fprintf(stderr, "%s: %llu\n", kNames[kind], static_cast<unsigned long long>(counts[kind]));
+  }
+}
+
+}  // namespace
+}  // namespace reachramp::test
+
+int main(int argc, char** argv) {
+  if (argc != 3) {
+    std::fprintf(stderr, "usage: behaviour_digests FIRST_SEED SEEDS\n");
+    return 2;
+  }
+  spdlog::set_level(spdlog::level::off);
+  const std::uint64_t first = std::strtoull(argv[1], nullptr, 10);
+  const std::size_t seeds = std::strtoull(argv[2], nullptr, 10);
+  reachramp::test::print(first, reachramp::test::record_all(first, seeds));
+}
--- a/test/simulated_cluster.cpp
+++ b/test/simulated_cluster.cpp
@@ -55,13 +55,18 @@
              : jobs::decode_ending(store_.items().at(jobs::end_key(need)).value).cancelled);
   }
   specs_[spec.id] = spec;
-  store_.commit({{{jobs::job_key(spec.id), 0}, {jobs::end_key(spec.id), 0}},
-                 {{jobs::job_key(spec.id), jobs::encode_header(header), std::nullopt}}});
+  const auto stored =
+      store_.commit({{{jobs::job_key(spec.id), 0}, {jobs::end_key(spec.id), 0}},
+                     {{jobs::job_key(spec.id), jobs::encode_header(header), std::nullopt}}});
+  record(BehaviourRecorder::kSubmitted,
+         {spec.id, header.cancelled, stored.outcome == state::Outcome::ok});
 }
 
 void SimulatedCluster::cancel(const std::string& id) {
   const auto at = store_.items().find(jobs::job_key(id));
-  if (at == store_.items().end() || is_out()) return;
+  const bool is_live = at != store_.items().end();
+  record(BehaviourRecorder::kCancelled, {id, is_live, is_out()});
+  if (!is_live || is_out()) return;
   jobs::Header header = jobs::decode_header(at->second.value);
   header.cancelled = true;
   store_.commit({{{jobs::job_key(id), at->second.stamp}},
@@ -163,6 +168,8 @@
       leadership::Word word{i, window, told.complete_s, asked_at, 0, told.jobs};
       later(back, [this, baton, word]() mutable {
         word.received_at = now_;
+        record(BehaviourRecorder::kToldByNode,
+               {baton, word.member, word.window_s, word.complete_s, Json(word.cancelled)});
         if (leader_ && leader_->cluster().baton == baton) leader_->on_words({word}, now_);
       });
     });
@@ -453,6 +460,7 @@
   if (!old && !level.empty()) snapshot.level = level.front();
   snapshot.timeline = seat_->timeline;
   snapshot.timeline.note(store_.epoch(), now_);
+  record(BehaviourRecorder::kElected, {won.epoch, name_of(*seat_)});
   led_since_ = now_;
   position_ = store_.epoch();
   levels::Speech speech;
@@ -463,7 +471,8 @@
     for (const auto* controller : {&leader_, &former_}) {
       later(between(0, 0.5), [this, report, controller] {
         const auto no_answer = [](const Json&) {};
-        if (*controller) (*controller)->on_report(report, no_answer, now_);
+        if (!*controller) return;
+        (*controller)->on_report(report, recorded(**controller, report, no_answer), now_);
       });
     }
   }
@@ -486,6 +495,7 @@
 void SimulatedCluster::hand_out(const Outbox& outbox) {
   const std::uint64_t baton = leader_->cluster().baton;
   const bool old = seat_->newest == levels::kCompact;
+  record_outbox(*leader_, outbox);
   if (!outbox.ask_told.empty()) ask_told(baton, outbox.ask_told);
   if (outbox.read_claims && !old && !is_refused()) {
     later(delay(), [this, baton] {
@@ -598,6 +608,23 @@
   leader_->on_end_read(id, found, now_);
 }
 
+void SimulatedCluster::record(BehaviourRecorder::Kind kind, const Json& values) const {
+  if (recorder_ != nullptr) recorder_->record(kind, now_, values);
+}
+
+void SimulatedCluster::record_outbox(const Leader& leader, const Outbox& outbox) const {
+  if (recorder_ != nullptr) recorder_->record_outbox(now_, leader.cluster().baton, outbox);
+}
+
+Leader::Answerer SimulatedCluster::recorded(const Leader& leader, const workers::Report& report,
+                                            Leader::Answerer answer) const {
+  if (recorder_ == nullptr) return answer;
+  return [this, token = leader.cluster().baton, report, answer](const Json& body) {
+    recorder_->record_response(now_, token, report, body);
+    answer(body);
+  };
+}
+
 void SimulatedCluster::settled(std::uint64_t baton, const state::Committed& committed) {
   if (leader_ && leader_->cluster().baton == baton) leader_->on_settled(committed, now_);
 }
--- a/test/simulated_cluster.h
+++ b/test/simulated_cluster.h
@@ -22,6 +22,7 @@
 #include <string>
 #include <vector>
 
+#include "behaviour_recorder.h"
 #include "controller/leader.h"
 #include "leadership/holder.h"
 #include "model/state_service.h"
@@ -106,6 +107,9 @@
  public:
   explicit SimulatedCluster(std::uint64_t seed, const SimulatedWorld& world = {});
 
+  // From now on; the recorder outlives the cluster.
+  void record_to(BehaviourRecorder& recorder) { recorder_ = &recorder; }
+
   // As the door does it: nobody needs others before all nodes are new, and a job that needs a
   // cancelled one is cancelled from the first.
   void submit(jobs::Spec spec);
@@ -234,6 +238,14 @@
 
   void start(SimulatedMachine& machine, const std::pair<std::string, std::uint64_t>& key);
 
+  // ---- recording, if anybody records
+
+  void record(BehaviourRecorder::Kind kind, const Json& values) const;
+  void record_outbox(const Leader& leader, const Outbox& outbox) const;
+  // Passes the leader's response on, recorded.
+  Leader::Answerer recorded(const Leader& leader, const workers::Report& report,
+                            Leader::Answerer answer) const;
+
   // ---- rules
 
   void check_everything();
@@ -250,6 +262,7 @@
   // When the first was cancelled of it and of all that it needs, directly or through others.
   std::optional<double> falls(const std::string& id) const;
 
+  BehaviourRecorder* recorder_ = nullptr;
   std::mt19937_64 random_;
   bool calm_ = false;
   const SimulatedWorld world_;
--- a/test/simulated_machines.cpp
+++ b/test/simulated_machines.cpp
@@ -129,9 +129,7 @@
   while (chance(0.05)) {
     later(between(1, 30), [this, report] {
       Leader* to = former_ && chance(0.5) ? former_.get() : leader_.get();
-      if (to != nullptr)
-        to->on_report(
-            report, [](const Json&) {}, now_);
+      if (to != nullptr) to->on_report(report, recorded(*to, report, [](const Json&) {}), now_);
     });
   }
 }
@@ -171,18 +169,17 @@
   // A former leader that has not noticed yet still gets some reports.
   Leader* to = former_ && chance(0.5) ? former_.get() : leader_.get();
   if (to == nullptr) return;
-  const auto verdict = to->on_report(
-      report,
-      [this, name, life, report, sent_at](const Json& body) {
-        if (body.is_null() || chance(0.04)) return;
-        later(delay(), [this, name, life, report, sent_at, body] {
-          execute(name, life, report, sent_at, body);
-        });
-      },
-      now_);
+  const auto answer = [this, name, life, report, sent_at](const Json& body) {
+    if (body.is_null() || chance(0.04)) return;
+    later(delay(), [this, name, life, report, sent_at, body] {
+      execute(name, life, report, sent_at, body);
+    });
+  };
+  const auto verdict = to->on_report(report, recorded(*to, report, answer), now_);
   const bool accepted = verdict != controller::ReportVerdict::deposed;
+  if (!accepted) record(BehaviourRecorder::kDeposed, {to->cluster().baton, name, report.tick});
   if (to == former_.get()) {
-    if (accepted) former_->advance(now_);
+    if (accepted) record_outbox(*former_, former_->advance(now_));
     if (!accepted || chance(0.1)) former_.reset();
   }
 }
