--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -49,8 +49,8 @@
 settings::Platform platform() {
   settings::Platform p;
   p.teams = {{"red", 0, 0, 0, 0}};
-  p.objectives = {{settings::Objective::Kind::wait, "tally", 90, 1},
-                  {settings::Objective::Kind::finished, "render", 150, 1}};
+  p.objectives = {{settings::ServiceLevelObjective::Kind::wait, "tally", 90, 1},
+                  {settings::ServiceLevelObjective::Kind::finished, "render", 150, 1}};
   p.workers = {4, 24, 30, 5, 45};
   p.state_limits = {500, 60, 4, 8};
   p.state_next = p.state_limits;
@@ -74,7 +74,7 @@
     const bool large = i % kLargeOneIn == 0;
     cluster.describe_host(host, large ? "large" : "small", kZones[i % 3], i % 2 == 0);
     cluster.hosts[host]->phase = placement::HostPhase::up;
-    cluster.hosts[host]->heard_at = now;
+    cluster.hosts[host]->last_heartbeat_at = now;
     if (i >= busy) continue;
     if (large) {
       jobs::Header header = gang(number);
@@ -93,9 +93,9 @@
   }
   for (auto& job : cluster.jobs) {
     for (auto& [placed, attempt] : job->attempts) {
-      cluster.make_durable(*job, placed);
-      attempt.sent = true;
-      attempt.seen = placement::Seen::running;
+      cluster.mark_persisted(*job, placed);
+      attempt.start_sent = true;
+      attempt.observed = placement::ObservedState::running;
       attempt.running_since = now;
     }
   }
@@ -106,29 +106,29 @@
 
 World::World(const Size& size) {
   const settings::Platform p = platform();
-  placement::Cluster cluster(p, kBaton, jobs::Format::compact);
+  placement::Cluster cluster(p, kFencingToken, jobs::Format::compact);
   fill(cluster, size, 0);
   for (const auto& job : cluster.jobs) {
     snapshot.jobs.push_back({jobs::job_key(job->spec.id),
-                             jobs::encode_header({job->spec, false, 0, 0, job->stamp}),
-                             job->stamp});
-    for (std::size_t i = 0; i < job->chunks.size(); ++i) {
+                             jobs::encode_header({job->spec, false, 0, 0, job->revision}),
+                             job->revision});
+    for (std::size_t i = 0; i < job->task_ranges.size(); ++i) {
       const jobs::ChunkRecord record = cluster.chunk_record(*job, i);
       if (record.placements.empty()) continue;
       snapshot.tasks.push_back(
-          {cluster.chunk_key(*job, i), cluster.encode_chunk(record), job->stamp});
+          {cluster.chunk_key(*job, i), cluster.encode_chunk(record), job->revision});
     }
   }
-  snapshot.catalog = state::Entry{controller::kCatalogKey, cloud::encode_catalog(catalog()), 1};
+  snapshot.catalog = kv::Entry{controller::kCatalogKey, cloud::encode_catalog(catalog()), 1};
   snapshot.all_upgraded = true;
   for (const auto& host : cluster.hosts) {
     const std::string& type = cluster.types[host->type];
     const std::string& zone = cluster.zones[host->zone];
     listed.push_back({host->name, "", type, zone, host->spot, cloud::MachinePhase::running, 100});
-    workers::Report report{host->name, "", type, zone, host->spot, 1, 0, kBaton, {}, {}};
+    workers::Heartbeat report{host->name, "", type, zone, host->spot, 1, 0, kFencingToken, {}, {}};
     for (const auto& ref : host->attempts) {
-      report.pieces.push_back({cluster.jobs[ref.job]->spec.id, ref.task, 1,
-                               workers::PieceState::running, workers::Cause::none});
+      report.tasks.push_back({cluster.jobs[ref.job]->spec.id, ref.task, 1,
+                              workers::TaskState::running, workers::ExitReason::none});
     }
     reports.push_back(std::move(report));
   }
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -23,15 +23,15 @@
 // Places the work straight into a cluster.
 void fill(placement::Cluster& cluster, const Size& size, double now);
 
-// The same as records in the state service, and as workers and the cloud tell of it.
+// The same as records in the key-value store, and as workers and the cloud tell of it.
 struct World {
   explicit World(const Size& size);
 
-  controller::Snapshot snapshot;
-  std::vector<cloud::Listed> listed;
-  std::vector<workers::Report> reports;  // one a machine, without tick
+  controller::LeaderSnapshot snapshot;
+  std::vector<cloud::ListedMachine> listed;
+  std::vector<workers::Heartbeat> reports;  // one a machine, without tick
 
-  static constexpr std::uint64_t kBaton = 1000000;
+  static constexpr std::uint64_t kFencingToken = 1000000;
 };
 
 }  // namespace reachramp::bench
--- a/bench/lab_bench.cpp
+++ b/bench/lab_bench.cpp
@@ -1,5 +1,5 @@
-// How fast the lab's state service answers over loopback, so that it is known when it is what slows
-// a run down: reads and conditional writes by so many clients at once, one connection each.
+// How fast the lab's key-value store answers over loopback, so that it is known when it is what
+// slows a run down: reads and conditional writes by so many clients at once, one connection each.
 #include <benchmark/benchmark.h>
 #include <spdlog/spdlog.h>
 
--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -3,7 +3,7 @@
 #include <benchmark/benchmark.h>
 #include <spdlog/spdlog.h>
 
-#include "acquire/buyer.h"
+#include "acquire/autoscaler.h"
 #include "fleet.h"
 #include "placement/plan.h"
 
@@ -50,12 +50,12 @@
   Size size = size_of(state);
   size.filled = 0.9;  // some are idle and may go back
   fill(cluster, size, 0);
-  acquire::Buyer buyer{settings::Policy{}};
+  acquire::Autoscaler buyer{settings::Policy{}};
   buyer.note_prices(cluster, 0);
   for (auto _ : state) {
     buyer.note_exposure(cluster, 100);
-    benchmark::DoNotOptimize(buyer.surplus(cluster, 100));
-    benchmark::DoNotOptimize(buyer.wishes(cluster, 100));
+    benchmark::DoNotOptimize(buyer.scale_in_candidates(cluster, 100));
+    benchmark::DoNotOptimize(buyer.scale_out_requests(cluster, 100));
   }
   state.SetComplexityN(state.range(0));
 }
@@ -63,20 +63,20 @@
 // A leader that has heard all of its machines.
 struct Led {
   explicit Led(const Size& size)
-      : world(size), leader(platform(), {}, World::kBaton, world.snapshot, now) {
-    leader.on_list(world.listed, now, now);
+      : world(size), leader(platform(), {}, World::kFencingToken, world.snapshot, now) {
+    leader.on_host_list(world.listed, now, now);
     for (std::size_t i = 0; i < world.reports.size(); ++i) hear(i);
     leader.advance(now);
   }
   void hear(std::size_t machine) {
-    workers::Report& report = world.reports[machine];
-    ++report.tick;
-    leader.on_report(
+    workers::Heartbeat& report = world.reports[machine];
+    ++report.sequence_number;
+    leader.on_heartbeat(
         report, [](const wire::Json&) {}, now);
   }
 
   double now = 0;
-  std::uint64_t epoch = World::kBaton;
+  std::uint64_t store_revision = World::kFencingToken;
   World world;
   controller::Leader leader;
 };
@@ -94,11 +94,11 @@
       led.leader.on_jobs_current(led.now);
       led.hear(next++ % machines);
       const auto out = led.leader.advance(led.now);
-      if (!out.commit) continue;
-      state::Committed stored;
-      stored.outcome = state::Outcome::ok;
-      stored.epoch = ++led.epoch;
-      led.leader.on_settled(stored, led.now);
+      if (!out.transaction) continue;
+      kv::CommitResult stored;
+      stored.outcome = kv::Outcome::ok;
+      stored.store_revision = ++led.store_revision;
+      led.leader.on_transaction_completed(stored, led.now);
     }
   }
   state.SetComplexityN(state.range(0));
@@ -116,17 +116,17 @@
   state.SetComplexityN(state.range(0));
 }
 
-// From the records as read to every machine listed and heard under the new baton.
+// From the records as read to every machine listed and heard under the new fencing token.
 void takeover(benchmark::State& state) {
   Size size = size_of(state);
   size.array_tasks = static_cast<std::size_t>(state.range(2));
   World world(size);
   for (auto _ : state) {
-    controller::Leader leader(platform(), {}, World::kBaton, world.snapshot, 0);
-    leader.on_list(world.listed, 0, 0);
-    for (workers::Report& one : world.reports) {
-      ++one.tick;
-      leader.on_report(
+    controller::Leader leader(platform(), {}, World::kFencingToken, world.snapshot, 0);
+    leader.on_host_list(world.listed, 0, 0);
+    for (workers::Heartbeat& one : world.reports) {
+      ++one.sequence_number;
+      leader.on_heartbeat(
           one, [](const wire::Json&) {}, 1);
     }
     benchmark::DoNotOptimize(leader.advance(1));
--- a/lab/checker/placing_rules.cpp
+++ b/lab/checker/placing_rules.cpp
@@ -64,7 +64,7 @@
   if (spec.spread && in_zone > (spec.tasks + 1) / 2) {
     note("wrong_place", task, "with more than half of its job in " + place.zone, now);
   }
-  for (const std::string& need : spec.needs) {
+  for (const std::string& need : spec.depends_on) {
     const Field::Job* needed = field.find(need);
     if (needed == nullptr || field.done_of(need) < needed->spec.tasks) {
       note("too_early", task, "before " + need + " was done", now);
--- a/lab/cli/main.cpp
+++ b/lab/cli/main.cpp
@@ -12,17 +12,17 @@
 #include <filesystem>
 #include <iostream>
 
+#include "kv/steady_clock.h"
 #include "load/load.h"
 #include "loopback/balancer.h"
 #include "loopback/fleet_server.h"
 #include "loopback/nodes.h"
 #include "loopback/state_server.h"
-#include "state/clock.h"
 
 namespace {
 
 using namespace reachramp;
-using state::steady_now;
+using kv::steady_now;
 
 constexpr int kBroken = 1;  // a rule was broken, or a job has no end
 constexpr int kCannot = 2;  // wrong arguments, a port in use, no such program
--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -2,13 +2,13 @@
 
 #include <thread>
 
-#include "state/clock.h"
+#include "kv/steady_clock.h"
 
 namespace reachramp::lab {
 
 namespace {
 
-using state::steady_now;
+using kv::steady_now;
 using wire::Json;
 using namespace std::chrono_literals;
 
@@ -122,7 +122,7 @@
   std::exponential_distribution<double> gap(spec_.per_second);
   std::bernoulli_distribution withdrawn(spec_.withdrawn);
   {
-    wire::Crew crew(1s);
+    wire::ThreadPool crew(1s);
     const double begin = steady_now();
     std::size_t number = 0;
     for (double due = begin + gap(random_); due < begin + spec_.for_s && !stop;
--- a/lab/load/load.h
+++ b/lab/load/load.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "wire/crew.h"
 #include "wire/http.h"
+#include "wire/thread_pool.h"
 
 namespace reachramp::lab {
 
--- a/lab/loopback/balancer.cpp
+++ b/lab/loopback/balancer.cpp
@@ -20,8 +20,8 @@
     nodes_.push_back(std::make_unique<wire::Client>(address, kKept, wire::kBodyLimit));
   }
   door_ = std::make_unique<wire::Server>(
-      wire::Address{"127.0.0.1", port}, budget_, wire::Party::user,
-      [](const wire::Request&) { return wire::Party::user; },
+      wire::Address{"127.0.0.1", port}, budget_, wire::ClientKind::user,
+      [](const wire::Request&) { return wire::ClientKind::user; },
       [this](const wire::Request& request) { return serve(request); });
 }
 
--- a/lab/loopback/balancer.h
+++ b/lab/loopback/balancer.h
@@ -26,7 +26,7 @@
   RunTime run_time_;
   std::vector<std::unique_ptr<wire::Client>> nodes_;
   std::atomic<std::size_t> next_{0};
-  wire::Budget budget_;
+  wire::ConnectionLimiter budget_;
   std::unique_ptr<wire::Server> door_;
 };
 
--- a/lab/loopback/fleet_server.cpp
+++ b/lab/loopback/fleet_server.cpp
@@ -4,13 +4,13 @@
 
 #include <algorithm>
 
-#include "state/clock.h"
+#include "kv/steady_clock.h"
 
 namespace reachramp::lab {
 
 namespace {
 
-using state::steady_now;
+using kv::steady_now;
 using namespace std::chrono_literals;
 
 constexpr std::size_t kMostConnections = 4000;
@@ -20,7 +20,7 @@
 constexpr auto kThreadsStay = 2s;
 
 wire::Server::Sender anybody() {
-  return [](const wire::Request&) { return wire::Party::user; };
+  return [](const wire::Request&) { return wire::ClientKind::user; };
 }
 
 std::chrono::duration<double> until(double due, double now) {
@@ -47,7 +47,7 @@
       rules_(spec_.teams),
       budget_(kMostConnections),
       door_(std::make_unique<wire::Server>(
-          wire::Address{"127.0.0.1", cloud_port}, budget_, wire::Party::user, anybody(),
+          wire::Address{"127.0.0.1", cloud_port}, budget_, wire::ClientKind::user, anybody(),
           [this](const wire::Request& request) { return serve_cloud(request); })),
       crew_(kThreadsStay),
       clock_([this] { keep_time(); }) {}
@@ -157,7 +157,7 @@
   member->place = {name, rented.type, rented.zone, rented.spot};
   if (spec_.worker_port != 0) {
     member->door = std::make_unique<wire::Server>(
-        wire::parse_address(rented.address), budget_, wire::Party::user, anybody(),
+        wire::parse_address(rented.address), budget_, wire::ClientKind::user, anybody(),
         [this, raw = member.get()](const wire::Request& request) {
           return serve_worker(*raw, request);
         });
--- a/lab/loopback/fleet_server.h
+++ b/lab/loopback/fleet_server.h
@@ -13,8 +13,8 @@
 #include "model/cloud.h"
 #include "model/field.h"
 #include "model/worker.h"
-#include "wire/crew.h"
 #include "wire/http.h"
+#include "wire/thread_pool.h"
 
 namespace reachramp::lab {
 
@@ -78,9 +78,9 @@
   std::map<std::string, Shared> members_;
   std::vector<Shared> left_;  // whose doors are still to be closed
   bool stopping_ = false;
-  wire::Budget budget_;
+  wire::ConnectionLimiter budget_;
   std::unique_ptr<wire::Server> door_;
-  wire::Crew crew_;
+  wire::ThreadPool crew_;
   std::thread clock_;
 };
 
--- a/lab/loopback/state_server.cpp
+++ b/lab/loopback/state_server.cpp
@@ -2,13 +2,13 @@
 
 #include <algorithm>
 
-#include "state/clock.h"
+#include "kv/steady_clock.h"
 
 namespace reachramp::lab {
 
 namespace {
 
-using state::steady_now;
+using kv::steady_now;
 
 constexpr double kLookAtLeast_s = 1;
 
@@ -31,8 +31,8 @@
 
 void StateServer::open(const std::string& node, std::uint16_t port) {
   doors_.push_back(std::make_unique<wire::Server>(
-      wire::Address{"127.0.0.1", port}, budget_, wire::Party::user,
-      [](const wire::Request&) { return wire::Party::user; },
+      wire::Address{"127.0.0.1", port}, budget_, wire::ClientKind::user,
+      [](const wire::Request&) { return wire::ClientKind::user; },
       [this, node](const wire::Request& request) { return serve(node, request); }));
 }
 
--- a/lab/loopback/state_server.h
+++ b/lab/loopback/state_server.h
@@ -1,5 +1,5 @@
-// The state service's model behind loopback ports: one door for each node, so that troubles can be
-// one node's own.
+// The key-value store's model behind loopback ports: one door for each node, so that troubles can
+// be one node's own.
 #pragma once
 
 #include <functional>
@@ -54,7 +54,7 @@
   std::function<bool(const wire::Request&)> refuse_if_;
   std::map<std::uint64_t, std::promise<wire::Reply>> watches_;
   bool stopping_ = false;
-  wire::Budget budget_{kMostConnections};
+  wire::ConnectionLimiter budget_{kMostConnections};
   std::vector<std::unique_ptr<wire::Server>> doors_;
   std::thread clock_;
 };
--- a/lab/model/cloud.h
+++ b/lab/model/cloud.h
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "cloud/client.h"
+#include "kv/token_bucket.h"
 #include "settings/settings.h"
-#include "state/bucket.h"
 
 namespace reachramp::lab {
 
@@ -92,7 +92,7 @@
   bool chance(double share) { return between(0, 1) < share; }
 
   CloudSpec spec_;
-  state::Bucket requests_;
+  kv::TokenBucket requests_;
   std::mt19937_64 random_;
   double phase_;
   std::map<std::string, Machine> machines_;  // the names' order is that of creation
--- a/lab/model/cloud_test.cpp
+++ b/lab/model/cloud_test.cpp
@@ -29,15 +29,15 @@
 wire::Reply hire(Cloud& model, const std::string& name, int count, const PoolName& pool,
                  double now) {
   const auto& [type, zone, spot] = pool;
-  return post(model, "/hosts", cloud::encode_hire({name, type, zone, spot, count}), now);
+  return post(model, "/hosts", cloud::encode_scale_out({name, type, zone, spot, count}), now);
 }
 
 std::vector<std::string> names(const wire::Reply& reply) {
   return reply.body.at("hosts").get<std::vector<std::string>>();
 }
 
-std::vector<cloud::Listed> list(Cloud& model, double now, int limit = 500) {
-  std::vector<cloud::Listed> found;
+std::vector<cloud::ListedMachine> list(Cloud& model, double now, int limit = 500) {
+  std::vector<cloud::ListedMachine> found;
   for (bool more = true; more;) {
     const std::string after = found.empty() ? "" : found.back().name;
     const wire::Reply reply =
--- a/lab/model/state_service.cpp
+++ b/lab/model/state_service.cpp
@@ -7,8 +7,8 @@
 
 namespace reachramp::lab {
 
-using state::Json;
-using state::Outcome;
+using kv::Json;
+using kv::Outcome;
 using wire::Reply;
 using wire::Request;
 
@@ -49,18 +49,18 @@
   return list;
 }
 
-state::Transaction decode(const Json& body) {
-  state::Transaction transaction;
+kv::Transaction decode(const Json& body) {
+  kv::Transaction transaction;
   for (const Json& item : items_of(body, "if")) {
-    transaction.conditions.emplace_back(key_of(item, "k"), wire::count(item, "stamp"));
+    transaction.preconditions.emplace_back(key_of(item, "k"), wire::count(item, "stamp"));
   }
   for (const Json& item : items_of(body, "then")) {
     if (wire::find(item, "remove") != nullptr) {
       transaction.writes.push_back({key_of(item, "remove"), std::nullopt, std::nullopt});
       continue;
     }
-    state::Write write{key_of(item, "write"), wire::need(item, "value"), std::nullopt};
-    if (wire::find(item, "permit") != nullptr) write.permit = wire::count(item, "permit");
+    kv::Write write{key_of(item, "write"), wire::need(item, "value"), std::nullopt};
+    if (wire::find(item, "permit") != nullptr) write.lease_id = wire::count(item, "permit");
     transaction.writes.push_back(std::move(write));
   }
   return transaction;
@@ -75,9 +75,9 @@
       random_(seed) {}
 
 void StateService::limit(const settings::StateLimits& limits) {
-  if (limits.rps != limits_.rps) requests_ = state::Bucket(limits.rps, limits.rps);
+  if (limits.rps != limits_.rps) requests_ = kv::TokenBucket(limits.rps, limits.rps);
   if (limits.write_rps != limits_.write_rps) {
-    writes_ = state::Bucket(limits.write_rps, limits.write_rps);
+    writes_ = kv::TokenBucket(limits.write_rps, limits.write_rps);
   }
   limits_ = limits;
 }
@@ -85,25 +85,26 @@
 void StateService::go_on(double now) {
   if (!stopped_at_) return;
   stopped_at_.reset();
-  for (auto& [id, permit] : permits_) permit.ends_at = end_of(permit, now);
+  for (auto& [id, lease_id] : leases_) lease_id.ends_at = end_of(lease_id, now);
 }
 
 void StateService::refuse(const std::string& node, bool yes) { refused_[node] = yes; }
 
 void StateService::restore(Backup backup) {
   items_ = std::move(backup.items);
-  epoch_ = backup.epoch;
+  store_revision_ = backup.store_revision;
   log_ = std::move(backup.log);
-  forgotten_ = log_.empty() ? epoch_ : log_.front().stamp - 1;
+  forgotten_ = log_.empty() ? store_revision_ : log_.front().revision - 1;
   // Permits are of the service's own memory: those that hold nothing any more just run out.
   for (auto& [key, item] : items_) {
-    if (item.permit != 0 && !permits_.contains(item.permit)) item.permit = 0;
+    if (item.lease_id != 0 && !leases_.contains(item.lease_id)) item.lease_id = 0;
   }
 }
 
 // Late by up to a tenth of a second, never early.
-double StateService::end_of(const Permit& permit, double now) {
-  return now + permit.life_s + std::uniform_real_distribution<double>(0, kLatestExpiry_s)(random_);
+double StateService::end_of(const Permit& lease_id, double now) {
+  return now + lease_id.life_s +
+         std::uniform_real_distribution<double>(0, kLatestExpiry_s)(random_);
 }
 
 std::variant<Reply, StateService::Watching> StateService::ask(const std::string& from,
@@ -120,7 +121,7 @@
     if (get && request.path == "/keys") return read_many(request);
     if (get && request.path == "/follow") return follow(request, now);
     if (request.method == "POST" && request.path == "/multi") return multi(request, now);
-    if (!get && (request.path + "/").starts_with("/holds/")) return permits(request, now);
+    if (!get && (request.path + "/").starts_with("/holds/")) return leases(request, now);
   } catch (const wire::BadMessage& bad) {
     return malformed(bad.what());
   }
@@ -130,9 +131,9 @@
 Reply StateService::read(const std::string& key) const {
   if (!is_key(key)) return malformed("not a key");
   const auto at = items_.find(key);
-  if (at == items_.end()) return {404, {{"epoch", epoch_}}};
-  Reply reply{200, {{"k", key}, {"value", at->second.value}, {"stamp", at->second.stamp}}};
-  if (at->second.permit != 0) reply.body["permit"] = at->second.permit;
+  if (at == items_.end()) return {404, {{"epoch", store_revision_}}};
+  Reply reply{200, {{"k", key}, {"value", at->second.value}, {"stamp", at->second.revision}}};
+  if (at->second.lease_id != 0) reply.body["permit"] = at->second.lease_id;
   return reply;
 }
 
@@ -148,124 +149,126 @@
   std::size_t bytes = 0;
   const auto more = [&] { return at != items_.end() && at->first.starts_with(prefix); };
   for (; more() && entries.size() < most; ++at) {
-    Json entry{{"k", at->first}, {"value", at->second.value}, {"stamp", at->second.stamp}};
+    Json entry{{"k", at->first}, {"value", at->second.value}, {"stamp", at->second.revision}};
     bytes += wire::json_size(entry);
     if (bytes > kMostListBytes && !entries.empty()) break;
     entries.push_back(std::move(entry));
   }
-  return {200, {{"entries", std::move(entries)}, {"truncated", more()}, {"epoch", epoch_}}};
+  return {200,
+          {{"entries", std::move(entries)}, {"truncated", more()}, {"epoch", store_revision_}}};
 }
 
 Reply StateService::multi(const Request& request, double now) {
   const Json body = wire::decode_map(request.body);
   if (wire::json_size(body) > kMostTransactionBytes) return malformed("too large");
-  const state::Transaction transaction = decode(body);
+  const kv::Transaction transaction = decode(body);
   if (too_large(transaction)) return malformed("too large");
   // Transactions whose conditions fail are counted as well.
   const auto writes = static_cast<double>(transaction.writes.size());
   if (writes > 0 && writes_.take(writes, now) > 0) return {429, {{"error", "too many changes"}}};
-  const state::Committed committed = commit(transaction);
+  const kv::CommitResult committed = commit(transaction);
   switch (committed.outcome) {
     case Outcome::ok:
-      return {200, {{"epoch", committed.epoch}}};
+      return {200, {{"epoch", committed.store_revision}}};
     case Outcome::conflict:
-      return {409, {{"failed", committed.failed}, {"epoch", committed.epoch}}};
+      return {409, {{"failed", committed.failed_keys}, {"epoch", committed.store_revision}}};
     default:
       return malformed("no such lease");
   }
 }
 
-bool StateService::too_large(const state::Transaction& transaction) const {
+bool StateService::too_large(const kv::Transaction& transaction) const {
   const auto ops = static_cast<std::size_t>(limits_.txn_ops);
   return transaction.writes.size() > ops ||
-         transaction.conditions.size() > kConditionsPerOp * ops ||
+         transaction.preconditions.size() > kConditionsPerOp * ops ||
          std::any_of(transaction.writes.begin(), transaction.writes.end(), [&](const auto& write) {
-           return write.value && !state::fits(*write.value, limits_.value_kb);
+           return write.value && !kv::fits(*write.value, limits_.value_kb);
          });
 }
 
-state::Committed StateService::commit(const state::Transaction& transaction) {
-  state::Committed result;
-  result.epoch = epoch_;
-  result.outcome = Outcome::bad;
+kv::CommitResult StateService::commit(const kv::Transaction& transaction) {
+  kv::CommitResult result;
+  result.store_revision = store_revision_;
+  result.outcome = Outcome::malformed;
   if (too_large(transaction)) return result;
-  for (const state::Write& write : transaction.writes) {
-    if (write.permit && !permits_.contains(*write.permit)) {
-      result.outcome = Outcome::no_permit;
+  for (const kv::Write& write : transaction.writes) {
+    if (write.lease_id && !leases_.contains(*write.lease_id)) {
+      result.outcome = Outcome::unknown_lease;
       return result;
     }
   }
-  for (const auto& [key, stamp] : transaction.conditions) {
+  for (const auto& [key, revision] : transaction.preconditions) {
     const auto at = items_.find(key);
-    if ((at == items_.end() ? 0 : at->second.stamp) != stamp) result.failed.push_back(key);
+    if ((at == items_.end() ? 0 : at->second.revision) != revision)
+      result.failed_keys.push_back(key);
   }
-  if (!result.failed.empty()) {
+  if (!result.failed_keys.empty()) {
     result.outcome = Outcome::conflict;
     return result;
   }
-  if (!transaction.writes.empty()) ++epoch_;
-  for (const state::Write& write : transaction.writes) {
+  if (!transaction.writes.empty()) ++store_revision_;
+  for (const kv::Write& write : transaction.writes) {
     if (write.value) {
-      items_[write.key] = {*write.value, epoch_, write.permit.value_or(0)};
-      remember({write.key, write.value, epoch_});
+      items_[write.key] = {*write.value, store_revision_, write.lease_id.value_or(0)};
+      remember({write.key, write.value, store_revision_});
     } else {
       erase(write.key);
     }
   }
   result.outcome = Outcome::ok;
-  result.epoch = epoch_;
+  result.store_revision = store_revision_;
   return result;
 }
 
 void StateService::erase(const std::string& key) {
-  if (items_.erase(key) > 0) remember({key, std::nullopt, epoch_});
+  if (items_.erase(key) > 0) remember({key, std::nullopt, store_revision_});
 }
 
-void StateService::remember(state::Change change) {
+void StateService::remember(kv::KeyChange change) {
   log_.push_back(std::move(change));
   if (log_.size() <= kLogLength) return;
-  forgotten_ = log_.front().stamp;
+  forgotten_ = log_.front().revision;
   log_.pop_front();
 }
 
-std::vector<state::Entry> StateService::list(const std::string& prefix) const {
-  std::vector<state::Entry> found;
+std::vector<kv::Entry> StateService::list(const std::string& prefix) const {
+  std::vector<kv::Entry> found;
   for (auto at = items_.lower_bound(prefix); at != items_.end() && at->first.starts_with(prefix);
        ++at) {
-    found.push_back({at->first, at->second.value, at->second.stamp});
+    found.push_back({at->first, at->second.value, at->second.revision});
   }
   return found;
 }
 
-std::optional<std::vector<state::Change>> StateService::changes(const std::string& prefix,
+std::optional<std::vector<kv::KeyChange>> StateService::changes(const std::string& prefix,
                                                                 std::uint64_t after) const {
   if (after < forgotten_) return std::nullopt;
-  std::vector<state::Change> found;
-  const auto from = std::partition_point(log_.begin(), log_.end(),
-                                         [&](const auto& change) { return change.stamp <= after; });
+  std::vector<kv::KeyChange> found;
+  const auto from = std::partition_point(
+      log_.begin(), log_.end(), [&](const auto& change) { return change.revision <= after; });
   std::copy_if(from, log_.end(), std::back_inserter(found),
                [&](const auto& change) { return change.key.starts_with(prefix); });
   return found;
 }
 
 std::uint64_t StateService::hold(double life_s, double now) {
-  Permit permit{life_s, 0};
-  permit.ends_at = end_of(permit, now);
-  permits_[++last_permit_] = permit;
-  return last_permit_;
+  Permit lease_id{life_s, 0};
+  lease_id.ends_at = end_of(lease_id, now);
+  leases_[++last_lease_id_] = lease_id;
+  return last_lease_id_;
 }
 
-void StateService::release(std::uint64_t permit) {
-  if (permits_.erase(permit) == 0) return;
+void StateService::release(std::uint64_t lease_id) {
+  if (leases_.erase(lease_id) == 0) return;
   std::vector<std::string> attached;
   for (const auto& [key, item] : items_) {
-    if (item.permit == permit) attached.push_back(key);
+    if (item.lease_id == lease_id) attached.push_back(key);
   }
-  if (!attached.empty()) ++epoch_;
+  if (!attached.empty()) ++store_revision_;
   for (const std::string& key : attached) erase(key);
 }
 
-Reply StateService::permits(const Request& request, double now) {
+Reply StateService::leases(const Request& request, double now) {
   if (request.path == "/holds") {
     if (request.method != "POST") return malformed("no such request");
     const std::uint64_t life = wire::count(wire::decode_map(request.body), "life_ms");
@@ -277,9 +280,9 @@
   const bool renews = request.method == "POST" && id.ends_with(renew);
   if (renews) id.resize(id.size() - renew.size());
   if (!renews && request.method != "DELETE") return malformed("no such request");
-  const auto at = permits_.find(number(id, "permit"));
+  const auto at = leases_.find(number(id, "permit"));
   // One that is over is gone, also if its keys are not removed yet.
-  if (at == permits_.end()) return {404, Json::object()};
+  if (at == leases_.end()) return {404, Json::object()};
   if (renews) {
     at->second.ends_at = end_of(at->second, now);
   } else {
@@ -296,7 +299,7 @@
                     number_or(parameter(request.query, "after"), "after", 0),
                     now + static_cast<double>(hold) / 1000};
   const auto found = changes(watch.prefix, watch.after);
-  if (!found) return Reply{410, {{"epoch", epoch_}}};
+  if (!found) return Reply{410, {{"epoch", store_revision_}}};
   if (!found->empty() || hold == 0) return watched(watch);
   watches_[++last_watch_] = watch;
   return Watching{last_watch_};
@@ -304,25 +307,25 @@
 
 Reply StateService::watched(const Watch& watch) const {
   const auto found = changes(watch.prefix, watch.after);
-  if (!found) return {410, {{"epoch", epoch_}}};
+  if (!found) return {410, {{"epoch", store_revision_}}};
   Json log = Json::array();
-  for (const state::Change& change : *found) {
+  for (const kv::KeyChange& change : *found) {
     if (change.value) {
-      log.push_back({{"write", change.key}, {"value", *change.value}, {"stamp", change.stamp}});
+      log.push_back({{"write", change.key}, {"value", *change.value}, {"stamp", change.revision}});
     } else {
-      log.push_back({{"remove", change.key}, {"stamp", change.stamp}});
+      log.push_back({{"remove", change.key}, {"stamp", change.revision}});
     }
   }
-  return {200, {{"epoch", epoch_}, {"log", std::move(log)}}};
+  return {200, {{"epoch", store_revision_}, {"log", std::move(log)}}};
 }
 
-// During an outage permits do not end, and open watches stay open.
+// During an outage leases do not end, and open watches stay open.
 std::vector<StateService::Told> StateService::pass(double now) {
   std::vector<Told> told;
   if (stopped_at_) return told;
   std::vector<std::uint64_t> over;
-  for (const auto& [id, permit] : permits_) {
-    if (permit.ends_at <= now) over.push_back(id);
+  for (const auto& [id, lease_id] : leases_) {
+    if (lease_id.ends_at <= now) over.push_back(id);
   }
   for (const std::uint64_t id : over) release(id);
   for (auto at = watches_.begin(); at != watches_.end();) {
@@ -341,7 +344,7 @@
 double StateService::due() const {
   double due = std::numeric_limits<double>::infinity();
   if (stopped_at_) return due;
-  for (const auto& [id, permit] : permits_) due = std::min(due, permit.ends_at);
+  for (const auto& [id, lease_id] : leases_) due = std::min(due, lease_id.ends_at);
   for (const auto& [id, watch] : watches_) due = std::min(due, watch.until);
   return due;
 }
--- a/lab/model/state_service.h
+++ b/lab/model/state_service.h
@@ -1,5 +1,5 @@
-// The state service as a model: requests and the time in, replies out. It reads no clock and opens
-// no socket. PROTOCOL, "Controller nodes -> state service", is its specification;
+// The key-value store as a model: requests and the time in, replies out. It reads no clock and
+// opens no socket. PROTOCOL, "Controller nodes -> key-value store", is its specification;
 // docs/design/lab.md maps the paragraphs to what is here.
 #pragma once
 
@@ -11,17 +11,17 @@
 #include <variant>
 #include <vector>
 
+#include "kv/client.h"
 #include "settings/settings.h"
-#include "state/client.h"
 
 namespace reachramp::lab {
 
 class StateService {
  public:
   struct Item {
-    state::Json value;
-    std::uint64_t stamp = 0;
-    std::uint64_t permit = 0;  // 0: none
+    kv::Json value;
+    std::uint64_t revision = 0;
+    std::uint64_t lease_id = 0;  // 0: none
   };
   // A watch that has nothing to tell yet; its reply comes out of pass().
   struct Watching {
@@ -34,15 +34,15 @@
   // What the service holds, to be put back later: data that are older than what was answered.
   struct Backup {
     std::map<std::string, Item> items;
-    std::uint64_t epoch = 0;
-    std::deque<state::Change> log;
+    std::uint64_t store_revision = 0;
+    std::deque<kv::KeyChange> log;
   };
 
   StateService(const settings::StateLimits& limits, std::uint64_t seed);
 
   std::variant<wire::Reply, Watching> ask(const std::string& from, const wire::Request& request,
                                           double now);
-  // Lets time pass: permits end, watches are answered. All replies that are due.
+  // Lets time pass: leases end, watches are answered. All replies that are due.
   std::vector<Told> pass(double now);
   // By when time has to pass again; the infinite future if nothing waits.
   double due() const;
@@ -52,19 +52,19 @@
   void stop(double now) { stopped_at_ = now; }
   void go_on(double now);
   void refuse(const std::string& node, bool yes);
-  Backup backup() const { return {items_, epoch_, log_}; }
+  Backup backup() const { return {items_, store_revision_, log_}; }
   void restore(Backup backup);
 
   // The same without HTTP, rates and outages, for what drives decisions directly.
-  state::Committed commit(const state::Transaction& transaction);
-  std::vector<state::Entry> list(const std::string& prefix) const;
+  kv::CommitResult commit(const kv::Transaction& transaction);
+  std::vector<kv::Entry> list(const std::string& prefix) const;
   // Nothing if the position is too old.
-  std::optional<std::vector<state::Change>> changes(const std::string& prefix,
+  std::optional<std::vector<kv::KeyChange>> changes(const std::string& prefix,
                                                     std::uint64_t after) const;
   std::uint64_t hold(double life_s, double now);
-  void release(std::uint64_t permit);
+  void release(std::uint64_t lease_id);
   const std::map<std::string, Item>& items() const { return items_; }
-  std::uint64_t epoch() const { return epoch_; }
+  std::uint64_t store_revision() const { return store_revision_; }
   std::uint64_t asked() const { return asked_; }  // requests so far
 
  private:
@@ -81,25 +81,25 @@
   wire::Reply read(const std::string& key) const;
   wire::Reply read_many(const wire::Request& request) const;
   wire::Reply multi(const wire::Request& request, double now);
-  wire::Reply permits(const wire::Request& request, double now);
+  wire::Reply leases(const wire::Request& request, double now);
   std::variant<wire::Reply, Watching> follow(const wire::Request& request, double now);
   wire::Reply watched(const Watch& watch) const;
-  bool too_large(const state::Transaction& transaction) const;
-  void remember(state::Change change);
+  bool too_large(const kv::Transaction& transaction) const;
+  void remember(kv::KeyChange change);
   void erase(const std::string& key);
-  double end_of(const Permit& permit, double now);
+  double end_of(const Permit& lease_id, double now);
 
   settings::StateLimits limits_;
-  state::Bucket requests_, writes_;
+  kv::TokenBucket requests_, writes_;
   std::mt19937_64 random_;
   std::map<std::string, Item> items_;
-  std::deque<state::Change> log_;
-  std::uint64_t epoch_ = 0;
+  std::deque<kv::KeyChange> log_;
+  std::uint64_t store_revision_ = 0;
   std::uint64_t asked_ = 0;
   std::uint64_t forgotten_ = 0;  // changes up to here are no longer in the log
-  std::map<std::uint64_t, Permit> permits_;
+  std::map<std::uint64_t, Permit> leases_;
   std::map<std::uint64_t, Watch> watches_;
-  std::uint64_t last_permit_ = 0;
+  std::uint64_t last_lease_id_ = 0;
   std::uint64_t last_watch_ = 0;
   std::map<std::string, bool> refused_;
   std::optional<double> stopped_at_;
--- a/lab/model/state_service_test.cpp
+++ b/lab/model/state_service_test.cpp
@@ -7,7 +7,7 @@
 namespace reachramp::lab {
 namespace {
 
-using state::Outcome;
+using kv::Outcome;
 using wire::Json;
 
 constexpr settings::StateLimits kWide{1e6, 1e6, 8, 8};
@@ -25,10 +25,9 @@
   return answer(std::get<wire::Reply>(service.ask("node", what, now)));
 }
 
-state::Committed commit(StateService& service, const state::Transaction& transaction,
-                        double now = 0) {
-  return state::decode_committed(
-      ask(service, request("POST", "/multi", "", state::encode_transaction(transaction)), now));
+kv::CommitResult commit(StateService& service, const kv::Transaction& transaction, double now = 0) {
+  return kv::decode_committed(
+      ask(service, request("POST", "/multi", "", kv::encode_transaction(transaction)), now));
 }
 
 std::uint64_t hold(StateService& service, int life_ms, double now) {
@@ -36,16 +35,16 @@
       ask(service, request("POST", "/holds", "", Json{{"life_ms", life_ms}}), now).body, "permit");
 }
 
-state::Changes follow(StateService& service, std::uint64_t after, const std::string& prefix = "") {
-  return state::decode_changes(ask(
+kv::WatchResult follow(StateService& service, std::uint64_t after, const std::string& prefix = "") {
+  return kv::decode_changes(ask(
       service, request("GET", "/follow", "starts=" + prefix + "&after=" + std::to_string(after))));
 }
 
 std::string key(int i) { return "k/" + std::to_string(i); }
 
-state::Transaction put(const std::string& key, int value, std::uint64_t stamp,
-                       std::optional<std::uint64_t> permit = std::nullopt) {
-  return {{{key, stamp}}, {{key, Json{{"v", value}}, permit}}};
+kv::Transaction put(const std::string& key, int value, std::uint64_t revision,
+                    std::optional<std::uint64_t> lease_id = std::nullopt) {
+  return {{{key, revision}}, {{key, Json{{"v", value}}, lease_id}}};
 }
 
 // Whatever is asked in whatever order: a transaction applies whole or not at all, exactly if its
@@ -55,15 +54,15 @@
   StateService service(kWide, 1);
   std::map<std::string, std::pair<int, std::uint64_t>> expected;
   std::map<std::string, std::uint64_t> followed;
-  std::uint64_t position = 0, epoch = 0;
+  std::uint64_t position = 0, store_revision = 0;
   for (int step = 0; step < 60; ++step) {
-    state::Transaction transaction;
+    kv::Transaction transaction;
     bool holds = true;
     for (int i = 0, many = *rc::gen::inRange(0, 3); i < many; ++i) {
       const std::string name = key(*rc::gen::inRange(0, 5));
-      const std::uint64_t stamp = expected.contains(name) ? expected[name].second : 0;
+      const std::uint64_t revision = expected.contains(name) ? expected[name].second : 0;
       const bool right = *rc::gen::inRange(0, 4) > 0;
-      transaction.conditions.emplace_back(name, right ? stamp : stamp + 7);
+      transaction.preconditions.emplace_back(name, right ? revision : revision + 7);
       holds = holds && right;
     }
     std::map<std::string, std::optional<int>> writes;
@@ -75,48 +74,48 @@
       if (writes[name]) value = Json{{"v", step}};
       transaction.writes.push_back({name, value, std::nullopt});
     }
-    const state::Committed committed = commit(service, transaction);
+    const kv::CommitResult committed = commit(service, transaction);
     RC_ASSERT(committed.outcome == (holds ? Outcome::ok : Outcome::conflict));
     if (holds) {
-      RC_ASSERT(committed.epoch == epoch + (writes.empty() ? 0 : 1));
-      epoch = committed.epoch;
+      RC_ASSERT(committed.store_revision == store_revision + (writes.empty() ? 0 : 1));
+      store_revision = committed.store_revision;
       for (const auto& [name, value] : writes) {
         if (value) {
-          expected[name] = {*value, epoch};
+          expected[name] = {*value, store_revision};
         } else {
           expected.erase(name);
         }
       }
     }
     if (*rc::gen::inRange(0, 3) > 0) continue;
-    const state::Changes changes = follow(service, position);
-    RC_ASSERT(changes.outcome == Outcome::ok && changes.epoch == epoch);
+    const kv::WatchResult changes = follow(service, position);
+    RC_ASSERT(changes.outcome == Outcome::ok && changes.store_revision == store_revision);
     for (const auto& change : changes.changes) {
-      RC_ASSERT(change.stamp > position);
-      change.value ? followed[change.key] = change.stamp : followed.erase(change.key);
+      RC_ASSERT(change.revision > position);
+      change.value ? followed[change.key] = change.revision : followed.erase(change.key);
     }
-    position = changes.epoch;
+    position = changes.store_revision;
     RC_ASSERT(followed.size() == expected.size());
     for (const auto& [name, item] : expected) {
       RC_ASSERT(followed.at(name) == item.second);
-      const auto found = state::decode_found(ask(service, request("GET", "/keys/" + name)));
-      RC_ASSERT(found.entry.stamp == item.second && found.entry.value.at("v") == item.first);
+      const auto found = kv::decode_found(ask(service, request("GET", "/keys/" + name)));
+      RC_ASSERT(found.entry.revision == item.second && found.entry.value.at("v") == item.first);
     }
   }
 }
 
 // Late by up to 100 ms, never early; renewed in time they go on; with them go the keys that are
 // attached, and only those.
-RC_GTEST_PROP(StateServiceModel, PermitsEndLateAndNeverEarly, ()) {
+RC_GTEST_PROP(StateServiceModel, LeasesEndLateAndNeverEarly, ()) {
   StateService service(kWide, *rc::gen::arbitrary<std::uint64_t>());
   const int life_ms = *rc::gen::inRange(100, 5000);
   const double life = life_ms / 1000.0;
-  const std::uint64_t permit = hold(service, life_ms, 0);
-  RC_ASSERT(commit(service, put("leader", 1, 0, permit)).outcome == Outcome::ok);
-  RC_ASSERT(commit(service, put("other", 1, 0, permit)).outcome == Outcome::ok);
+  const std::uint64_t lease_id = hold(service, life_ms, 0);
+  RC_ASSERT(commit(service, put("leader", 1, 0, lease_id)).outcome == Outcome::ok);
+  RC_ASSERT(commit(service, put("other", 1, 0, lease_id)).outcome == Outcome::ok);
   RC_ASSERT(commit(service, put("other", 2, 2)).outcome == Outcome::ok);  // without: detached
   const double renewed_at = life * 0.9;
-  const std::string renew = "/holds/" + std::to_string(permit) + "/renew";
+  const std::string renew = "/holds/" + std::to_string(lease_id) + "/renew";
   RC_ASSERT(ask(service, request("POST", renew, "", Json::object()), renewed_at).status == 200);
   service.pass(renewed_at + life - 0.001);
   RC_ASSERT(service.items().contains("leader"));
@@ -124,14 +123,14 @@
   RC_ASSERT(!service.items().contains("leader"));
   RC_ASSERT(service.items().contains("other"));
   RC_ASSERT(ask(service, request("POST", renew, "", Json::object()), 99).status == 404);
-  RC_ASSERT(commit(service, put("leader", 1, 0, permit), 99).outcome == Outcome::no_permit);
-  RC_ASSERT(service.changes("lead", 0)->back().stamp == service.epoch());
+  RC_ASSERT(commit(service, put("leader", 1, 0, lease_id), 99).outcome == Outcome::unknown_lease);
+  RC_ASSERT(service.changes("lead", 0)->back().revision == service.store_revision());
 }
 
-TEST(StateServiceModel, AnOutageRefusesAllAndGivesPermitsTheirFullTime) {
+TEST(StateServiceModel, AnOutageRefusesAllAndGivesLeasesTheirFullTime) {
   StateService service(kWide, 1);
-  const std::uint64_t permit = hold(service, 1000, 0);
-  commit(service, put("leader", 1, 0, permit));
+  const std::uint64_t lease_id = hold(service, 1000, 0);
+  commit(service, put("leader", 1, 0, lease_id));
   auto watching =
       service.ask("node", request("GET", "/follow", "starts=x&after=1&hold_ms=2000"), 0);
   ASSERT_TRUE(std::holds_alternative<StateService::Watching>(watching));
@@ -159,7 +158,7 @@
   StateService service(kWide, 1);
   for (int i = 0; i < 10050; ++i) commit(service, put("k", i, static_cast<std::uint64_t>(i)));
   EXPECT_EQ(follow(service, 49).outcome, Outcome::absent);
-  const state::Changes kept = follow(service, 50);
+  const kv::WatchResult kept = follow(service, 50);
   ASSERT_EQ(kept.outcome, Outcome::ok);
   EXPECT_EQ(kept.changes.size(), 10000u);
 }
@@ -186,7 +185,7 @@
   std::size_t found = 0;
   std::string after;
   for (bool more = true; more;) {
-    const state::Page page = state::decode_page(
+    const kv::ListResult page = kv::decode_page(
         ask(service, request("GET", "/keys", "starts=c/&after=" + after + "&limit=1000")));
     ASSERT_EQ(page.outcome, Outcome::ok);
     EXPECT_LE(page.entries.size(), 1000u);
@@ -217,7 +216,7 @@
   EXPECT_EQ(ask(service, request("GET", "/follow", "after=-1")).status, 400);
   EXPECT_EQ(ask(service, request("GET", "/follow", "after=1&hold_ms=60001")).status, 400);
   EXPECT_EQ(ask(service, request("PUT", "/keys/a")).status, 400);
-  EXPECT_EQ(service.epoch(), 0u);
+  EXPECT_EQ(service.store_revision(), 0u);
   EXPECT_EQ(multi({{"if", {{{"k", "a"}, {"stamp", 0}}}}}), 200) << "a comparison alone";
 }
 
@@ -226,10 +225,10 @@
   StateService service(kWide, 1);
   commit(service, put("a", 1, 0));
   const StateService::Backup backup = service.backup();
-  EXPECT_EQ(commit(service, put("a", 2, 1)).epoch, 2u);
+  EXPECT_EQ(commit(service, put("a", 2, 1)).store_revision, 2u);
   service.restore(backup);
-  EXPECT_EQ(service.epoch(), 1u);
-  EXPECT_EQ(commit(service, put("a", 3, 1)).epoch, 2u);
+  EXPECT_EQ(service.store_revision(), 1u);
+  EXPECT_EQ(commit(service, put("a", 3, 1)).store_revision, 2u);
   EXPECT_EQ(service.items().at("a").value.at("v"), 3);
 }
 
--- a/lab/model/worker.cpp
+++ b/lab/model/worker.cpp
@@ -16,7 +16,7 @@
 constexpr double kReportAtMostEvery_s = 0.5;
 constexpr double kNextNodeAfter_s = 1;
 constexpr double kFollowWithin_s = 0.5;
-constexpr double kBatonChangePerLease = 0.5;
+constexpr double kTokenChangesPerLease = 0.5;
 constexpr double kCrumb = 1e-9;
 
 Field::TaskId task_of(const std::string& name) {
@@ -261,7 +261,7 @@
     if (piece.state != State::exited && is_gang(key)) field_.vanish(key.first, key.second, now);
   }
   pieces_.clear();
-  ++tenure_;
+  ++incarnation_;
   leased_at_ = now;
   in_flight_ = false;  // its answer belongs to the session before
   changed_ = true;
@@ -277,7 +277,7 @@
   if (in_flight_ || now < std::max(report_at_, not_before_)) return std::nullopt;
   changed_ = false;
   in_flight_ = true;
-  sent_tenure_ = tenure_;
+  sent_incarnation_ = incarnation_;
   sent_at_ = last_report_at_ = now;
   report_at_ = now + rules_.report_s * std::uniform_real_distribution<double>(
                                            1 - kReportSpread, 1 + kReportSpread)(random_);
@@ -304,9 +304,9 @@
             {"rig", machine_.type.name},
             {"hall", machine_.zone},
             {"loaner", machine_.spot},
-            {"tenure", tenure_},
+            {"tenure", incarnation_},
             {"tick", ++tick_},
-            {"baton", baton_},
+            {"baton", fencing_token_},
             {"reclaim_in_s", nullptr},
             {"pieces", std::move(pieces)}};
   if (reclaim_at_ != kForever) made["reclaim_in_s"] = std::max(0.0, reclaim_at_ - now);
@@ -319,7 +319,7 @@
 }
 
 void Worker::answered(const wire::Answer& answer, double now) {
-  if (over_ || hangs_ || !in_flight_ || sent_tenure_ != tenure_) return;
+  if (over_ || hangs_ || !in_flight_ || sent_incarnation_ != incarnation_) return;
   in_flight_ = false;
   if (answer.answered && answer.status == 421) {
     const auto upstream =
@@ -333,12 +333,12 @@
   if (!answer.answered || answer.status != 200) return next_node(now);
   try {
     // A lower token or none: dropped, and the lease is not renewed.
-    const Json* baton = wire::find(answer.body, "baton");
-    if (baton == nullptr || wire::count(answer.body, "baton") < baton_) return;
+    const Json* fencing_token = wire::find(answer.body, "baton");
+    if (fencing_token == nullptr || wire::count(answer.body, "baton") < fencing_token_) return;
     const std::uint64_t token = wire::count(answer.body, "baton");
-    if (token > std::exchange(baton_, token) &&
-        now - told_baton_at_ >= rules_.lease_s * kBatonChangePerLease) {
-      told_baton_at_ = now;
+    if (token > std::exchange(fencing_token_, token) &&
+        now - told_fencing_token_at_ >= rules_.lease_s * kTokenChangesPerLease) {
+      told_fencing_token_at_ = now;
       changed_ = true;
     }
     leased_at_ = sent_at_;
@@ -356,8 +356,9 @@
     return {400, {{"error", "baton and tenure are needed"}}};
   }
   const std::uint64_t token = wire::count(body, "baton");
-  if (token < baton_ || wire::count(body, "tenure") != tenure_) return {409, report(now)};
-  if (token > std::exchange(baton_, token)) changed_ = true;
+  if (token < fencing_token_ || wire::count(body, "tenure") != incarnation_)
+    return {409, report(now)};
+  if (token > std::exchange(fencing_token_, token)) changed_ = true;
   // Direct orders do not renew the lease.
   for (const Json& order : wire::list(body, "orders")) execute(order, now);
   work(now);
--- a/lab/model/worker.h
+++ b/lab/model/worker.h
@@ -55,8 +55,8 @@
 
   // Tasks that are on the machine: from the image on until they exit.
   std::vector<std::pair<Field::TaskId, std::uint64_t>> holds() const;
-  std::uint64_t tenure() const { return tenure_; }
-  std::uint64_t baton() const { return baton_; }
+  std::uint64_t incarnation() const { return incarnation_; }
+  std::uint64_t fencing_token() const { return fencing_token_; }
 
  private:
   enum class State { fetching, waiting, running, saving, exited };
@@ -95,17 +95,17 @@
   std::map<Key, Piece> pieces_;
   std::map<std::string, Image> images_;
   double moved_at_;
-  std::uint64_t tenure_ = 1, tick_ = 0, baton_ = 0;
+  std::uint64_t incarnation_ = 1, tick_ = 0, fencing_token_ = 0;
   double leased_at_;
   double reclaim_at_ = kForever;
   std::size_t node_ = 0;
   bool in_flight_ = false;
-  std::uint64_t sent_tenure_ = 0;
+  std::uint64_t sent_incarnation_ = 0;
   double sent_at_ = 0;
   double report_at_;
   double not_before_ = -kForever;  // after a node that did not answer
   double last_report_at_ = -kForever;
-  double told_baton_at_ = -kForever;
+  double told_fencing_token_at_ = -kForever;
   bool changed_ = false;
   bool hangs_ = false;
   bool over_ = false;
--- a/lab/model/worker_test.cpp
+++ b/lab/model/worker_test.cpp
@@ -5,7 +5,7 @@
 #include <rapidcheck/gtest.h>
 
 #include "checker/placing_rules.h"
-#include "workers/report.h"
+#include "workers/heartbeat.h"
 
 namespace reachramp::lab {
 namespace {
@@ -49,10 +49,11 @@
   }
 
   // Executed at once, by way of /orders.
-  int tell(Worker& worker, const std::vector<Json>& orders, double now, std::uint64_t baton = 1) {
+  int tell(Worker& worker, const std::vector<Json>& orders, double now,
+           std::uint64_t fencing_token = 1) {
     looked_at_.insert(&worker);
     pass(now);
-    const Json body{{"baton", baton}, {"tenure", worker.tenure()}, {"orders", orders}};
+    const Json body{{"baton", fencing_token}, {"tenure", worker.incarnation()}, {"orders", orders}};
     return worker.ask({"POST", "/orders", "", wire::encode(body)}, now).status;
   }
 
@@ -66,15 +67,15 @@
   }
   static void report(Worker& worker, double now) {
     if (!worker.pass(now)) return;
-    worker.answered({true, true, 200, {{"baton", worker.baton()}, {"orders", Json::array()}}, 0},
-                    now);
+    worker.answered(
+        {true, true, 200, {{"baton", worker.fencing_token()}, {"orders", Json::array()}}, 0}, now);
   }
 
   std::map<std::string, std::string> pieces(Worker& worker, double now) {
     looked_at_.insert(&worker);
     pass(now);
     const wire::Reply status = worker.ask({"GET", "/status", "", ""}, now);
-    workers::decode_report(status.body);
+    workers::decode_heartbeat(status.body);
     std::map<std::string, std::string> found;
     for (const Json& piece : status.body.at("pieces")) {
       found[piece.at("piece")] =
@@ -155,13 +156,13 @@
   ASSERT_TRUE(next);
   EXPECT_NE(next->node, first->node) << "the next node, a second later";
   one.answered({true, true, 200, {{"baton", 3}, {"orders", Json::array()}}, 0}, 5.2);
-  EXPECT_EQ(one.tenure(), 1u);
+  EXPECT_EQ(one.incarnation(), 1u);
   const auto fresh = one.pass(10.1);
-  EXPECT_EQ(one.tenure(), 2u) << "the answer with the lower token did not renew it";
+  EXPECT_EQ(one.incarnation(), 2u) << "the answer with the lower token did not renew it";
   EXPECT_TRUE(one.holds().empty());
   ASSERT_TRUE(fresh);
-  EXPECT_EQ(workers::decode_report(fresh->report).tenure, 2u);
-  EXPECT_TRUE(workers::decode_report(fresh->report).pieces.empty());
+  EXPECT_EQ(workers::decode_heartbeat(fresh->report).incarnation, 2u);
+  EXPECT_TRUE(workers::decode_heartbeat(fresh->report).tasks.empty());
 }
 
 TEST_F(WorkerModel, FollowsTheNodeItIsSentTo) {
@@ -267,7 +268,7 @@
   add("j-1", [](jobs::Spec& spec) { spec.spot = true; });
   add("j-2", [](jobs::Spec& spec) { spec.one_zone = true; });
   add("j-3", [](jobs::Spec& spec) { spec.spread = true; });
-  add("j-4", [](jobs::Spec& spec) { spec.needs = {"j-1"}; });
+  add("j-4", [](jobs::Spec& spec) { spec.depends_on = {"j-1"}; });
   add("j-5", [](jobs::Spec& spec) { spec.types = std::vector<std::string>{"large"}; });
   const PlacingRules::Place a{"n-1", "small", "a", false}, b{"n-2", "small", "b", false},
       spot{"n-3", "small", "a", true};
--- a/src/acquire/buyer.cpp
+++ b/src/acquire/autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "acquire/buyer.h"
+#include "acquire/autoscaler.h"
 
 #include <algorithm>
 #include <cmath>
@@ -34,9 +34,9 @@
 
 }  // namespace
 
-Buyer::Buyer(const settings::Policy& policy) : policy_(policy) {}
+Autoscaler::Autoscaler(const settings::Policy& policy) : policy_(policy) {}
 
-void Buyer::note_prices(const Cluster& cluster, double now) {
+void Autoscaler::note_prices(const Cluster& cluster, double now) {
   for (const auto& type : cluster.catalog) {
     for (const auto& zone : type.zones) {
       auto& prices = books_[{cluster.types.find(type.name), cluster.zones.find(zone), true}].prices;
@@ -50,14 +50,14 @@
 
 // V takes a pool to fall whole; the cloud takes machines one by one. One of thirty counts as a
 // thirtieth, or the chance of a large pool nears one, and no number of machines meets the target.
-void Buyer::note_reclaim(const Cluster& cluster, const Pool& pool) {
+void Autoscaler::note_reclaim(const Cluster& cluster, const Pool& pool) {
   const auto held = std::count_if(cluster.hosts.begin(), cluster.hosts.end(), [&](const auto& h) {
-    return h && h->phase != HostPhase::leaving && Pool{h->type, h->zone, h->spot} == pool;
+    return h && h->phase != HostPhase::terminating && Pool{h->type, h->zone, h->spot} == pool;
   });
   books_[pool].events += 1.0 / static_cast<double>(std::max<std::ptrdiff_t>(held, 1));
 }
 
-void Buyer::note_exposure(const Cluster& cluster, double now) {
+void Autoscaler::note_exposure(const Cluster& cluster, double now) {
   const double horizons = exposed_at_ < 0 ? 0 : (now - exposed_at_) / policy_.horizon_s;
   exposed_at_ = now;
   const double kept = std::exp(-horizons / kMemoryHorizons);
@@ -67,51 +67,51 @@
   }
   std::map<Pool, bool> held;
   for (const auto& host : cluster.hosts) {
-    if (host && host->spot && host->type != kNone && host->phase != HostPhase::leaving) {
+    if (host && host->spot && host->type != kNone && host->phase != HostPhase::terminating) {
       held[{host->type, host->zone, true}] = true;
     }
   }
   for (const auto& [pool, yes] : held) books_[pool].exposure += horizons;
 }
 
-void Buyer::note_refused(const Pool& pool, double now) {
-  Book& book = books_[pool];
+void Autoscaler::note_refused(const Pool& pool, double now) {
+  PoolHistory& book = books_[pool];
   book.refusals = std::min(book.refusals + 1, kMostRefusals);
   book.refused_until = now + kFirstRefusal * (1 << (book.refusals - 1));
 }
 
-void Buyer::note_filled(const Pool& pool) { books_[pool].refusals = 0; }
-void Buyer::note_asked(const Pool& pool, int machines) { books_[pool].asked = machines; }
-void Buyer::note_answered(const Pool& pool) { books_[pool].asked = 0; }
+void Autoscaler::note_filled(const Pool& pool) { books_[pool].refusals = 0; }
+void Autoscaler::note_requested(const Pool& pool, int machines) { books_[pool].asked = machines; }
+void Autoscaler::note_answered(const Pool& pool) { books_[pool].asked = 0; }
 
 // The decayed rate, with the prior worth one horizon of watching.
-double Buyer::reclaim_chance(const Pool& pool) const {
+double Autoscaler::reclaim_chance(const Pool& pool) const {
   if (!pool.spot) return 0;
   const auto at = books_.find(pool);
   if (at == books_.end()) return policy_.prior;
   return std::min(1.0, (policy_.prior + at->second.events) / (1 + at->second.exposure));
 }
 
-double Buyer::price(const Cluster& cluster, const Pool& pool) const {
-  const auto* type = cluster.kind(pool.type);
+double Autoscaler::price(const Cluster& cluster, const Pool& pool) const {
+  const auto* type = cluster.machine_type(pool.type);
   return type == nullptr ? 1 : price_per_hour(*type, pool.spot);
 }
 
-void Buyer::close(std::set<Pool> pools) { closed_ = std::move(pools); }
+void Autoscaler::close(std::set<Pool> pools) { closed_ = std::move(pools); }
 
-bool Buyer::refuses(const Pool& pool, double now) const {
+bool Autoscaler::refuses(const Pool& pool, double now) const {
   const auto book = books_.find(pool);
   return book != books_.end() && now < book->second.refused_until;
 }
 
-bool Buyer::may_ask(const Pool& pool, double now) const {
+bool Autoscaler::may_ask(const Pool& pool, double now) const {
   if (closed_.contains(pool)) return false;
   const auto book = books_.find(pool);
   return book == books_.end() || (book->second.asked == 0 && now >= book->second.refused_until);
 }
 
-void Buyer::cover(const Cluster& cluster, double now, const std::vector<bool>& without,
-                  std::vector<Group>& groups) const {
+void Autoscaler::cover(const Cluster& cluster, double now, const std::vector<bool>& without,
+                       std::vector<DemandGroup>& groups) const {
   struct Room {
     Pool pool;
     Resources left;
@@ -124,7 +124,7 @@
     rooms.push_back({{host->type, host->zone, host->spot}, {type->cpus, type->gpus, type->ram_gb}});
   }
   for (const auto& [pool, book] : books_) {
-    const auto* type = cluster.kind(pool.type);
+    const auto* type = cluster.machine_type(pool.type);
     for (int i = 0; type != nullptr && i < book.asked; ++i) {
       rooms.push_back({pool, {type->cpus, type->gpus, type->ram_gb}});
     }
@@ -132,7 +132,7 @@
   // Small machines first, as tasks are placed: large ones stay for work that needs them.
   std::stable_sort(rooms.begin(), rooms.end(),
                    [](const Room& a, const Room& b) { return a.left.cpus < b.left.cpus; });
-  for (Group& group : groups) {
+  for (DemandGroup& group : groups) {
     group.slots.assign(group.pools.size(), 0);
     group.machines.assign(group.pools.size(), 0);
     double uncovered = group.tasks;
@@ -150,12 +150,13 @@
   }
 }
 
-std::vector<Holding> Buyer::holdings(const Cluster& cluster, const Group& group, double now) const {
-  std::vector<Holding> pools;
+std::vector<PoolOffer> Autoscaler::holdings(const Cluster& cluster, const DemandGroup& group,
+                                            double now) const {
+  std::vector<PoolOffer> pools;
   for (std::size_t i = 0; i < group.pools.size(); ++i) {
     const Pool& pool = group.pools[i];
-    const auto* type = cluster.kind(pool.type);
-    Holding holding;
+    const auto* type = cluster.machine_type(pool.type);
+    PoolOffer holding;
     holding.held = amounts(group.need, group.slots[i]);
     holding.machines = group.machines[i];
     holding.unit = amounts(group.need, copies_in(*type, group.need));
@@ -167,7 +168,7 @@
   return pools;
 }
 
-std::vector<std::vector<double>> Buyer::correlations(const std::vector<Pool>& pools) const {
+std::vector<std::vector<double>> Autoscaler::correlations(const std::vector<Pool>& pools) const {
   const auto series = [&](const Pool& pool) {
     std::vector<double> values;
     const auto book = books_.find(pool);
@@ -185,18 +186,19 @@
   return rho;
 }
 
-std::vector<Wish> Buyer::wishes(const Cluster& cluster, double now) const {
+std::vector<ScaleOutRequest> Autoscaler::scale_out_requests(const Cluster& cluster,
+                                                            double now) const {
   std::map<Pool, int> wanted;
-  std::vector<Group> groups = demand(cluster, now, Waiting::left_out);
+  std::vector<DemandGroup> groups = demand(cluster, now, Waiting::left_out);
   cover(cluster, now, {}, groups);
-  for (const Group& group : groups) {
-    const Terms terms{policy_.target, policy_.gamma, policy_.horizon_s};
+  for (const DemandGroup& group : groups) {
+    const TributaryParameters terms{policy_.target, policy_.gamma, policy_.horizon_s};
     const Amounts goal = group.goal();
-    std::vector<Holding> pools = holdings(cluster, group, now);
+    std::vector<PoolOffer> pools = holdings(cluster, group, now);
     const bool spot = std::any_of(group.pools.begin(), group.pools.end(),
                                   [](const Pool& pool) { return pool.spot; });
     if (spot) {
-      std::vector<Holding> spot_only = pools;
+      std::vector<PoolOffer> spot_only = pools;
       for (std::size_t i = 0; i < pools.size(); ++i) {
         if (!group.pools[i].spot || wanted.contains(group.pools[i])) spot_only[i].obtainable = 0;
       }
@@ -215,26 +217,26 @@
               : 0;
     }
     const bool any = std::any_of(pools.begin(), pools.end(),
-                                 [](const Holding& pool) { return pool.machines > 0; });
+                                 [](const PoolOffer& pool) { return pool.machines > 0; });
     const double share = any ? group.ordinary_tasks / group.tasks : 1;
     Amounts served_goal = goal;
     for (double& amount : served_goal) amount *= share;
-    const Terms served{policy_.target, 0, policy_.horizon_s};
+    const TributaryParameters served{policy_.target, 0, policy_.horizon_s};
     for (const Purchase& purchase : greedy(pools, group.rho, served_goal, served)) {
       wanted[group.pools[purchase.pool]] += purchase.machines;
     }
   }
-  std::vector<Wish> found;
+  std::vector<ScaleOutRequest> found;
   for (const auto& [pool, machines] : wanted) {
     found.push_back({pool, std::min(machines, kMostPerHire)});
   }
   return found;
 }
 
-std::vector<double> Buyer::values(const Cluster& cluster, double now,
-                                  const std::vector<Group>& groups) const {
+std::vector<double> Autoscaler::values(const Cluster& cluster, double now,
+                                       const std::vector<DemandGroup>& groups) const {
   std::vector<double> least;
-  for (const Group& group : groups) {
+  for (const DemandGroup& group : groups) {
     const Amounts values =
         utilities(holdings(cluster, group, now), group.rho, policy_.gamma, group.goal());
     least.push_back(*std::min_element(values.begin(), values.end()));
@@ -242,7 +244,7 @@
   return least;
 }
 
-std::vector<Index> Buyer::surplus(const Cluster& cluster, double now) const {
+std::vector<Index> Autoscaler::scale_in_candidates(const Cluster& cluster, double now) const {
   std::vector<Index> idle;
   for (Index i = 0; i < cluster.hosts.size(); ++i) {
     const auto& host = cluster.hosts[i];
@@ -264,7 +266,7 @@
     by_pool[{reclaim_chance(pool), pool}].push_back(i);
   }
   std::vector<bool> without(cluster.hosts.size());
-  std::vector<Group> groups = demand(cluster, now, Waiting::counts);
+  std::vector<DemandGroup> groups = demand(cluster, now, Waiting::counts);
   cover(cluster, now, without, groups);
   const std::vector<double> with = values(cluster, now, groups);
   const auto can_spare = [&](const std::vector<Index>& machines, std::size_t count) {
--- a/src/acquire/buyer.h
+++ b/src/acquire/autoscaler.h
@@ -16,13 +16,13 @@
 using placement::Index;
 using placement::Pool;
 
-struct Wish {
+struct ScaleOutRequest {
   Pool pool;
   int machines = 0;
 };
 
 // Work that may use the same pools and needs machines of the same make.
-struct Group {
+struct DemandGroup {
   std::vector<Pool> pools;
   std::vector<std::vector<double>> rho;  // how the pools' prices move together
   placement::Resources need;             // of a mean task
@@ -34,9 +34,9 @@
   std::vector<int> machines;
 };
 
-class Buyer {
+class Autoscaler {
  public:
-  Buyer(const settings::Policy& policy);
+  Autoscaler(const settings::Policy& policy);
 
   void note_prices(const Cluster& cluster, double now);
   // A machine of the pool, still among the cluster's, is gone.
@@ -45,7 +45,7 @@
   void note_refused(const Pool& pool, double now);
   void note_filled(const Pool& pool);
   // A request that is out counts as if it were filled, and its pool is asked for nothing more.
-  void note_asked(const Pool& pool, int machines);
+  void note_requested(const Pool& pool, int machines);
   void note_answered(const Pool& pool);
 
   // Nothing is rented there while they are closed.
@@ -53,16 +53,16 @@
   // The cloud has had none there of late.
   bool refuses(const Pool& pool, double now) const;
   bool may_ask(const Pool& pool, double now) const;
-  std::vector<Wish> wishes(const Cluster& cluster, double now) const;
+  std::vector<ScaleOutRequest> scale_out_requests(const Cluster& cluster, double now) const;
   // Idle machines to return now, safest first.
-  std::vector<Index> surplus(const Cluster& cluster, double now) const;
+  std::vector<Index> scale_in_candidates(const Cluster& cluster, double now) const;
 
   double reclaim_chance(const Pool& pool) const;
   // Of a machine, for an hour.
   double price(const Cluster& cluster, const Pool& pool) const;
 
  private:
-  struct Book {
+  struct PoolHistory {
     std::deque<std::pair<double, double>> prices;
     double events = 0;
     double exposure = 0;
@@ -75,18 +75,19 @@
   // measured, that cost more than it gained.
   enum class Waiting { left_out, counts };
   // The work to rent for, the most particular first.
-  std::vector<Group> demand(const Cluster& cluster, double now, Waiting waiting) const;
+  std::vector<DemandGroup> demand(const Cluster& cluster, double now, Waiting waiting) const;
   // What the machines at hand, some left out, and those asked for hold of each group.
   void cover(const Cluster& cluster, double now, const std::vector<bool>& without,
-             std::vector<Group>& groups) const;
-  std::vector<Holding> holdings(const Cluster& cluster, const Group& group, double now) const;
+             std::vector<DemandGroup>& groups) const;
+  std::vector<PoolOffer> holdings(const Cluster& cluster, const DemandGroup& group,
+                                  double now) const;
   std::vector<std::vector<double>> correlations(const std::vector<Pool>& pools) const;
   // The least V of each group as covered.
   std::vector<double> values(const Cluster& cluster, double now,
-                             const std::vector<Group>& groups) const;
+                             const std::vector<DemandGroup>& groups) const;
 
   settings::Policy policy_;
-  std::map<Pool, Book> books_;
+  std::map<Pool, PoolHistory> books_;
   std::set<Pool> closed_;
   double exposed_at_ = -1;
 };
--- a/src/acquire/buyer_test.cpp
+++ b/src/acquire/autoscaler_test.cpp
@@ -1,4 +1,4 @@
-#include "acquire/buyer.h"
+#include "acquire/autoscaler.h"
 
 #include <gtest/gtest.h>
 
@@ -27,7 +27,7 @@
 
   int asked_in(const std::string& zone, double now) {
     int machines = 0;
-    for (const Wish& wish : buyer_.wishes(cluster_, now)) {
+    for (const ScaleOutRequest& wish : buyer_.scale_out_requests(cluster_, now)) {
       if (cluster_.zones[wish.pool.zone] == zone) machines += wish.machines;
     }
     return machines;
@@ -39,7 +39,7 @@
     return p;
   }();
   Cluster cluster_;
-  Buyer buyer_;
+  Autoscaler buyer_;
 };
 
 // Every gang once found the same zone large enough, and the other zones were never asked.
@@ -49,7 +49,7 @@
   buyer_.note_refused(full, 0);
   gang(2);
   gang(2);
-  EXPECT_TRUE(buyer_.wishes(cluster_, 1).empty()) << "two gangs of two fit the zone";
+  EXPECT_TRUE(buyer_.scale_out_requests(cluster_, 1).empty()) << "two gangs of two fit the zone";
   gang(3);
   EXPECT_EQ(asked_in("a", 1), 0);
   EXPECT_EQ(asked_in("b", 1) + asked_in("c", 1), 3);
@@ -68,19 +68,19 @@
 TEST_F(BuyerTest, AllIdleMachinesBeyondTheNeedAreFoundAtOnce) {
   for (int i = 0; i < 20; ++i) machine("a", false);
   gang(3);
-  EXPECT_EQ(buyer_.surplus(cluster_, 1000).size(), 17u);
+  EXPECT_EQ(buyer_.scale_in_candidates(cluster_, 1000).size(), 17u);
 }
 
 TEST_F(BuyerTest, IdleMachinesAreKeptForJobsThatAreSoonFreed) {
   for (int i = 0; i < 5; ++i) machine("a", false);
   gang(3);
   placement::Job& waiting = *cluster_.jobs[0];
-  waiting.needs.push_back({"j-earlier", placement::Fate::live});
-  waiting.free_by = 1029;
-  EXPECT_EQ(buyer_.surplus(cluster_, 1000).size(), 2u) << "a boot takes 30 s";
-  EXPECT_EQ(buyer_.surplus(cluster_, 990).size(), 5u);
+  waiting.dependencies.push_back({"j-earlier", placement::DependencyState::live});
+  waiting.expected_unblocked_at = 1029;
+  EXPECT_EQ(buyer_.scale_in_candidates(cluster_, 1000).size(), 2u) << "a boot takes 30 s";
+  EXPECT_EQ(buyer_.scale_in_candidates(cluster_, 990).size(), 5u);
   waiting.spec.tasks = 9;
-  EXPECT_TRUE(buyer_.wishes(cluster_, 1000).empty()) << "nothing is rented for it yet";
+  EXPECT_TRUE(buyer_.scale_out_requests(cluster_, 1000).empty()) << "nothing is rented for it yet";
 }
 
 }  // namespace
--- a/src/acquire/demand.cpp
+++ b/src/acquire/demand.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "acquire/buyer.h"
+#include "acquire/autoscaler.h"
 #include "placement/order.h"
 #include "placement/plan.h"
 
@@ -32,8 +32,8 @@
 
 bool counts(const Cluster& cluster, const Host& host, double now) {
   const auto* type = cluster.type_of(host);
-  if (type == nullptr || host.draining || host.going || host.outgoing || host.lost ||
-      host.phase == HostPhase::leaving || host.faulty || host.deaf_since >= 0) {
+  if (type == nullptr || host.draining || host.cordoned || host.to_be_replaced || host.zone_lost ||
+      host.phase == HostPhase::terminating || host.quarantined || host.unreachable_since >= 0) {
     return false;
   }
   return host.phase == HostPhase::up || host.runs ||
@@ -44,7 +44,9 @@
   return static_cast<int>(Resources{type.cpus, type.gpus, type.ram_gb}.copies(need));
 }
 
-Amounts Group::goal() const { return {need.cpus * tasks, need.gpus * tasks, need.ram_gb * tasks}; }
+Amounts DemandGroup::goal() const {
+  return {need.cpus * tasks, need.gpus * tasks, need.ram_gb * tasks};
+}
 
 namespace {
 
@@ -64,7 +66,7 @@
     for (const auto& [pool, count] : machines_) {
       if (placement::in_zone(job, pool.zone) &&
           placement::allows(cluster_, job, pool.type, pool.spot)) {
-        cores += count * cluster_.kind(pool.type)->cpus;
+        cores += count * cluster_.machine_type(pool.type)->cpus;
       }
     }
     return cores;
@@ -82,7 +84,7 @@
 double quickest_boot(const Cluster& cluster, const Job& job) {
   double boot_s = placement::kNever;
   for (Index type = 0; type < job.fits.size(); ++type) {
-    if (job.fits[type]) boot_s = std::min(boot_s, cluster.kind(type)->boot_s);
+    if (job.fits[type]) boot_s = std::min(boot_s, cluster.machine_type(type)->boot_s);
   }
   return boot_s;
 }
@@ -92,7 +94,7 @@
 void each_pool(const Cluster& cluster, const Job& job, Index only, Use use) {
   for (Index type = 0; type < job.fits.size(); ++type) {
     if (!job.fits[type]) continue;
-    for (const std::string& name : cluster.kind(type)->zones) {
+    for (const std::string& name : cluster.machine_type(type)->zones) {
       const Index zone = cluster.zones.find(name);
       if (only != kNone && only != zone) continue;
       if (job.spec.spot) use(Pool{type, zone, true});
@@ -118,7 +120,7 @@
 // site had for them were never asked for.
 class ZoneChoice {
  public:
-  ZoneChoice(const Buyer& buyer, const Cluster& cluster, const Fleet& fleet)
+  ZoneChoice(const Autoscaler& buyer, const Cluster& cluster, const Fleet& fleet)
       : buyer_(buyer), cluster_(cluster), now_(fleet.now()), spare_(fleet.machines()) {}
 
   // kNone: any zone, or none that helps.
@@ -174,10 +176,10 @@
   }
 
   int copies(const Pool& pool, const Job& job) const {
-    return copies_in(*cluster_.kind(pool.type), job.need);
+    return copies_in(*cluster_.machine_type(pool.type), job.resources_per_task);
   }
 
-  const Buyer& buyer_;
+  const Autoscaler& buyer_;
   const Cluster& cluster_;
   double now_;
   std::map<Pool, int> spare_;
@@ -185,8 +187,9 @@
 
 }  // namespace
 
-std::vector<Group> Buyer::demand(const Cluster& cluster, double now, Waiting waiting) const {
-  std::map<std::vector<Pool>, Group> by_pools;
+std::vector<DemandGroup> Autoscaler::demand(const Cluster& cluster, double now,
+                                            Waiting waiting) const {
+  std::map<std::vector<Pool>, DemandGroup> by_pools;
   std::vector<placement::Usage> claimed(cluster.used.size());
   const Fleet fleet(cluster, now);
   ZoneChoice zones(*this, cluster, fleet);
@@ -194,7 +197,7 @@
   for (Index index = 0; index < cluster.jobs.size() && waiting == Waiting::counts; ++index) {
     const auto& job = cluster.jobs[index];
     if (job && !job->cancelled && job->team != kNone && job->waits() &&
-        job->free_by <= now + quickest_boot(cluster, *job)) {
+        job->expected_unblocked_at <= now + quickest_boot(cluster, *job)) {
       order.push_back(index);
     }
   }
@@ -203,16 +206,16 @@
     if (now < job.not_before) continue;
     double tasks = job.spec.tasks - job.done_count;
     // As it is tried: one by one, and not while it pauses.
-    if (job.suspect() && job.spec.shape != jobs::Shape::gang) tasks = 1;
+    if (job.fails_everywhere() && job.spec.shape != jobs::Shape::gang) tasks = 1;
     const settings::Team& team = cluster.platform.teams[job.team];
     const auto cap = [&](double limit, double used, double need) {
       if (limit > 0 && need > 0) tasks = std::min(tasks, std::floor((limit - used) / need + 1e-6));
     };
-    cap(team.cpus_max, claimed[job.team].cpus, job.need.cpus);
-    cap(team.gpus_max, claimed[job.team].gpus, job.need.gpus);
+    cap(team.cpus_max, claimed[job.team].cpus, job.resources_per_task.cpus);
+    cap(team.gpus_max, claimed[job.team].gpus, job.resources_per_task.gpus);
     if (tasks <= 0) continue;
-    claimed[job.team].cpus += tasks * job.need.cpus;
-    claimed[job.team].gpus += tasks * job.need.gpus;
+    claimed[job.team].cpus += tasks * job.resources_per_task.cpus;
+    claimed[job.team].gpus += tasks * job.resources_per_task.gpus;
     std::vector<Pool> pools;
     each_pool(cluster, job, zones.choose(job), [&](const Pool& pool) {
       if (!cluster.is_kept_from(job, pool.type, pool.spot)) pools.push_back(pool);
@@ -220,32 +223,34 @@
     if (pools.empty()) continue;
     const double boot_s = quickest_boot(cluster, job);
     const double parallel = side_by_side(job, tasks, boot_s, now);
-    Group& group = by_pools[pools];
+    DemandGroup& group = by_pools[pools];
     group.pools = pools;
-    group.need += job.need.times(parallel);
+    group.need += job.resources_per_task.times(parallel);
     group.tasks += parallel;
     // An ordinary machine is worth its full price to work that it can still bring in time, unless
     // that takes too much of the fleet, and to other work only as far as the cheap ones would take
     // too long.
     const bool in_time =
-        job.start_by.empty() || (job.next_start_by(now + boot_s) != placement::kNever &&
-                                 (job.spec.shape != jobs::Shape::array ||
-                                  parallel * job.need.cpus <= kLargestShare * fleet.open_to(job)));
+        job.start_by.empty() ||
+        (job.next_start_by(now + boot_s) != placement::kNever &&
+         (job.spec.shape != jobs::Shape::array ||
+          parallel * job.resources_per_task.cpus <= kLargestShare * fleet.open_to(job)));
     const double soon =
         std::ceil(tasks * job.spec.estimate_s / (kLateHorizons * policy_.horizon_s));
     group.ordinary_tasks += !job.spec.spot || in_time
                                 ? parallel
                                 : std::min(parallel, std::max<double>(soon, job.attempts.size()));
   }
-  std::vector<Group> found;
+  std::vector<DemandGroup> found;
   for (auto& [pools, group] : by_pools) {
     group.need = group.need.times(1 / group.tasks);
     group.rho = correlations(pools);
     found.push_back(std::move(group));
   }
   // The most particular work claims its machines first.
-  std::stable_sort(found.begin(), found.end(),
-                   [](const Group& a, const Group& b) { return a.pools.size() < b.pools.size(); });
+  std::stable_sort(found.begin(), found.end(), [](const DemandGroup& a, const DemandGroup& b) {
+    return a.pools.size() < b.pools.size();
+  });
   return found;
 }
 
--- a/src/acquire/tributary.cpp
+++ b/src/acquire/tributary.cpp
@@ -24,11 +24,11 @@
   return std::clamp(xy / std::sqrt(xx * yy), -1.0, 1.0);
 }
 
-std::vector<double> reclaim_chances(const std::vector<Holding>& pools,
+std::vector<double> reclaim_chances(const std::vector<PoolOffer>& pools,
                                     const std::vector<std::vector<double>>& rho, double gamma,
                                     std::size_t kind) {
   double total = 0;
-  for (const Holding& pool : pools) total += pool.held[kind];
+  for (const PoolOffer& pool : pools) total += pool.held[kind];
   std::vector<double> chances(pools.size());
   for (std::size_t i = 0; i < pools.size(); ++i) {
     double lambda = 0;
@@ -43,9 +43,9 @@
   return chances;
 }
 
-std::vector<Outcome> survivors(const std::vector<Share>& shares, double enough) {
+std::vector<Outcome> survivors(const std::vector<PoolBatch>& shares, double enough) {
   std::map<double, double> folded{{0.0, 1.0}};
-  for (const Share& share : shares) {
+  for (const PoolBatch& share : shares) {
     if (share.amount <= 0) continue;
     std::map<double, double> next;
     for (const auto& [amount, probability] : folded) {
@@ -59,7 +59,7 @@
   return outcomes;
 }
 
-double expected_utility(const std::vector<Share>& shares, double wanted) {
+double expected_utility(const std::vector<PoolBatch>& shares, double wanted) {
   if (wanted <= 0) return 1;
   double utility = 0;
   for (const Outcome& outcome : survivors(shares, wanted)) {
@@ -68,12 +68,12 @@
   return utility;
 }
 
-Amounts utilities(const std::vector<Holding>& pools, const std::vector<std::vector<double>>& rho,
+Amounts utilities(const std::vector<PoolOffer>& pools, const std::vector<std::vector<double>>& rho,
                   double gamma, const Amounts& wanted) {
   Amounts values{};
   for (std::size_t kind = 0; kind < kKinds; ++kind) {
     const std::vector<double> chances = reclaim_chances(pools, rho, gamma, kind);
-    std::vector<Share> shares;
+    std::vector<PoolBatch> shares;
     for (std::size_t i = 0; i < pools.size(); ++i) {
       shares.push_back({pools[i].held[kind], chances[i]});
     }
@@ -82,11 +82,11 @@
   return values;
 }
 
-std::vector<Purchase> greedy(std::vector<Holding>& pools,
+std::vector<Purchase> greedy(std::vector<PoolOffer>& pools,
                              const std::vector<std::vector<double>>& rho, const Amounts& wanted,
-                             const Terms& terms) {
+                             const TributaryParameters& terms) {
   std::vector<Purchase> bought;
-  const auto with = [](Holding pool, int machines) {
+  const auto with = [](PoolOffer pool, int machines) {
     for (std::size_t kind = 0; kind < kKinds; ++kind) {
       pool.held[kind] += machines * pool.unit[kind];
     }
@@ -105,7 +105,7 @@
     Purchase best;
     Amounts best_values{};
     double cost = 0;
-    for (const Holding& pool : pools) cost += pool.price * pool.machines * terms.horizon_s / 3600;
+    for (const PoolOffer& pool : pools) cost += pool.price * pool.machines * terms.horizon_s / 3600;
     for (std::size_t i = 0; i < pools.size(); ++i) {
       int machines = 0;
       for (std::size_t kind = 0; kind < kKinds; ++kind) {
@@ -116,7 +116,7 @@
       }
       machines = std::min(machines, pools[i].obtainable);
       if (machines <= 0) continue;
-      const Holding before = pools[i];
+      const PoolOffer before = pools[i];
       pools[i] = with(before, machines);
       const Amounts after = utilities(pools, rho, terms.gamma, wanted);
       pools[i] = before;
--- a/src/acquire/tributary.h
+++ b/src/acquire/tributary.h
@@ -13,7 +13,7 @@
 using Amounts = std::array<double, kKinds>;
 
 // One pool as the choice sees it.
-struct Holding {
+struct PoolOffer {
   Amounts held{};    // what its machines give
   Amounts unit{};    // what one more gives
   double beta = 0;   // observed reclaim chance per horizon
@@ -31,11 +31,11 @@
 double pearson(const std::vector<double>& xs, const std::vector<double>& ys);
 
 // min(1, beta + lambda) of each pool for one kind. `rho` is the correlation matrix.
-std::vector<double> reclaim_chances(const std::vector<Holding>& pools,
+std::vector<double> reclaim_chances(const std::vector<PoolOffer>& pools,
                                     const std::vector<std::vector<double>>& rho, double gamma,
                                     std::size_t kind);
 
-struct Share {
+struct PoolBatch {
   double amount = 0;
   double chance = 0;  // of being reclaimed, whole
 };
@@ -46,16 +46,16 @@
 };
 
 // P(R = r), folded pool by pool; ascending amounts. Amounts above `enough` count as `enough`.
-std::vector<Outcome> survivors(const std::vector<Share>& shares, double enough);
+std::vector<Outcome> survivors(const std::vector<PoolBatch>& shares, double enough);
 
 // Sum of P(R = r) * min(1, r / wanted); 1 if nothing is wanted.
-double expected_utility(const std::vector<Share>& shares, double wanted);
+double expected_utility(const std::vector<PoolBatch>& shares, double wanted);
 
 // V for each kind.
-Amounts utilities(const std::vector<Holding>& pools, const std::vector<std::vector<double>>& rho,
+Amounts utilities(const std::vector<PoolOffer>& pools, const std::vector<std::vector<double>>& rho,
                   double gamma, const Amounts& wanted);
 
-struct Terms {
+struct TributaryParameters {
   double target = 0.95;
   double gamma = 0.01;
   double horizon_s = 60;
@@ -63,8 +63,8 @@
 
 // Adds, while V is below the target for some kind, the one-pool batch of the missing amount with
 // the most V per expected cost. `pools` is updated with what is bought.
-std::vector<Purchase> greedy(std::vector<Holding>& pools,
+std::vector<Purchase> greedy(std::vector<PoolOffer>& pools,
                              const std::vector<std::vector<double>>& rho, const Amounts& wanted,
-                             const Terms& terms);
+                             const TributaryParameters& terms);
 
 }  // namespace reachramp::acquire
--- a/src/acquire/tributary_test.cpp
+++ b/src/acquire/tributary_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Every subset of pools that may be reclaimed, one by one.
-double by_enumeration(const std::vector<Share>& shares, double wanted) {
+double by_enumeration(const std::vector<PoolBatch>& shares, double wanted) {
   double utility = 0;
   for (std::size_t subset = 0; subset < (1u << shares.size()); ++subset) {
     double probability = 1, amount = 0;
@@ -26,7 +26,7 @@
       *rc::gen::resize(8, rc::gen::container<std::vector<std::pair<int, int>>>(
                               rc::gen::pair(rc::gen::inRange(1, 64), rc::gen::inRange(0, 101))));
   const double wanted = *rc::gen::inRange(1, 200);
-  std::vector<Share> shares;
+  std::vector<PoolBatch> shares;
   for (const auto& [amount, chance] : raw) shares.push_back({double(amount), chance / 100.0});
   const double expected = by_enumeration(shares, wanted);
   RC_ASSERT(std::abs(expected_utility(shares, wanted) - expected) < 1e-9);
@@ -41,7 +41,7 @@
 }
 
 TEST(Tributary, PenaltyByHand) {
-  std::vector<Holding> pools(2);
+  std::vector<PoolOffer> pools(2);
   pools[0].held = {30, 0, 0};
   pools[0].beta = 0.1;
   pools[1].held = {10, 0, 0};
@@ -62,7 +62,7 @@
 }
 
 TEST(Tributary, GreedyTakesTheCheaperPoolAndSpreadsForTheTarget) {
-  std::vector<Holding> pools(2);
+  std::vector<PoolOffer> pools(2);
   for (auto& pool : pools) {
     pool.unit = {4, 0, 8};
     pool.beta = 0.1;
@@ -81,7 +81,7 @@
 }
 
 RC_GTEST_PROP(Tributary, GreedyEndsAndNeverExceedsWhatMayBeAsked, ()) {
-  std::vector<Holding> pools(*rc::gen::inRange<std::size_t>(0, 6));
+  std::vector<PoolOffer> pools(*rc::gen::inRange<std::size_t>(0, 6));
   for (auto& pool : pools) {
     pool.unit = {double(*rc::gen::inRange(0, 9)), 0, double(*rc::gen::inRange(0, 9))};
     pool.beta = *rc::gen::inRange(0, 101) / 100.0;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -9,9 +9,9 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "controller/node.h"
-#include "drains/desk.h"
-#include "leadership/staleness.h"
+#include "controller/server.h"
+#include "drains/policy_file_watcher.h"
+#include "leadership/read_freshness.h"
 #include "settings/settings.h"
 
 namespace {
@@ -79,7 +79,7 @@
       }
       return 0;
     }
-    std::signal(SIGHUP, [](int) { drains::Desk::hurry(); });
+    std::signal(SIGHUP, [](int) { drains::PolicyFileWatcher::request_reload(); });
     controller::Node(platform, policy, policy_path).run();
   } catch (const reachramp::settings::BadSettings& error) {
     std::cerr << "reachramp: " << error.what() << "\n";
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -51,7 +51,7 @@
   return {{"rigs", std::move(rigs)}};
 }
 
-Json encode_hire(const Hire& hire) {
+Json encode_scale_out(const ScaleOutRequest& hire) {
   return {{"hire", hire.name},
           {"rig", hire.type},
           {"hall", hire.zone},
@@ -59,8 +59,8 @@
           {"how_many", hire.count}};
 }
 
-Listed decode_listed(const Json& body) {
-  Listed listed;
+ListedMachine decode_listed(const Json& body) {
+  ListedMachine listed;
   listed.name = wire::text(body, "ref");
   // A machine without one that can be used is there all the same. To drop the list for it would be
   // worse: nothing would be rented and nothing given back any more.
@@ -90,20 +90,20 @@
   }
 }
 
-Hired Client::hire(const Hire& hire) {
-  const Json body = encode_hire(hire);
+ScaleOutResult Client::scale_out(const ScaleOutRequest& hire) {
+  const Json body = encode_scale_out(hire);
   const wire::Answer answer = http_.call("POST", "/hosts", &body, kLimit);
-  Hired hired;
+  ScaleOutResult hired;
   try {
     if (answer.status == 200) {
       for (const Json& name : wire::list(answer.body, "hosts")) {
         hired.machines.push_back(name.get<std::string>());
       }
-      hired.verdict = Verdict::ok;
+      hired.verdict = CloudOutcome::ok;
     } else if (answer.status == 503 && answer.body.value("error", "") == "no capacity") {
-      hired.verdict = Verdict::no_capacity;
+      hired.verdict = CloudOutcome::no_capacity;
     } else if (answer.status == 400) {
-      hired.verdict = Verdict::bad;
+      hired.verdict = CloudOutcome::bad;
     }
   } catch (const std::exception& error) {
     spdlog::error("cloud hire {}: {}", hire.name, error.what());
@@ -112,7 +112,7 @@
   return hired;
 }
 
-bool Client::give_back(const std::vector<std::string>& machines) {
+bool Client::scale_in(const std::vector<std::string>& machines) {
   const Json body{{"hosts", machines}};
   return http_.call("POST", "/hosts/return", &body, kLimit).status == 200;
 }
@@ -129,7 +129,7 @@
     }
     const Json* more = wire::find(answer.body, "truncated");
     page.more = more != nullptr && more->get<bool>();
-    page.verdict = Verdict::ok;
+    page.verdict = CloudOutcome::ok;
   } catch (const std::exception& error) {
     spdlog::error("cloud list: {}", error.what());
     page = {};
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -27,7 +27,7 @@
 
 enum class MachinePhase { starting, running, failed };
 
-struct Listed {
+struct ListedMachine {
   std::string name;
   std::string address;
   std::string type;
@@ -37,7 +37,7 @@
   double held_s = 0;
 };
 
-struct Hire {
+struct ScaleOutRequest {
   std::string name;
   std::string type;
   std::string zone;
@@ -45,21 +45,21 @@
   int count = 0;
 };
 
-enum class Verdict {
+enum class CloudOutcome {
   ok,
   no_capacity,  // this pool has nothing now
   bad,          // malformed: repeating it will not help
   later,        // outage, rate limit or no answer: repeat the same request
 };
 
-struct Hired {
-  Verdict verdict = Verdict::later;
+struct ScaleOutResult {
+  CloudOutcome verdict = CloudOutcome::later;
   std::vector<std::string> machines;
 };
 
 struct ListPage {
-  Verdict verdict = Verdict::later;
-  std::vector<Listed> machines;
+  CloudOutcome verdict = CloudOutcome::later;
+  std::vector<ListedMachine> machines;
   bool more = false;
 };
 
@@ -68,16 +68,16 @@
 
 Catalog decode_catalog(const Json& body);
 Json encode_catalog(const Catalog& catalog);
-Json encode_hire(const Hire& hire);
-Listed decode_listed(const Json& body);
+Json encode_scale_out(const ScaleOutRequest& hire);
+ListedMachine decode_listed(const Json& body);
 
 class Client {
  public:
   explicit Client(const wire::Address& at);
 
   std::optional<Catalog> catalog();
-  Hired hire(const Hire& hire);
-  bool give_back(const std::vector<std::string>& machines);
+  ScaleOutResult scale_out(const ScaleOutRequest& hire);
+  bool scale_in(const std::vector<std::string>& machines);
   ListPage list(const std::string& after);
 
  private:
--- a/src/cloud/client_bytes_test.cpp
+++ b/src/cloud/client_bytes_test.cpp
@@ -32,12 +32,12 @@
 
 TEST(CloudBytes, HireIsWrittenAsLiteral) {
   EXPECT_TRUE(
-      is_written_as(encode_hire({"r-40-1", "g8", "a", true, 3}),
+      is_written_as(encode_scale_out({"r-40-1", "g8", "a", true, 3}),
                     R"({"hire":"r-40-1","rig":"g8","hall":"a","loaner":true,"how_many":3})"));
 }
 
 TEST(CloudBytes, ListedMachineIsReadFromLiteral) {
-  const Listed listed = decode_listed(received(
+  const ListedMachine listed = decode_listed(received(
       R"({"ref":"n-1","address":"10.0.0.1:9000","rig":"g8","hall":"a","loaner":true,
           "phase":"running","held_s":12.5})"));
   EXPECT_EQ(listed.name, "n-1");
@@ -67,12 +67,12 @@
   });
   Client client(service.at());
   ASSERT_TRUE(client.catalog());
-  const Hired hired = client.hire({"r-40-1", "g8", "a", false, 3});
-  EXPECT_EQ(hired.verdict, Verdict::ok);
+  const ScaleOutResult hired = client.scale_out({"r-40-1", "g8", "a", false, 3});
+  EXPECT_EQ(hired.verdict, CloudOutcome::ok);
   EXPECT_EQ(hired.machines, (std::vector<std::string>{"n-1", "n-2"}));
-  EXPECT_TRUE(client.give_back({"n-1", "n-2"}));
+  EXPECT_TRUE(client.scale_in({"n-1", "n-2"}));
   const ListPage page = client.list("");
-  EXPECT_EQ(page.verdict, Verdict::ok);
+  EXPECT_EQ(page.verdict, CloudOutcome::ok);
   EXPECT_EQ(page.machines.size(), 1u);
   EXPECT_TRUE(page.more);
   client.list("n-1");
@@ -94,11 +94,11 @@
   wire::Reply reply{503, received(R"({"error":"no capacity"})"), 0};
   test::Recorder service([&](const wire::Request&) { return reply; });
   Client client(service.at());
-  EXPECT_EQ(client.hire({}).verdict, Verdict::no_capacity);
+  EXPECT_EQ(client.scale_out({}).verdict, CloudOutcome::no_capacity);
   reply = {503, received(R"({"error":"outage"})"), 0};
-  EXPECT_EQ(client.hire({}).verdict, Verdict::later);
+  EXPECT_EQ(client.scale_out({}).verdict, CloudOutcome::later);
   reply = {400, received(R"({"error":"bad"})"), 0};
-  EXPECT_EQ(client.hire({}).verdict, Verdict::bad);
+  EXPECT_EQ(client.scale_out({}).verdict, CloudOutcome::bad);
 }
 
 }  // namespace
--- a/src/controller/cloud_calls.h
+++ b/src/controller/cloud_requests.h
@@ -10,24 +10,24 @@
 
 namespace reachramp::controller {
 
-struct CloudOrder {
-  enum class Kind { hire, give_back } kind = Kind::hire;
-  cloud::Hire hire;
+struct CloudRequest {
+  enum class Kind { scale_out, scale_in } kind = Kind::scale_out;
+  cloud::ScaleOutRequest scale_out;
   std::vector<std::string> machines;
   // A return before all other calls: a rule depends on it (workers/cancelled_tasks.h).
   bool urgent = false;
 };
 
-struct CloudCall {
-  std::uint64_t token = 0;  // fencing token of the leader that decided on it
-  CloudOrder order;
+struct QueuedCloudRequest {
+  std::uint64_t fencing_token = 0;  // fencing token of the leader that decided on it
+  CloudRequest request;
 };
 
 // Takes the most important call out of `waiting`, which must not be empty: urgent returns, then
 // rentals, since work waits for them, then other returns; of equals the oldest. Returns of one kind
 // are put together into one call, as far as a call may name so many machines.
-CloudCall take_next_call(std::deque<CloudCall>& waiting);
+QueuedCloudRequest take_next_request(std::deque<QueuedCloudRequest>& waiting);
 
-bool has_urgent_call(const std::deque<CloudCall>& waiting);
+bool has_urgent_request(const std::deque<QueuedCloudRequest>& waiting);
 
 }  // namespace reachramp::controller
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -4,17 +4,17 @@
 
 #include <algorithm>
 
-#include "controller/stale.h"
-#include "pipelines/needs.h"
+#include "controller/obsolete_records.h"
+#include "pipelines/dependencies.h"
 #include "placement/plan.h"
 
 namespace reachramp::controller {
 
+using kv::Outcome;
 using placement::Attempt;
-using placement::Fate;
+using placement::DependencyState;
 using placement::Host;
 using placement::Job;
-using state::Outcome;
 
 namespace {
 
@@ -30,25 +30,26 @@
 constexpr double kJobsCurrentFor = 3.0;
 constexpr double kLookUpAgain_s = 1;
 constexpr double kReadJobsAgain_s = 2;
-// A mark of the timeline may be so much later than the service's answer that it was taken from.
+// A mark of the revision clock may be so much later than the service's answer that it was taken
+// from.
 constexpr double kAnswerOnItsWay_s = 2;
 constexpr double kFirstShares_s = 5;  // after taking over, when most machines have been heard
 
 }  // namespace
 
 Leader::Leader(const settings::Platform& platform, const settings::Policy& policy,
-               std::uint64_t baton, const Snapshot& snapshot, double now,
-               const levels::Speech& speech)
+               std::uint64_t fencing_token, const LeaderSnapshot& snapshot, double now,
+               const schema::SupportedVersions& speech)
     : platform_(platform),
       policy_(policy),
-      cluster_(platform_, baton,
+      cluster_(platform_, fencing_token,
                snapshot.all_upgraded ? jobs::Format::compact : jobs::Format::whole),
       buyer_(policy),
       writes_(platform.state_limits, platform.state_next),
       speech_(speech),
       log_shares_at_(now + kFirstShares_s),
       stored_shares_at_(now),
-      timeline_(snapshot.timeline),
+      timeline_(snapshot.revision_clock),
       stored_timeline_at_(now),
       most_ops_(platform.lasting().txn_ops),
       since_(now),
@@ -56,86 +57,88 @@
       advanced_at_(now),
       staleness_(platform.workers, platform.members.size() + 1, snapshot.asked_at.value_or(now)) {
   level_ =
-      levels::decode_stored(snapshot.level ? std::optional(snapshot.level->value) : std::nullopt);
-  if (const std::string reason = levels::locked_out(level_, speech_); !reason.empty()) {
+      schema::decode_stored(snapshot.level ? std::optional(snapshot.level->value) : std::nullopt);
+  if (const std::string reason = schema::incompatibility(level_, speech_); !reason.empty()) {
     throw std::runtime_error(reason);
   }
-  all_upgraded_ = snapshot.all_upgraded || level_.level >= levels::kAges;
-  if (snapshot.level) ledger_.know(levels::kLevelKey, snapshot.level->stamp);
+  all_upgraded_ = snapshot.all_upgraded || level_.level >= schema::kAges;
+  if (snapshot.level) ledger_.note_stored(schema::kLevelKey, snapshot.level->revision);
   if (snapshot.shares) {
-    ledger_.know(shares::kSharesKey, snapshot.shares->stamp);
+    ledger_.note_stored(shares::kSharesKey, snapshot.shares->revision);
     try {
-      accounts_.inherit(snapshot.shares->value);
-      accounted_to_ = snapshot.shares->stamp;
+      accounts_.restore(snapshot.shares->value);
+      accounted_to_ = snapshot.shares->revision;
     } catch (const std::exception& error) {
       spdlog::error("record {}: {}: left alone", shares::kSharesKey, error.what());
       shares_unreadable_ = true;
     }
   }
   if (snapshot.drains_used) {
-    ledger_.know(drains::kUsedKey, snapshot.drains_used->stamp);
+    ledger_.note_stored(drains::kUsedKey, snapshot.drains_used->revision);
     try {
-      drains_.inherit(snapshot.drains_used->value, now);
+      drains_.restore(snapshot.drains_used->value, now);
     } catch (const std::exception& error) {
       spdlog::error("record {}: {}", drains::kUsedKey, error.what());
     }
   }
-  if (snapshot.told_timeline) {
-    ledger_.know(state::kTimelineKey, snapshot.told_timeline->stamp);
+  if (snapshot.stored_revision_clock) {
+    ledger_.note_stored(kv::kTimelineKey, snapshot.stored_revision_clock->revision);
     try {
-      timeline_.inherit(snapshot.told_timeline->value, snapshot.told_timeline->stamp, now);
+      timeline_.restore(snapshot.stored_revision_clock->value,
+                        snapshot.stored_revision_clock->revision, now);
     } catch (const std::exception& error) {
-      spdlog::error("record {}: {}", state::kTimelineKey, error.what());
+      spdlog::error("record {}: {}", kv::kTimelineKey, error.what());
     }
   }
   if (snapshot.catalog) {
-    ledger_.know(kCatalogKey, snapshot.catalog->stamp);
+    ledger_.note_stored(kCatalogKey, snapshot.catalog->revision);
     cluster_.set_catalog(cloud::decode_catalog(snapshot.catalog->value));
   }
-  for (const state::Entry& entry : snapshot.jobs) {
-    take_header(entry.key, entry.value, entry.stamp, told_before(entry.stamp, now), now);
+  for (const kv::Entry& entry : snapshot.jobs) {
+    take_header(entry.key, entry.value, entry.revision, told_before(entry.revision, now), now);
   }
   std::map<Index, std::vector<placement::StoredRecord>> records;
-  for (const state::Entry& entry : snapshot.tasks) {
+  for (const kv::Entry& entry : snapshot.tasks) {
     const auto key = jobs::parse_chunk_key(entry.key);
     if (!key) continue;
     const auto job = cluster_.job_index.find(key->job);
     if (job == cluster_.job_index.end()) {
       // Its job has ended; the transaction that ended it had no room for this.
-      ledger_.know(entry.key, entry.stamp);
+      ledger_.note_stored(entry.key, entry.revision);
       ledger_.write({entry.key, std::nullopt});
       continue;
     }
-    records[job->second].push_back({entry.key, *key, entry.stamp,
+    records[job->second].push_back({entry.key, *key, entry.revision,
                                     jobs::decode_chunk(*key, entry.value),
-                                    timeline_.time_of(entry.stamp, now)});
+                                    timeline_.time_of(entry.revision, now)});
   }
-  for (auto& [job, stored] : records) cluster_.inherit(job, std::move(stored), now);
-  for (Index job = 0; job < cluster_.jobs.size(); ++job) pipelines::enter(cluster_, job, now);
-  for (const state::Entry& entry : snapshot.pools) {
-    ledger_.know(entry.key, entry.stamp);
+  for (auto& [job, stored] : records) cluster_.restore(job, std::move(stored), now);
+  for (Index job = 0; job < cluster_.jobs.size(); ++job)
+    pipelines::track_dependencies(cluster_, job, now);
+  for (const kv::Entry& entry : snapshot.pools) {
+    ledger_.note_stored(entry.key, entry.revision);
     if (!entry.value.value("open", false)) continue;
-    cloud::Hire hire{entry.value.at("name").get<std::string>(),
-                     entry.value.at("type").get<std::string>(),
-                     entry.value.at("zone").get<std::string>(), entry.value.at("spot").get<bool>(),
-                     entry.value.at("count").get<int>()};
+    cloud::ScaleOutRequest hire{
+        entry.value.at("name").get<std::string>(), entry.value.at("type").get<std::string>(),
+        entry.value.at("zone").get<std::string>(), entry.value.at("spot").get<bool>(),
+        entry.value.at("count").get<int>()};
     // The request may have been made, or not: under the same name it is made at most once.
-    buyer_.note_asked({cluster_.types.add(hire.type), cluster_.zones.add(hire.zone), hire.spot},
-                      hire.count);
+    buyer_.note_requested({cluster_.types.add(hire.type), cluster_.zones.add(hire.zone), hire.spot},
+                          hire.count);
     asked_at_[hire.name] = now;
-    out_.cloud.push_back({CloudOrder::Kind::hire, hire, {}});
+    out_.cloud_requests.push_back({CloudRequest::Kind::scale_out, hire, {}});
   }
-  if (levels::has(level_, levels::kDrains)) on_drains(snapshot.drains, now);
+  if (schema::has(level_, schema::kDrains)) on_drains(snapshot.drains, now);
   if (snapshot.zones) {
-    ledger_.know(zones::kZonesKey, snapshot.zones->stamp);
+    ledger_.note_stored(zones::kZonesKey, snapshot.zones->revision);
     try {
-      zones_.inherit(snapshot.zones->value, cluster_, timeline_.time_of(snapshot.zones->stamp, now),
-                     now);
+      zones_.restore(snapshot.zones->value, cluster_,
+                     timeline_.time_of(snapshot.zones->revision, now), now);
     } catch (const std::exception& error) {
       spdlog::error("record {}: {}: all zones are taken for well", zones::kZonesKey, error.what());
     }
   }
-  const auto stale = [&](const state::Entry& entry) {
+  const auto stale = [&](const kv::Entry& entry) {
     return is_stale(entry.key, entry.value, level_.writes);
   };
   // A version that knows of no levels cannot be locked out, only be seen and mended after.
@@ -144,37 +147,39 @@
     spdlog::error("level {}: an older version has led since the step", level_.level);
     write_level({level_.level, level_.writes, false}, {});
   }
-  spdlog::info("leading with baton {}: {} jobs, {} machines known", baton,
+  spdlog::info("leading with baton {}: {} jobs, {} machines known", fencing_token,
                cluster_.job_index.size(), cluster_.host_index.size());
 }
 
-bool Leader::may_start(double now) const { return now - staleness_.last_read() < kJobsCurrentFor; }
+bool Leader::may_start(double now) const {
+  return now - staleness_.last_jobs_read_at() < kJobsCurrentFor;
+}
 
 bool Leader::waits_for_commit(const Host& host) const {
   return std::any_of(host.attempts.begin(), host.attempts.end(), [&](const auto& ref) {
     const Attempt& attempt = cluster_.jobs[ref.job]->attempts.at(ref.task);
-    return !attempt.durable && !attempt.stopping;
+    return !attempt.persisted && !attempt.stopping;
   });
 }
 
 // Looked at for each answer, however long the process stood still before: the worker's lease counts
 // from the sending of its report, which is before `now`.
-bool Leader::entitled_to_answer(const Answerer& answer, double now) {
+bool Leader::entitled_to_answer(const HeartbeatResponder& answer, double now) {
   const bool answers = staleness_.may_answer(now);
   if (answers != std::exchange(answers_, answers)) {
     spdlog::error("{}: cancellations are known up to {:.1f} s ago",
                   answers ? "workers are answered again" : "workers are answered no longer",
-                  now - staleness_.known_to());
+                  now - staleness_.cancellations_known_until());
   }
   if (!answers) answer(nullptr);
   return answers;
 }
 
-void Leader::answer(const Answerer& answer, std::optional<Index> host, double now) {
+void Leader::answer(const HeartbeatResponder& answer, std::optional<Index> host, double now) {
   if (!entitled_to_answer(answer, now)) return;
-  std::vector<workers::Order> orders;
-  if (host) orders = workers::orders_for(cluster_, *host, may_start(now), now);
-  answer(workers::encode_response(cluster_.baton, orders));
+  std::vector<workers::Command> orders;
+  if (host) orders = workers::commands_for(cluster_, *host, may_start(now), now);
+  answer(workers::encode_response(cluster_.fencing_token, orders));
 }
 
 // Thousands may be parked while starts wait for writes; each is looked at again when a plan, a
@@ -197,56 +202,58 @@
   parked_ = std::move(still);
 }
 
-ReportVerdict Leader::on_report(const workers::Report& report, Answerer answerer, double now) {
-  if (report.baton > cluster_.baton) {
+HeartbeatVerdict Leader::on_heartbeat(const workers::Heartbeat& report, HeartbeatResponder answerer,
+                                      double now) {
+  if (report.fencing_token > cluster_.fencing_token) {
     deposed_ = true;
-    return ReportVerdict::deposed;
+    return HeartbeatVerdict::deposed;
   }
   // What runs on a machine that was returned counts as ended: it is not believed.
   const bool returned = tombstones_.contains(report.host);
-  if (!returned && workers::absorb(cluster_, report, workers::Channel::report, now)) {
+  if (!returned && workers::reconcile(cluster_, report, workers::Channel::heartbeat, now)) {
     replan_ = true;
     parked_.push_back({report.host, std::move(answerer), now});
   } else if (entitled_to_answer(answerer, now)) {
     // Or it is not newer than what is known, as when a direct response has overtaken it. The answer
     // extends the lease all the same, so it carries what must stop; nothing may start on it.
-    answerer(workers::encode_response(cluster_.baton, workers::stops_for(cluster_, report)));
+    answerer(
+        workers::encode_response(cluster_.fencing_token, workers::stops_for(cluster_, report)));
   }
-  return ReportVerdict::taken;
+  return HeartbeatVerdict::accepted;
 }
 
-void Leader::on_direct(const workers::Report& report, double now) {
-  if (report.baton > cluster_.baton) {
+void Leader::on_direct_status(const workers::Heartbeat& report, double now) {
+  if (report.fencing_token > cluster_.fencing_token) {
     deposed_ = true;
   } else if (!tombstones_.contains(report.host)) {
-    workers::absorb(cluster_, report, workers::Channel::direct, now);
+    workers::reconcile(cluster_, report, workers::Channel::direct, now);
     replan_ = true;
   }
 }
 
 // What was not in the state was told after the moment up to which all cancellations were known.
 placement::CancellationTime Leader::told_lately(double now) const {
-  return {std::min(staleness_.known_to(), now), now};
+  return {std::min(staleness_.cancellations_known_until(), now), now};
 }
 
-placement::CancellationTime Leader::told_before(std::uint64_t stamp, double now) const {
+placement::CancellationTime Leader::told_before(std::uint64_t revision, double now) const {
   placement::CancellationTime told_at;
-  if (const auto earliest = timeline_.not_before(stamp))
+  if (const auto earliest = timeline_.earliest_time_of(revision))
     told_at.earliest = *earliest - kAnswerOnItsWay_s;
-  told_at.latest = timeline_.time_of(stamp, now);
+  told_at.latest = timeline_.time_of(revision, now);
   return told_at;
 }
 
 void Leader::on_jobs_current(double asked_at) {
-  if (jobs_complete_) staleness_.read_to(asked_at);
+  if (jobs_complete_) staleness_.on_jobs_read(asked_at);
 }
 
-bool Leader::take_header(const std::string& key, const state::Json& value, std::uint64_t stamp,
+bool Leader::take_header(const std::string& key, const kv::Json& value, std::uint64_t revision,
                          placement::CancellationTime told_at, double now) {
   if (!key.starts_with("job/")) return true;
   const std::string id = key.substr(4);
   const auto ended = ended_.find(id);
-  if (ended != ended_.end() && stamp < ended->second) return true;
+  if (ended != ended_.end() && revision < ended->second) return true;
   jobs::Header header;
   try {
     header = jobs::decode_header(value);
@@ -258,19 +265,19 @@
   try {
     Job* job = cluster_.job(id);
     if (job == nullptr) {
-      const std::uint64_t born = header.born != 0 ? header.born : stamp;
+      const std::uint64_t born = header.born != 0 ? header.born : revision;
       const double seen_at = timeline_.time_of(born, now);
-      const Index index = cluster_.add_job(header, stamp, seen_at, told_at);
-      cluster_.jobs[index]->still_since = now;
+      const Index index = cluster_.add_job(header, revision, seen_at, told_at);
+      cluster_.jobs[index]->idle_since = now;
       if (born > accounted_to_) accounts_.came(*cluster_.jobs[index]);
-      pipelines::enter(cluster_, index, now);
+      pipelines::track_dependencies(cluster_, index, now);
       spdlog::info("job {} taken up: {} tasks", id, header.spec.tasks);
-    } else if (stamp > job->stamp) {
-      job->stamp = stamp;
-      job->hearsay = job->hearsay && !header.cancelled;
+    } else if (revision > job->revision) {
+      job->revision = revision;
+      job->unconfirmed = job->unconfirmed && !header.cancelled;
       if (header.cancelled && !job->cancelled) {
         cluster_.cancel(cluster_.job_index[id], told_at);
-        pipelines::settle(cluster_, id, Fate::cancelled, now);
+        pipelines::resolve_dependents(cluster_, id, DependencyState::cancelled, now);
       }
     }
     reurge_ = replan_ = rebuy_ = look_at_parked_ = true;
@@ -281,24 +288,24 @@
   return true;
 }
 
-void Leader::on_jobs(const std::vector<state::Change>& changes, double now) {
+void Leader::on_jobs(const std::vector<kv::KeyChange>& changes, double now) {
   // Until the last of them is taken in: what throws on the way is not known.
   bool complete = std::exchange(jobs_complete_, false);
-  for (const state::Change& change : changes) {
-    watched_to_ = std::max(watched_to_, change.stamp);
-    timeline_.note(change.stamp, now);
+  for (const kv::KeyChange& change : changes) {
+    watched_to_ = std::max(watched_to_, change.revision);
+    timeline_.observe(change.revision, now);
     if (change.value) {
-      complete &= take_header(change.key, *change.value, change.stamp, told_lately(now), now);
+      complete &= take_header(change.key, *change.value, change.revision, told_lately(now), now);
       continue;
     }
     // Our own end of the job; what the watch brings from here on is newer.
     const std::string id = change.key.substr(std::min<std::size_t>(4, change.key.size()));
     ended_.erase(id);
     const auto at = cluster_.job_index.find(id);
-    if (at != cluster_.job_index.end() && cluster_.jobs[at->second]->stamp < change.stamp &&
+    if (at != cluster_.job_index.end() && cluster_.jobs[at->second]->revision < change.revision &&
         transaction_.is_empty()) {
       cluster_.remove_job(at->second);
-      pipelines::settle(cluster_, id, Fate::unknown, now);
+      pipelines::resolve_dependents(cluster_, id, DependencyState::unknown, now);
       reurge_ = true;
     }
   }
@@ -307,8 +314,9 @@
 
 // Told to a user, they are durable; the watch brings their headers later. Before a word proves
 // anything its cancellations are in the state.
-void Leader::on_words(const std::vector<leadership::Word>& words, double now) {
-  for (const leadership::Word& word : words) {
+void Leader::on_cancellation_digests(const std::vector<leadership::CancellationDigest>& words,
+                                     double now) {
+  for (const leadership::CancellationDigest& word : words) {
     for (const std::string& id : word.cancelled) {
       const auto at = cluster_.job_index.find(id);
       if (at == cluster_.job_index.end()) {
@@ -318,44 +326,45 @@
       Job& job = *cluster_.jobs[at->second];
       if (job.cancelled) continue;
       spdlog::info("job {} is cancelled: its user was told so elsewhere", id);
-      job.hearsay = true;
+      job.unconfirmed = true;
       cluster_.cancel(at->second, told_lately(now));
-      pipelines::settle(cluster_, id, Fate::cancelled, now);
+      pipelines::resolve_dependents(cluster_, id, DependencyState::cancelled, now);
       reurge_ = replan_ = rebuy_ = look_at_parked_ = true;
     }
-    staleness_.take(word);
+    staleness_.apply(word);
   }
 }
 
-void Leader::on_end_read(const std::string& id, const state::Found& found, double now) {
+void Leader::on_end_read(const std::string& id, const kv::ReadResult& found, double now) {
   // Absent: it was accepted a moment ago and the watch has yet to bring it.
   if (found.outcome != Outcome::ok || cluster_.job_index.contains(id)) return;
   const bool cancelled = jobs::decode_ending(found.entry.value).cancelled;
-  pipelines::settle(cluster_, id, cancelled ? Fate::cancelled : Fate::done,
-                    timeline_.time_of(found.entry.stamp, now));
+  pipelines::resolve_dependents(cluster_, id,
+                                cancelled ? DependencyState::cancelled : DependencyState::done,
+                                timeline_.time_of(found.entry.revision, now));
   looked_up_at_.erase(id);
   reurge_ = replan_ = rebuy_ = true;
 }
 
-void Leader::on_job_list(const std::vector<state::Entry>& entries, double now) {
+void Leader::on_job_list(const std::vector<kv::Entry>& entries, double now) {
   bool complete = true;
-  for (const state::Entry& entry : entries) {
-    complete &= take_header(entry.key, entry.value, entry.stamp, told_lately(now), now);
+  for (const kv::Entry& entry : entries) {
+    complete &= take_header(entry.key, entry.value, entry.revision, told_lately(now), now);
   }
   jobs_complete_ = complete;
 }
 
-Outbox Leader::advance(double now) {
+Effects Leader::advance(double now) {
   note_advance(now);
   if (std::exchange(reurge_, false)) {
-    pipelines::urge(cluster_);
+    pipelines::inherit_priority(cluster_);
     unknown_ = pipelines::unknown(cluster_);
   }
   for (const std::string& id : unknown_) {
     const auto [at, fresh] = looked_up_at_.try_emplace(id, now);
     if (!fresh && now - at->second < kLookUpAgain_s) continue;
     at->second = now;
-    out_.look_up.push_back(id);
+    out_.read_job_ends.push_back(id);
   }
   const double since_plan = now - planned_at_;
   if ((replan_ && since_plan >= kPlanAtMostEvery) || since_plan > kPlanEvery) {
@@ -398,10 +407,11 @@
     jobs_asked_at_ = now;
     out_.read_jobs = true;
   }
-  if (staleness_.should_ask(now)) out_.ask_told = staleness_.windows(now);
+  if (staleness_.should_poll_members(now))
+    out_.cancellation_poll_windows = staleness_.query_windows(now);
   std::erase_if(to_hire_, [&](const auto& pending) {
     if (!ledger_.is_stored(pending.first)) return false;
-    out_.cloud.push_back({CloudOrder::Kind::hire, pending.second, {}});
+    out_.cloud_requests.push_back({CloudRequest::Kind::scale_out, pending.second, {}});
     return true;
   });
   answer_parked(now);
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -1,5 +1,5 @@
 // The leader's decisions: what every command changes, and what is to be done about it. Pure but for
-// the time passed in; the edges carry out what stands in the outbox.
+// the time passed in; the edges carry out what stands in the effects.
 #pragma once
 
 #include <functional>
@@ -10,107 +10,112 @@
 #include <string>
 #include <vector>
 
-#include "acquire/buyer.h"
-#include "controller/cloud_calls.h"
-#include "controller/ledger.h"
+#include "acquire/autoscaler.h"
+#include "controller/cloud_requests.h"
 #include "controller/pending_transaction.h"
+#include "controller/transaction_builder.h"
 #include "controller/write_budget.h"
 #include "drains/drains.h"
-#include "leadership/staleness.h"
-#include "levels/levels.h"
+#include "leadership/read_freshness.h"
 #include "placement/cluster.h"
+#include "schema/schema.h"
 #include "settings/settings.h"
-#include "shares/accounts.h"
-#include "workers/report.h"
+#include "shares/usage_accounts.h"
+#include "workers/heartbeat.h"
 #include "zones/zones.h"
 
 namespace reachramp::controller {
 
 // What becomes of a worker's report.
-enum class ReportVerdict {
-  taken,    // its response goes to the answerer, now or later
-  deposed,  // the worker has seen a higher token: this leader's time is over
+enum class HeartbeatVerdict {
+  accepted,  // its response goes to the answerer, now or later
+  deposed,   // the worker has seen a higher token: this leader's time is over
 };
 
 // What the edges are to do. Taken and emptied by the owner after each batch of commands.
-struct Outbox {
-  std::optional<Batch> commit;
-  std::vector<CloudOrder> cloud;
-  std::optional<std::string> read_back;  // a key that tells whether a transaction was applied
-  std::vector<std::string> look_up;      // jobs whose ends are to be read
-  std::vector<std::string> greet;        // machines to be sent empty orders that carry our baton
-  std::vector<std::pair<std::string, state::Json>> stop_now;  // addresses, bodies of /orders
-  std::vector<double>
-      ask_told;  // members for the cancellations they told: one window each; or none
-  bool resign = false;
+struct Effects {
+  std::optional<TransactionBatch> transaction;
+  std::vector<CloudRequest> cloud_requests;
+  std::optional<std::string> verify_key;   // a key that tells whether a transaction was applied
+  std::vector<std::string> read_job_ends;  // jobs whose ends are to be read
+  std::vector<std::string> probes;  // machines to be sent empty orders that carry our fencing token
+  std::vector<std::pair<std::string, kv::Json>> urgent_stops;  // addresses, bodies of /orders
+  std::vector<double> cancellation_poll_windows;  // members for the cancellations they told: one
+                                                  // window each; or none
+  bool step_down = false;
   bool read_jobs = false;    // all of them: a change that the watch brought was not taken in
   bool read_drains = false;  // the record of what is to be drained
   bool read_claims = false;  // what the processes on all nodes speak
-  bool read_stale = false;   // records that are not of the level's form, by strong reads
+  bool read_obsolete_records = false;  // records that are not of the level's form, by strong reads
 };
 
-struct Snapshot {
-  std::vector<state::Entry> jobs;
-  std::vector<state::Entry> tasks;
-  std::vector<state::Entry> pools;
-  std::optional<state::Entry> catalog;
-  std::optional<state::Entry> level;
-  std::optional<state::Entry> shares;
-  std::optional<state::Entry> drains;
-  std::optional<state::Entry> drains_used;
-  std::optional<state::Entry> zones;
-  std::optional<double> asked_at;  // when the jobs were asked for (steady seconds); else now
-  bool all_upgraded = false;       // no node runs a version that knows whole records only
-  state::Timeline timeline;        // what this node knows of when stamps were given
-  std::optional<state::Entry> told_timeline;  // what earlier leaders wrote of it
+struct LeaderSnapshot {
+  std::vector<kv::Entry> jobs;
+  std::vector<kv::Entry> tasks;
+  std::vector<kv::Entry> pools;
+  std::optional<kv::Entry> catalog;
+  std::optional<kv::Entry> level;
+  std::optional<kv::Entry> shares;
+  std::optional<kv::Entry> drains;
+  std::optional<kv::Entry> drains_used;
+  std::optional<kv::Entry> zones;
+  std::optional<double> asked_at;    // when the jobs were asked for (steady seconds); else now
+  bool all_upgraded = false;         // no node runs a version that knows whole records only
+  kv::RevisionClock revision_clock;  // what this node knows of when revisions were given
+  std::optional<kv::Entry> stored_revision_clock;  // what earlier leaders wrote of it
 };
 
 class Leader {
  public:
   // Throws where the stored level is not one that `speech` has.
-  Leader(const settings::Platform& platform, const settings::Policy& policy, std::uint64_t baton,
-         const Snapshot& snapshot, double now, const levels::Speech& speech = {});
+  Leader(const settings::Platform& platform, const settings::Policy& policy,
+         std::uint64_t fencing_token, const LeaderSnapshot& snapshot, double now,
+         const schema::SupportedVersions& speech = {});
 
   // A worker's report; `answer` is called with the response, now or as soon as intents that it
   // should carry are durable, or with null: this leader may not answer now
-  // (leadership/staleness.h).
-  using Answerer = std::function<void(const wire::Json&)>;
-  ReportVerdict on_report(const workers::Report& report, Answerer answer, double now);
-  void on_direct(const workers::Report& report, double now);
-  void on_jobs(const std::vector<state::Change>& changes, double now);
+  // (leadership/read_freshness.h).
+  using HeartbeatResponder = std::function<void(const wire::Json&)>;
+  HeartbeatVerdict on_heartbeat(const workers::Heartbeat& report, HeartbeatResponder answer,
+                                double now);
+  void on_direct_status(const workers::Heartbeat& report, double now);
+  void on_jobs(const std::vector<kv::KeyChange>& changes, double now);
   // All jobs as read anew after the watch lost its place.
-  void on_job_list(const std::vector<state::Entry>& entries, double now);
-  void on_end_read(const std::string& id, const state::Found& found, double now);
+  void on_job_list(const std::vector<kv::Entry>& entries, double now);
+  void on_end_read(const std::string& id, const kv::ReadResult& found, double now);
   void on_all_upgraded() { all_upgraded_ = true; }
   // All changes of jobs until then were passed in; they count as known if all were taken in.
   void on_jobs_current(double asked_at);
   // What members have told users as cancelled, each for itself.
-  void on_words(const std::vector<leadership::Word>& words, double now);
-  void on_claims(const std::vector<state::Entry>& entries);
+  void on_cancellation_digests(const std::vector<leadership::CancellationDigest>& words,
+                               double now);
+  void on_claims(const std::vector<kv::Entry>& entries);
   // All stale records that strong reads showed, which began after this leader had asked for them.
-  void on_stale(const std::vector<state::Entry>& entries, double now);
+  void on_obsolete_records(const std::vector<kv::Entry>& entries, double now);
   // The record of what is to be drained; nothing: there is none.
-  void on_drains(const std::optional<state::Entry>& entry, double now);
+  void on_drains(const std::optional<kv::Entry>& entry, double now);
   const drains::Drains& drains() const { return drains_; }
-  const levels::Stored& level() const { return level_; }
-  void on_settled(const state::Committed& committed, double now);
+  const schema::StoredSchema& level() const { return level_; }
+  void on_transaction_completed(const kv::CommitResult& committed, double now);
   // The key that was to be read back, and the leader's key, by strong reads in this order: while
-  // the latter has our baton, nobody else can have written the former.
-  void on_read_back(const state::Found& found, const state::Found& leader, double now);
+  // the latter has our fencing token, nobody else can have written the former.
+  void on_transaction_verified(const kv::ReadResult& found, const kv::ReadResult& leader,
+                               double now);
   void on_catalog(const cloud::Catalog& catalog, double now);
-  void on_list(const std::vector<cloud::Listed>& listed, double asked_at, double now);
-  void on_hired(const cloud::Hire& hire, const cloud::Hired& hired, double now);
-  void on_returned(const std::vector<std::string>& machines, double now);
+  void on_host_list(const std::vector<cloud::ListedMachine>& listed, double asked_at, double now);
+  void on_scale_out_completed(const cloud::ScaleOutRequest& hire,
+                              const cloud::ScaleOutResult& hired, double now);
+  void on_scale_in_completed(const std::vector<std::string>& machines, double now);
 
   // Lets time pass: plans, rents, returns, commits, answers.
-  Outbox advance(double now);
+  Effects advance(double now);
   bool deposed() const { return deposed_; }
   const Cluster& cluster() const { return cluster_; }
 
  private:
   struct Parked {
     std::string host;
-    Answerer answer;
+    HeartbeatResponder answer;
     double since = 0;
   };
 
@@ -126,18 +131,18 @@
   // A leader that stood still has heard nobody meanwhile: it listens anew.
   void note_advance(double now);
   // False, and nothing is answered, while this leader may not answer workers.
-  bool entitled_to_answer(const Answerer& answer, double now);
+  bool entitled_to_answer(const HeartbeatResponder& answer, double now);
   // With the orders for the host, if it is known.
-  void answer(const Answerer& answer, std::optional<Index> host, double now);
+  void answer(const HeartbeatResponder& answer, std::optional<Index> host, double now);
   void answer_parked(double now);
   bool waits_for_commit(const placement::Host& host) const;
   void gone(const std::string& name, double now);
   void commit(double now);
   void resume_transaction(double now);
   void settle(const PendingTransaction::Resolution& resolution, double now);
-  void note_committed(const Batch& batch, std::uint64_t epoch, double now);
-  void note_too_large(const Batch& batch, double now);
-  void note_rejected(state::Outcome outcome, double now);
+  void note_committed(const TransactionBatch& batch, std::uint64_t store_revision, double now);
+  void note_too_large(const TransactionBatch& batch, double now);
+  void note_rejected(kv::Outcome outcome, double now);
   void store_timeline(double now);
   void pass_shares(double now);
   void log_shares(double now);
@@ -146,48 +151,48 @@
   void end_drains();
   void close_pools();
   void watch_levels(double now);
-  void write_level(const levels::Stored& to,
+  void write_level(const schema::StoredSchema& to,
                    std::vector<std::pair<std::string, std::uint64_t>> given);
-  void renew_record(const std::string& key, std::uint64_t stamp, double now);
+  void renew_record(const std::string& key, std::uint64_t revision, double now);
   // Whether all that the record says is in the state now.
-  bool take_header(const std::string& key, const state::Json& value, std::uint64_t stamp,
+  bool take_header(const std::string& key, const kv::Json& value, std::uint64_t revision,
                    placement::CancellationTime told_at, double now);
   // Of a change that the watch brings now, and of a record that was there when this leader began.
   placement::CancellationTime told_lately(double now) const;
-  placement::CancellationTime told_before(std::uint64_t stamp, double now) const;
+  placement::CancellationTime told_before(std::uint64_t revision, double now) const;
   bool may_start(double now) const;
   std::string pool_key(const placement::Pool& pool) const;
 
   settings::Platform platform_;
   settings::Policy policy_;
   Cluster cluster_;
-  acquire::Buyer buyer_;
-  Ledger ledger_;
+  acquire::Autoscaler buyer_;
+  TransactionBuilder ledger_;
   WriteBudget writes_;
   zones::Zones zones_;
   double zones_stored_at_ = -1e9;
   drains::Drains drains_;
-  std::string bad_drains_;          // why the record is not in force, as last logged
-  std::uint64_t drains_stamp_ = 0;  // of the record in force
-  bool rolling_ = true;             // until claims show that it is not
+  std::string bad_drains_;             // why the record is not in force, as last logged
+  std::uint64_t drains_revision_ = 0;  // of the record in force
+  bool rolling_ = true;                // until claims show that it is not
   double drains_asked_at_ = -1e9;
   double drained_at_ = -1e9;
   double drains_stored_at_ = -1e9;
-  levels::Speech speech_;
-  levels::Stored level_;
+  schema::SupportedVersions speech_;
+  schema::StoredSchema level_;
   std::string refused_step_;       // as last logged
   std::set<std::string> renewed_;  // records of tasks that the step has removed
   double claims_asked_at_ = -1e9;
   double stale_asked_at_ = -1e9;
-  shares::Accounts accounts_;
+  shares::UsageAccounts accounts_;
   std::uint64_t accounted_to_ = 0;  // jobs born up to here are in the accounts that were read
   bool shares_unreadable_ = false;
   double shares_passed_at_ = -1e9;
   double log_shares_at_;
   double stored_shares_at_;
-  state::Timeline timeline_;
+  kv::RevisionClock timeline_;
   double stored_timeline_at_;
-  Outbox out_;
+  Effects out_;
   PendingTransaction transaction_;
   int conflicts_ = 0;  // in a row
   int most_ops_;       // of one transaction
@@ -196,18 +201,18 @@
   bool look_at_parked_ = false;               // something has changed that may let answers go
   std::vector<std::string> unknown_;          // jobs that others need and nothing is known of
   std::map<std::string, double> tombstones_;  // machines
-  // Jobs whose end was settled under this lead, with its stamp. The watch may yet bring headers
+  // Jobs whose end was settled under this lead, with its revision. The watch may yet bring headers
   // from before.
   std::map<std::string, std::uint64_t> ended_;
-  std::uint64_t watched_to_ = 0;  // the newest stamp that the watch has brought
+  std::uint64_t watched_to_ = 0;  // the newest revision that the watch has brought
   // Requests whose pool record is on its way, then those that are out.
-  std::vector<std::pair<std::string, cloud::Hire>> to_hire_;
+  std::vector<std::pair<std::string, cloud::ScaleOutRequest>> to_hire_;
   std::map<std::string, double> asked_at_;
   std::uint64_t hires_ = 0;
   double since_;
   double listening_since_;  // the same, or since this process last stood still
   double advanced_at_;
-  leadership::Staleness staleness_;
+  leadership::ReadFreshness staleness_;
   bool jobs_complete_ = true;  // every change that the watch brought was taken in
   bool answers_ = true;        // as last logged
   double planned_at_ = -1e9;
--- a/src/controller/leader_accounts.cpp
+++ b/src/controller/leader_accounts.cpp
@@ -1,10 +1,10 @@
 // The leader's accounts: what it logs of teams, classes and waiting jobs, and what it stores for
-// its successors of their shares and of when stamps were given.
+// its successors of their shares and of when revisions were given.
 #include <spdlog/spdlog.h>
 
 #include "controller/leader.h"
 #include "placement/waits.h"
-#include "zones/what_if.h"
+#include "zones/zone_loss_estimate.h"
 
 namespace reachramp::controller {
 
@@ -22,21 +22,21 @@
 
 // One write every few seconds, while there are jobs whose age it tells.
 void Leader::store_timeline(double now) {
-  if (!levels::has(level_, levels::kAges) || now - stored_timeline_at_ < kStoreTimeline_s ||
+  if (!schema::has(level_, schema::kAges) || now - stored_timeline_at_ < kStoreTimeline_s ||
       cluster_.job_index.empty()) {
     return;
   }
   stored_timeline_at_ = now;
-  const state::Json value = timeline_.encode(now);
-  if (state::fits(value, platform_.lasting().value_kb)) {
-    ledger_.write({state::kTimelineKey, value});
+  const kv::Json value = timeline_.encode(now);
+  if (kv::fits(value, platform_.lasting().value_kb)) {
+    ledger_.write({kv::kTimelineKey, value});
   }
 }
 
 void Leader::pass_shares(double now) {
   if (now - shares_passed_at_ < kPassShares_s) return;
   shares_passed_at_ = now;
-  accounts_.pass(cluster_, now);
+  accounts_.advance(cluster_, now);
   if (now >= log_shares_at_) log_shares(now);
   store_shares(now);
 }
@@ -46,22 +46,23 @@
   spdlog::info("served: {}", shares::describe(accounts_.report(cluster_, now)));
   for (const Index job : placement::longest_waiting(cluster_, kLogWaiting, now)) {
     spdlog::info("job {} waits after {:.0f} s: {}", cluster_.jobs[job]->spec.id,
-                 now - cluster_.jobs[job]->freed_at, placement::why_waits(cluster_, job, now));
+                 now - cluster_.jobs[job]->unblocked_at, placement::why_waits(cluster_, job, now));
   }
-  const auto losses = zones::what_if(cluster_, placement::service_order(cluster_, now), now);
-  for (const zones::Loss& loss : losses) {
+  const auto losses =
+      zones::estimate_zone_loss(cluster_, placement::service_order(cluster_, now), now);
+  for (const zones::ZoneLossEstimate& loss : losses) {
     if (losses.size() > 1) spdlog::info("{}", zones::describe(cluster_, loss));
   }
 }
 
 void Leader::store_shares(double now) {
-  if (!levels::has(level_, levels::kShares) || shares_unreadable_ ||
+  if (!schema::has(level_, schema::kShares) || shares_unreadable_ ||
       now - stored_shares_at_ < kStoreShares_s || cluster_.job_index.empty()) {
     return;
   }
   stored_shares_at_ = now;
-  const state::Json value = accounts_.encode();
-  if (state::fits(value, platform_.lasting().value_kb)) ledger_.write({shares::kSharesKey, value});
+  const kv::Json value = accounts_.encode();
+  if (kv::fits(value, platform_.lasting().value_kb)) ledger_.write({shares::kSharesKey, value});
 }
 
 }  // namespace reachramp::controller
--- a/src/controller/leader_bytes_test.cpp
+++ b/src/controller/leader_bytes_test.cpp
@@ -17,22 +17,22 @@
   return p;
 }
 
-Snapshot snapshot() {
-  Snapshot made;
+LeaderSnapshot snapshot() {
+  LeaderSnapshot made;
   made.all_upgraded = true;
   made.catalog =
-      state::Entry{"catalog",
-                   test::received(
-                       R"({"rigs":[{"label":"small","vcpus":4.0,"accelerators":0.0,"ram_gb":16.0,
+      kv::Entry{"catalog",
+                test::received(
+                    R"({"rigs":[{"label":"small","vcpus":4.0,"accelerators":0.0,"ram_gb":16.0,
               "cache_gb":50.0,"pull_gb_per_s":1.0,"rate":0.5,"low_price":0.25,"boot_s":5.0,
               "halls":["a"]}]})"),
-                   3};
+                3};
   return made;
 }
 
-const wire::Json* written(const Outbox& out, const std::string& key) {
-  if (!out.commit) return nullptr;
-  for (const state::Write& write : out.commit->transaction.writes) {
+const wire::Json* written(const Effects& out, const std::string& key) {
+  if (!out.transaction) return nullptr;
+  for (const kv::Write& write : out.transaction->transaction.writes) {
     if (write.key == key && write.value) return &*write.value;
   }
   return nullptr;
@@ -40,25 +40,25 @@
 
 // Versions 0.2.0, 0.3.0 and 0.4.0 write the same.
 TEST(PoolRecordBytes, OpenRequestIsReadFromLiteral) {
-  Snapshot from = snapshot();
+  LeaderSnapshot from = snapshot();
   from.pools = {{"pool/small/a/spot",
                  test::received(R"({"open":true,"name":"r-39-2","type":"small","zone":"a",
                                     "spot":true,"count":3})"),
                  8},
                 {"pool/small/b/ordinary", test::received(R"({"open":false})"), 9}};
   Leader leader(platform(), {}, 40, from, 0);
-  const Outbox out = leader.advance(0.1);
-  ASSERT_EQ(out.cloud.size(), 1u);
-  EXPECT_EQ(out.cloud[0].kind, CloudOrder::Kind::hire);
-  EXPECT_EQ(out.cloud[0].hire.name, "r-39-2");
-  EXPECT_EQ(out.cloud[0].hire.type, "small");
-  EXPECT_EQ(out.cloud[0].hire.zone, "a");
-  EXPECT_TRUE(out.cloud[0].hire.spot);
-  EXPECT_EQ(out.cloud[0].hire.count, 3);
+  const Effects out = leader.advance(0.1);
+  ASSERT_EQ(out.cloud_requests.size(), 1u);
+  EXPECT_EQ(out.cloud_requests[0].kind, CloudRequest::Kind::scale_out);
+  EXPECT_EQ(out.cloud_requests[0].scale_out.name, "r-39-2");
+  EXPECT_EQ(out.cloud_requests[0].scale_out.type, "small");
+  EXPECT_EQ(out.cloud_requests[0].scale_out.zone, "a");
+  EXPECT_TRUE(out.cloud_requests[0].scale_out.spot);
+  EXPECT_EQ(out.cloud_requests[0].scale_out.count, 3);
 }
 
 TEST(PoolRecordBytes, RequestAndItsEndAreWrittenAsLiteral) {
-  Snapshot from = snapshot();
+  LeaderSnapshot from = snapshot();
   from.jobs = {{"job/j-1",
                 test::received(
                     R"({"spec":{"ref":"j-1","jobclass":"c","owner":"red","shape":"array",
@@ -68,29 +68,30 @@
                         "snapshot_cost_s":0.0},"cancelled":false,"done":0,"running":0,"born":0})"),
                 7}};
   Leader leader(platform(), {}, 40, from, 0);
-  leader.on_list({}, 0, 0.1);
+  leader.on_host_list({}, 0, 0.1);
   constexpr const char* kKey = "pool/small/a/ordinary";
   bool asked = false;
   for (double now = 0.5; now < 30 && !asked; now += 0.5) {
     leader.on_jobs_current(now);
-    const Outbox out = leader.advance(now);
+    const Effects out = leader.advance(now);
     if (const wire::Json* value = written(out, kKey)) {
       asked = true;
       EXPECT_TRUE(test::is_written_as(
           *value,
           R"({"open":true,"name":"r-40-1","type":"small","zone":"a","spot":false,"count":1})"));
     }
-    if (!out.commit) continue;
-    state::Committed committed;
-    committed.outcome = state::Outcome::ok;
-    committed.epoch = 50;
-    leader.on_settled(committed, now);
+    if (!out.transaction) continue;
+    kv::CommitResult committed;
+    committed.outcome = kv::Outcome::ok;
+    committed.store_revision = 50;
+    leader.on_transaction_completed(committed, now);
   }
   ASSERT_TRUE(asked);
-  leader.on_hired({"r-40-1", "small", "a", false, 1}, {cloud::Verdict::ok, {"n-1"}}, 31);
+  leader.on_scale_out_completed({"r-40-1", "small", "a", false, 1},
+                                {cloud::CloudOutcome::ok, {"n-1"}}, 31);
   bool ended = false;
   for (double now = 31; now < 40 && !ended; now += 0.5) {
-    const Outbox out = leader.advance(now);
+    const Effects out = leader.advance(now);
     if (const wire::Json* value = written(out, kKey)) {
       ended = true;
       EXPECT_TRUE(test::is_written_as(*value, R"({"open":false})"));
@@ -101,8 +102,8 @@
 
 // A gang whose machines are drained stops everywhere at once, by orders that nobody asked for.
 TEST(DirectOrdersBytes, StopsOfDrainedGangAreWrittenAsLiteral) {
-  Snapshot from = snapshot();
-  from.level = state::Entry{"level", test::received(R"({"level":6,"writes":6,"settled":true})"), 4};
+  LeaderSnapshot from = snapshot();
+  from.level = kv::Entry{"level", test::received(R"({"level":6,"writes":6,"settled":true})"), 4};
   from.jobs = {{"job/j-1",
                 test::received(
                     R"({"spec":{"ref":"j-1","jobclass":"c","owner":"red","shape":"ensemble",
@@ -115,10 +116,10 @@
   leader.on_claims(
       {{"claim/node-0",
         test::received(R"({"version":"9.9.9","oldest":1,"newest":6,"hold":0,"digest":0})"), 5}});
-  std::vector<std::pair<std::string, state::Json>> told;
+  std::vector<std::pair<std::string, kv::Json>> told;
   std::map<std::string, std::string> running;  // by machine, as its report lists it
   for (double now = 0.5; now < 90 && told.empty(); now += 0.5) {
-    std::vector<cloud::Listed> listed;
+    std::vector<cloud::ListedMachine> listed;
     for (int i = 1; i <= 4; ++i) {
       const std::string name = "n-" + std::to_string(i);
       listed.push_back(
@@ -138,9 +139,9 @@
                "running"}}.dump();
         }
       };
-      leader.on_report(workers::decode_report(test::received(report.c_str())), answer, now);
+      leader.on_heartbeat(workers::decode_heartbeat(test::received(report.c_str())), answer, now);
     }
-    leader.on_list(listed, now, now);
+    leader.on_host_list(listed, now, now);
     leader.on_jobs_current(now);
     if (now == 4) {
       std::string names;
@@ -148,17 +149,17 @@
       const std::string text =
           "(drains (serial 1) (budget (down 1)) (machines (names" + names + ")))";
       leader.on_drains(
-          state::Entry{
+          kv::Entry{
               "drains", {{"serial", 1u}, {"text", text}, {"stamps", wire::Json::array()}}, 60},
           now);
     }
-    const Outbox out = leader.advance(now);
-    told = out.stop_now;
-    if (!out.commit) continue;
-    state::Committed committed;
-    committed.outcome = state::Outcome::ok;
-    committed.epoch = 50 + static_cast<std::uint64_t>(now * 2);
-    leader.on_settled(committed, now);
+    const Effects out = leader.advance(now);
+    told = out.urgent_stops;
+    if (!out.transaction) continue;
+    kv::CommitResult committed;
+    committed.outcome = kv::Outcome::ok;
+    committed.store_revision = 50 + static_cast<std::uint64_t>(now * 2);
+    leader.on_transaction_completed(committed, now);
   }
   ASSERT_EQ(told.size(), 2u);
   for (const auto& [address, body] : told) {
--- a/src/controller/leader_drains.cpp
+++ b/src/controller/leader_drains.cpp
@@ -19,26 +19,26 @@
   if (!drains_.in_force()) return;
   drains_.end_all(cluster_);
   close_pools();
-  drains_stamp_ = 0;
+  drains_revision_ = 0;
   replan_ = rebuy_ = true;
 }
 
-void Leader::on_drains(const std::optional<state::Entry>& entry, double now) {
+void Leader::on_drains(const std::optional<kv::Entry>& entry, double now) {
   if (!entry) {
     end_drains();
     return;
   }
-  if (entry->stamp == drains_stamp_) return;
+  if (entry->revision == drains_revision_) return;
   try {
     const drains::Accepted accepted = drains::decode_accepted(entry->value);
     const std::string where = std::string("record ") + drains::kRulesKey;
     drains::Rules rules =
         drains::read_rules(settings::parse_tree(accepted.text, where), platform_, where);
     std::map<std::uint64_t, double> times;
-    for (const auto& [serial, stamp] : accepted.stamps) {
-      times[serial] = timeline_.time_of(stamp, now);
+    for (const auto& [serial, revision] : accepted.revisions) {
+      times[serial] = timeline_.time_of(revision, now);
     }
-    times[accepted.serial] = timeline_.time_of(entry->stamp, now);
+    times[accepted.serial] = timeline_.time_of(entry->revision, now);
     std::set<std::string> types, zones;
     for (const auto& type : cluster_.catalog) {
       types.insert(type.name);
@@ -48,7 +48,7 @@
       if (!types.empty()) spdlog::error("drains: {}", wrong);
     }
     drains_.rule(std::move(rules), std::move(times), now);
-    drains_stamp_ = entry->stamp;
+    drains_revision_ = entry->revision;
     bad_drains_.clear();
     replan_ = rebuy_ = true;
   } catch (const std::exception& error) {
@@ -59,7 +59,7 @@
 }
 
 void Leader::drain(double now) {
-  if (!levels::has(level_, levels::kDrains)) {
+  if (!schema::has(level_, schema::kDrains)) {
     end_drains();
     return;
   }
@@ -74,22 +74,22 @@
       [&](const placement::Pool& pool) { return buyer_.refuses(pool, now); },
       [&](const placement::Pool& pool) { return buyer_.price(cluster_, pool); },
   };
-  const drains::Wishes wishes = drains_.pass(cluster_, conditions, now);
-  for (const Index index : wishes.back) give_back(index, "it is drained");
-  for (const Index index : wishes.stop_now) {
+  const drains::DrainActions wishes = drains_.advance(cluster_, conditions, now);
+  for (const Index index : wishes.scale_in) give_back(index, "it is drained");
+  for (const Index index : wishes.urgent_stops) {
     const placement::Host& host = *cluster_.hosts[index];
     if (host.address.empty()) continue;
     const auto stops = workers::stops_for(cluster_, index);
-    wire::Json body = workers::encode_response(cluster_.baton, stops);
-    body["tenure"] = host.tenure;
-    out_.stop_now.emplace_back(host.address, std::move(body));
+    wire::Json body = workers::encode_response(cluster_.fencing_token, stops);
+    body["tenure"] = host.incarnation;
+    out_.urgent_stops.emplace_back(host.address, std::move(body));
   }
-  if (!wishes.back.empty() || !wishes.stop_now.empty()) replan_ = rebuy_ = true;
+  if (!wishes.scale_in.empty() || !wishes.urgent_stops.empty()) replan_ = rebuy_ = true;
   if (!drains_.has_changed() || now - drains_stored_at_ < kStoreEvery_s) return;
   drains_stored_at_ = now;
   drains_.note_written();
-  const state::Json value = drains_.encode(cluster_, now);
-  if (state::fits(value, platform_.lasting().value_kb)) ledger_.write({drains::kUsedKey, value});
+  const kv::Json value = drains_.encode(cluster_, now);
+  if (kv::fits(value, platform_.lasting().value_kb)) ledger_.write({drains::kUsedKey, value});
 }
 
 }  // namespace reachramp::controller
--- a/src/controller/leader_fleet.cpp
+++ b/src/controller/leader_fleet.cpp
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "controller/leader.h"
-#include "pipelines/needs.h"
+#include "pipelines/dependencies.h"
 #include "placement/plan.h"
 #include "workers/cancelled_tasks.h"
 
@@ -40,8 +40,8 @@
   };
   if (cluster_.catalog.empty() || frame(catalog) != frame(cluster_.catalog)) {
     // Where it is too long, each node reads it from the cloud.
-    const state::Json value = cloud::encode_catalog(catalog);
-    if (state::fits(value, platform_.lasting().value_kb)) ledger_.write({kCatalogKey, value});
+    const kv::Json value = cloud::encode_catalog(catalog);
+    if (kv::fits(value, platform_.lasting().value_kb)) ledger_.write({kCatalogKey, value});
     rebuy_ = replan_ = true;
   }
   cluster_.set_catalog(catalog);
@@ -56,12 +56,13 @@
   replan_ = rebuy_ = look_at_parked_ = true;
 }
 
-void Leader::on_list(const std::vector<cloud::Listed>& listed, double asked_at, double now) {
+void Leader::on_host_list(const std::vector<cloud::ListedMachine>& listed, double asked_at,
+                          double now) {
   listed_ = true;
   const double lag = platform_.cloud_limits.list_lag_s;
   std::set<std::string> names;
   std::vector<std::string> failed;
-  for (const cloud::Listed& machine : listed) {
+  for (const cloud::ListedMachine& machine : listed) {
     names.insert(machine.name);
     const auto tomb = tombstones_.find(machine.name);
     if (tomb != tombstones_.end()) {
@@ -76,22 +77,22 @@
     const Index index = cluster_.add_host(machine.name, now);
     cluster_.describe_host(index, machine.type, machine.zone, machine.spot);
     Host& host = *cluster_.hosts[index];
-    host.hearsay = false;
+    host.unconfirmed = false;
     // Whoever learnt of the machine from a report or a record does not know its age.
     host.rented_at = std::min(host.rented_at, now - machine.held_s);
     host.runs = machine.phase == cloud::MachinePhase::running;
     if (fresh) rebuy_ = true;
     if (!machine.address.empty()) host.address = machine.address;
-    if (!host.ours && !host.address.empty() && machine.phase == cloud::MachinePhase::running &&
-        fresh) {
-      out_.greet.push_back(host.address);
+    if (!host.acknowledged_token && !host.address.empty() &&
+        machine.phase == cloud::MachinePhase::running && fresh) {
+      out_.probes.push_back(host.address);
     }
     if (machine.phase == cloud::MachinePhase::failed) failed.push_back(machine.name);
   }
   for (const std::string& name : failed) {
     spdlog::info("machine {} has failed", name);
     gone(name, now);
-    out_.cloud.push_back({CloudOrder::Kind::give_back, {}, {name}});
+    out_.cloud_requests.push_back({CloudRequest::Kind::scale_in, {}, {name}});
   }
 
   // A list describes a moment at most twice the lag ago. A machine that was there before that
@@ -105,14 +106,15 @@
   for (const std::string& name : missing) {
     const Host& host = *cluster_.host(name);
     spdlog::info("machine {} is gone", name);
-    if (host.spot && host.type != kNone && host.phase != HostPhase::leaving) {
+    if (host.spot && host.type != kNone && host.phase != HostPhase::terminating) {
       buyer_.note_reclaim(cluster_, {host.type, host.zone, true});
     }
     gone(name, now);
   }
 }
 
-void Leader::on_hired(const cloud::Hire& hire, const cloud::Hired& hired, double now) {
+void Leader::on_scale_out_completed(const cloud::ScaleOutRequest& hire,
+                                    const cloud::ScaleOutResult& hired, double now) {
   const Pool pool{cluster_.types.add(hire.type), cluster_.zones.add(hire.zone), hire.spot};
   buyer_.note_answered(pool);
   const double asked_at = asked_at_.contains(hire.name) ? asked_at_[hire.name] : now;
@@ -122,7 +124,7 @@
     const Index index = cluster_.add_host(name, now);
     cluster_.describe_host(index, hire.type, hire.zone, hire.spot);
     cluster_.hosts[index]->rented_at = asked_at;
-    cluster_.hosts[index]->hearsay = false;
+    cluster_.hosts[index]->unconfirmed = false;
   }
   if (static_cast<int>(hired.machines.size()) < hire.count) {
     buyer_.note_refused(pool, now);
@@ -131,27 +133,28 @@
   }
   spdlog::info("hire {}: {} of {} {} {} in {}", hire.name, hired.machines.size(), hire.count,
                hire.spot ? "spot" : "ordinary", hire.type, hire.zone);
-  if (levels::has(level_, levels::kClosedPools)) {
+  if (schema::has(level_, schema::kClosedPools)) {
     ledger_.write({pool_key(pool), std::nullopt});
   } else {
-    ledger_.write({pool_key(pool), state::Json{{"open", false}}});
+    ledger_.write({pool_key(pool), kv::Json{{"open", false}}});
   }
   rebuy_ = replan_ = true;
 }
 
-void Leader::on_returned(const std::vector<std::string>& machines, double now) {
+void Leader::on_scale_in_completed(const std::vector<std::string>& machines, double now) {
   for (const std::string& name : machines) gone(name, now);
 }
 
 void Leader::give_back(Index index, const char* why) {
   Host& host = *cluster_.hosts[index];
-  if (host.phase != HostPhase::leaving) request_return(host, why);
+  if (host.phase != HostPhase::terminating) request_return(host, why);
 }
 
 void Leader::request_return(Host& host, const std::string& why) {
   spdlog::info("machine {} goes back: {}", host.name, why);
-  host.phase = HostPhase::leaving;
-  out_.cloud.push_back({CloudOrder::Kind::give_back, {}, {host.name}, host.urgent_return});
+  host.phase = HostPhase::terminating;
+  out_.cloud_requests.push_back(
+      {CloudRequest::Kind::scale_in, {}, {host.name}, host.urgent_return});
 }
 
 void Leader::note_advance(double now) {
@@ -160,7 +163,7 @@
   advanced_at_ = now;
 }
 
-// Also without the state service: a cancelled task must be gone whoever else may lead, and
+// Also without the key-value store: a cancelled task must be gone whoever else may lead, and
 // returning a machine is safe under any leader.
 void Leader::return_for_cancellations(double now) {
   for (const auto& [host_index, job_index] :
@@ -182,7 +185,7 @@
     if (!host || !host->runs || host->known_at > since_ + platform_.cloud_limits.list_lag_s)
       continue;
     ++running;
-    unheard += host->ours ? 0 : 1;
+    unheard += host->acknowledged_token ? 0 : 1;
   }
   const double passed = now - since_;
   if (half_heard_s_ < 0 && unheard * 2 <= running) half_heard_s_ = passed;
@@ -212,16 +215,16 @@
   for (const auto& host : cluster_.hosts) {
     if (!host || host->phase != HostPhase::up) continue;
     ++up;
-    unheeding += host->unheeded >= workers::kDeafFrom ? 1 : 0;
+    unheeding += host->ignored_responses >= workers::kUnreachableAfter ? 1 : 0;
   }
   const bool many = unheeding > 1 && unheeding * 3 > up;
   for (const auto& host : cluster_.hosts) {
     if (!host || host->phase != HostPhase::up) continue;
-    const bool deaf = host->unheeded >= workers::kDeafFrom && !many;
-    if (deaf == (host->deaf_since >= 0)) continue;
+    const bool deaf = host->ignored_responses >= workers::kUnreachableAfter && !many;
+    if (deaf == (host->unreachable_since >= 0)) continue;
     spdlog::info("machine {} {}", host->name,
                  deaf ? "reports, but our answers do not reach it" : "hears us again");
-    host->deaf_since = deaf ? now : -1;
+    host->unreachable_since = deaf ? now : -1;
     replan_ = rebuy_ = true;
   }
 }
@@ -231,15 +234,15 @@
   find_deaf(now);
   const double silent = platform_.workers.lease_s * 1.1;
   const auto is_silent = [&](const Host& host) {
-    return host.phase == HostPhase::up && now - std::max(host.heard_at, since_) > silent;
+    return host.phase == HostPhase::up && now - std::max(host.last_heartbeat_at, since_) > silent;
   };
-  zones_.pass(cluster_, since_, now);
-  if (zones_.has_changed() && levels::has(level_, levels::kDrains) &&
+  zones_.advance(cluster_, since_, now);
+  if (zones_.has_changed() && schema::has(level_, schema::kDrains) &&
       now - zones_stored_at_ >= kStoreZones_s) {
     zones_stored_at_ = now;
     zones_.note_written();
-    const state::Json value = zones_.encode(cluster_);
-    if (state::fits(value, platform_.lasting().value_kb)) ledger_.write({zones::kZonesKey, value});
+    const kv::Json value = zones_.encode(cluster_);
+    if (kv::fits(value, platform_.lasting().value_kb)) ledger_.write({zones::kZonesKey, value});
   }
   close_pools();
   for (const Index i : zones_.to_return(cluster_, since_, now)) {
@@ -257,17 +260,17 @@
   const bool many = quiet > 1 && quiet * 3 > up;
   for (Index i = 0; i < cluster_.hosts.size(); ++i) {
     Host* host = cluster_.hosts[i].get();
-    if (host == nullptr || host->phase == HostPhase::leaving) continue;
+    if (host == nullptr || host->phase == HostPhase::terminating) continue;
     const auto* type = cluster_.type_of(*host);
     // What is silent with its whole zone is the zone's matter, and has its time anew when that is
     // heard again. Told machine by machine a zone was sent back within seconds: reports are
     // staggered, so that never a third was silent together.
     const zones::State zone =
-        host->zone == placement::kNone ? zones::State::well : zones_.state(host->zone);
-    if (zone == zones::State::doubtful || zone == zones::State::lost) continue;
+        host->zone == placement::kNone ? zones::State::healthy : zones_.state(host->zone);
+    if (zone == zones::State::suspected || zone == zones::State::lost) continue;
     const double from = host->zone == placement::kNone
                             ? since_
-                            : std::max(since_, zones_.heard_again_at(host->zone));
+                            : std::max(since_, zones_.reachable_since(host->zone));
     if (host->phase == HostPhase::booting) {
       const double patience = kNeverBoots * (type == nullptr ? 60 : type->boot_s);
       if (now - std::max(host->rented_at, from - patience / 2) > patience) {
@@ -275,11 +278,11 @@
       }
       continue;
     }
-    const double quiet_for = now - std::max(host->heard_at, from);
+    const double quiet_for = now - std::max(host->last_heartbeat_at, from);
     if (quiet_for > silent && (!many || quiet_for > kCutLasts * silent)) {
       give_back(i, "it is silent");
-    } else if (host->deaf_since >= 0 &&
-               now - host->deaf_since > kDeafLeases * platform_.workers.lease_s) {
+    } else if (host->unreachable_since >= 0 &&
+               now - host->unreachable_since > kDeafLeases * platform_.workers.lease_s) {
       give_back(i, "our answers do not reach it");
     } else if (host->draining && host->reclaim_at == placement::kNever && host->attempts.empty()) {
       give_back(i, "it does not work");
@@ -293,9 +296,9 @@
 void Leader::buy(double now) {
   if (cluster_.catalog.empty()) return;
   buyer_.note_exposure(cluster_, now);
-  pipelines::foresee(cluster_, now);
-  for (const Index index : buyer_.surplus(cluster_, now)) {
-    if (placement::lend(cluster_, index)) {
+  pipelines::estimate_unblock_times(cluster_, now);
+  for (const Index index : buyer_.scale_in_candidates(cluster_, now)) {
+    if (placement::backfill(cluster_, index)) {
       spdlog::info("machine {} serves small tasks: large ones do not need it",
                    cluster_.hosts[index]->name);
       replan_ = true;
@@ -303,23 +306,23 @@
       give_back(index, "it is not needed");
     }
   }
-  for (const acquire::Wish& wish : buyer_.wishes(cluster_, now)) {
-    cloud::Hire hire;
-    hire.name = "r-" + std::to_string(cluster_.baton) + "-" + std::to_string(++hires_);
+  for (const acquire::ScaleOutRequest& wish : buyer_.scale_out_requests(cluster_, now)) {
+    cloud::ScaleOutRequest hire;
+    hire.name = "r-" + std::to_string(cluster_.fencing_token) + "-" + std::to_string(++hires_);
     hire.type = cluster_.types[wish.pool.type];
     hire.zone = cluster_.zones[wish.pool.zone];
     hire.spot = wish.pool.spot;
     hire.count = wish.machines;
-    buyer_.note_asked(wish.pool, wish.machines);
+    buyer_.note_requested(wish.pool, wish.machines);
     spdlog::info("hire {}: asking for {} {} {} in {}", hire.name, hire.count,
                  hire.spot ? "spot" : "ordinary", hire.type, hire.zone);
     const std::string key = pool_key(wish.pool);
-    ledger_.write({key, state::Json{{"open", true},
-                                    {"name", hire.name},
-                                    {"type", hire.type},
-                                    {"zone", hire.zone},
-                                    {"spot", hire.spot},
-                                    {"count", hire.count}}});
+    ledger_.write({key, kv::Json{{"open", true},
+                                 {"name", hire.name},
+                                 {"type", hire.type},
+                                 {"zone", hire.zone},
+                                 {"spot", hire.spot},
+                                 {"count", hire.count}}});
     asked_at_[hire.name] = now;
     to_hire_.emplace_back(key, hire);
   }
--- a/src/controller/leader_transactions.cpp
+++ b/src/controller/leader_transactions.cpp
@@ -7,9 +7,9 @@
 
 namespace reachramp::controller {
 
-using placement::Fate;
+using kv::Outcome;
+using placement::DependencyState;
 using placement::Job;
-using state::Outcome;
 
 namespace {
 
@@ -18,16 +18,17 @@
 
 }  // namespace
 
-void Leader::on_settled(const state::Committed& committed, double now) {
+void Leader::on_transaction_completed(const kv::CommitResult& committed, double now) {
   if (transaction_.is_empty()) return;
   look_at_parked_ = true;
-  writes_.note_throttled(committed.throttled, now);
+  writes_.note_throttled(committed.throttle_count, now);
   if (const auto resolution = transaction_.on_answer(committed, now)) settle(*resolution, now);
 }
 
-void Leader::on_read_back(const state::Found& found, const state::Found& leader, double now) {
+void Leader::on_transaction_verified(const kv::ReadResult& found, const kv::ReadResult& leader,
+                                     double now) {
   if (!transaction_.awaits_read_back()) return;
-  const auto is_known = [](const state::Found& read) {
+  const auto is_known = [](const kv::ReadResult& read) {
     return read.outcome == Outcome::ok || read.outcome == Outcome::absent;
   };
   if (!is_known(found) || !is_known(leader)) {
@@ -35,8 +36,8 @@
     return;
   }
   // A conflict need not name all keys that differ. Whoever leads now may have written this one.
-  if (leader.outcome == Outcome::absent || leader.entry.stamp != cluster_.baton) {
-    spdlog::info("baton {} is no longer valid", cluster_.baton);
+  if (leader.outcome == Outcome::absent || leader.entry.revision != cluster_.fencing_token) {
+    spdlog::info("baton {} is no longer valid", cluster_.fencing_token);
     deposed_ = true;
     return;
   }
@@ -44,66 +45,67 @@
 }
 
 void Leader::settle(const PendingTransaction::Resolution& resolution, double now) {
-  const state::Committed& committed = resolution.committed;
-  const Batch batch = transaction_.finish();
+  const kv::CommitResult& committed = resolution.committed;
+  const TransactionBatch batch = transaction_.finish();
   if (committed.outcome == Outcome::ok) {
-    for (const auto& [id, fate] : batch.ended) {
+    for (const auto& [id, fate] : batch.ended_jobs) {
       const Job* job = cluster_.job(id);
-      if (fate == Fate::cancelled && job != nullptr) accounts_.cancelled(*job);
+      if (fate == DependencyState::cancelled && job != nullptr) accounts_.cancelled(*job);
     }
   }
-  const Settlement settlement = resolution.is_certain
-                                    ? ledger_.settle(cluster_, batch, committed, now)
-                                    : Settlement::confused;
+  const BatchOutcome settlement = resolution.is_certain
+                                      ? ledger_.apply_result(cluster_, batch, committed, now)
+                                      : BatchOutcome::uncertain;
   switch (settlement) {
-    case Settlement::done:
-      note_committed(batch, committed.epoch, now);
+    case BatchOutcome::applied:
+      note_committed(batch, committed.store_revision, now);
       break;
-    case Settlement::too_large:
+    case BatchOutcome::too_large:
       note_too_large(batch, now);
       break;
-    case Settlement::again:
+    case BatchOutcome::retry:
       note_rejected(committed.outcome, now);
       break;
-    case Settlement::deposed:
-      spdlog::info("baton {} is no longer valid", cluster_.baton);
+    case BatchOutcome::deposed:
+      spdlog::info("baton {} is no longer valid", cluster_.fencing_token);
       deposed_ = true;
       break;
-    case Settlement::confused:
-      // Reading everything anew under a new baton is the one way to be sure again.
+    case BatchOutcome::uncertain:
+      // Reading everything anew under a new fencing token is the one way to be sure again.
       spdlog::info("the outcome of a transaction is not certain: giving up the lead");
-      out_.resign = true;
+      out_.step_down = true;
       break;
   }
 }
 
-void Leader::note_committed(const Batch& batch, std::uint64_t epoch, double now) {
+void Leader::note_committed(const TransactionBatch& batch, std::uint64_t store_revision,
+                            double now) {
   transaction_.note_success();
   conflicts_ = 0;
-  timeline_.note(epoch, now);
-  for (const Note& note : batch.notes) {
-    if (note.key != levels::kLevelKey) continue;
-    level_ = levels::decode_stored(note.value);
-    ledger_.step_to(level_.writes);
+  timeline_.observe(store_revision, now);
+  for (const RecordWrite& note : batch.record_writes) {
+    if (note.key != schema::kLevelKey) continue;
+    level_ = schema::decode_stored(note.value);
+    ledger_.set_schema_level(level_.writes);
     stale_asked_at_ = claims_asked_at_ = -1e9;
     spdlog::info("level {}: written {}, {}", level_.level, level_.writes,
                  level_.settled ? "settled" : "what is older is being moved");
   }
   replan_ = true;
-  for (const auto& [id, fate] : batch.ended) {
-    if (epoch > watched_to_) ended_[id] = epoch;
+  for (const auto& [id, fate] : batch.ended_jobs) {
+    if (store_revision > watched_to_) ended_[id] = store_revision;
     reurge_ = true;
   }
 }
 
 // Certainly not applied, and it never will be as it is: first by fewer changes, then without the
 // records that it consists of.
-void Leader::note_too_large(const Batch& batch, double now) {
+void Leader::note_too_large(const TransactionBatch& batch, double now) {
   if (batch.transaction.writes.size() > kLeastOps) {
     most_ops_ = kLeastOps;
     return;
   }
-  ledger_.avoid(batch, now);
+  ledger_.back_off(batch, now);
   most_ops_ = platform_.lasting().txn_ops;
 }
 
@@ -113,13 +115,13 @@
   transaction_.note_failure(now);
   if (outcome == Outcome::conflict && ++conflicts_ >= kMostConflicts) {
     spdlog::error("transactions fail again and again: giving up the lead");
-    out_.resign = true;
+    out_.step_down = true;
   }
 }
 
 void Leader::resume_transaction(double now) {
-  out_.read_back = transaction_.take_read_back(now);
-  if (transaction_.take_resend(now)) out_.commit = transaction_.batch();
+  out_.verify_key = transaction_.take_read_back(now);
+  if (transaction_.take_resend(now)) out_.transaction = transaction_.batch();
 }
 
 // Worth a transaction: room for half a full one. Before a record is put together, not after: at a
@@ -134,11 +136,11 @@
   pass_shares(now);
   const int affordable = std::min(most_ops_, writes_.available(now));
   if (!transaction_.may_send(now) || affordable < std::max(1, most_ops_ / 2)) return;
-  auto batch = ledger_.next(cluster_, affordable, writes_.is_ample(now), now);
+  auto batch = ledger_.next_batch(cluster_, affordable, writes_.is_ample(now), now);
   if (!batch) return;
   writes_.take(batch->transaction.writes.size(), now);
   transaction_.begin(std::move(*batch));
-  out_.commit = transaction_.batch();
+  out_.transaction = transaction_.batch();
 }
 
 }  // namespace reachramp::controller
--- a/src/controller/stale.cpp
+++ b/src/controller/obsolete_records.cpp
@@ -1,12 +1,12 @@
-#include "controller/stale.h"
+#include "controller/obsolete_records.h"
 
 #include <algorithm>
 
 #include "drains/rules.h"
 #include "jobs/spec.h"
-#include "levels/table.h"
-#include "shares/accounts.h"
-#include "state/timeline.h"
+#include "kv/revision_clock.h"
+#include "schema/schema_levels.h"
+#include "shares/usage_accounts.h"
 #include "zones/zones.h"
 
 namespace reachramp::controller {
@@ -14,17 +14,17 @@
 namespace {
 
 bool pool_is_stale(const std::string& key, const wire::Json& value, std::uint32_t level) {
-  return level >= levels::kClosedPools && key.starts_with("pool/") &&
+  return level >= schema::kClosedPools && key.starts_with("pool/") &&
          !(value.is_object() && value.value("open", false));
 }
 
-constexpr auto kSlices = {state::is_stale,  jobs::is_stale,  shares::is_stale,
+constexpr auto kSlices = {kv::is_stale,     jobs::is_stale,  shares::is_stale,
                           drains::is_stale, zones::is_stale, pool_is_stale};
 
 }  // namespace
 
 std::vector<std::string> stale_prefixes() {
-  return {"task/",           "pool/",         state::kTimelineKey, shares::kSharesKey,
+  return {"task/",           "pool/",         kv::kTimelineKey, shares::kSharesKey,
           drains::kRulesKey, zones::kZonesKey};
 }
 
@@ -34,7 +34,7 @@
 }
 
 bool is_stale_at_any(const std::string& key, const wire::Json& value) {
-  return std::any_of(levels::kTable.begin(), levels::kTable.end(),
+  return std::any_of(schema::kTable.begin(), schema::kTable.end(),
                      [&](const auto& level) { return is_stale(key, value, level.number); });
 }
 
--- a/src/controller/pending_transaction.cpp
+++ b/src/controller/pending_transaction.cpp
@@ -5,7 +5,7 @@
 
 namespace reachramp::controller {
 
-using state::Outcome;
+using kv::Outcome;
 
 namespace {
 
@@ -16,14 +16,13 @@
 constexpr double kFailureWait_s = 0.1;
 constexpr int kMostFailureWaits = 8;
 
-// A key that the transaction writes, that nobody but a leader does, and the stamp that it had:
-// while this leader's token is valid, another stamp shows that the transaction was applied. Users'
-// headers and what is removed prove nothing.
-std::optional<std::pair<std::string, std::uint64_t>> proof_key(
-    const state::Transaction& transaction) {
-  for (const state::Write& write : transaction.writes) {
+// A key that the transaction writes, that nobody but a leader does, and the revision that it had:
+// while this leader's token is valid, another revision shows that the transaction was applied.
+// Users' headers and what is removed prove nothing.
+std::optional<std::pair<std::string, std::uint64_t>> proof_key(const kv::Transaction& transaction) {
+  for (const kv::Write& write : transaction.writes) {
     if (!write.value || write.key.starts_with("job/")) continue;
-    for (const auto& condition : transaction.conditions) {
+    for (const auto& condition : transaction.preconditions) {
       if (condition.first == write.key) return condition;
     }
   }
@@ -32,15 +31,15 @@
 
 }  // namespace
 
-Batch PendingTransaction::finish() {
+TransactionBatch PendingTransaction::finish() {
   may_be_applied_ = false;
-  Batch batch = std::move(*batch_);
+  TransactionBatch batch = std::move(*batch_);
   batch_.reset();
   return batch;
 }
 
 std::optional<PendingTransaction::Resolution> PendingTransaction::on_answer(
-    const state::Committed& answer, double now) {
+    const kv::CommitResult& answer, double now) {
   // "Malformed" tells of this sending alone: an earlier one may have come before the limits did.
   if (answer.outcome == Outcome::unknown ||
       (answer.outcome == Outcome::refused && may_be_applied_)) {
@@ -63,13 +62,13 @@
   not_before_ = now + kReadBackAgain_s;
 }
 
-PendingTransaction::Resolution PendingTransaction::on_read_back(const state::Found& found) {
+PendingTransaction::Resolution PendingTransaction::on_read_back(const kv::ReadResult& found) {
   const auto key = proof_key(batch_->transaction);
-  state::Committed committed = *std::exchange(refusal_, std::nullopt);
-  if (found.outcome == Outcome::ok && found.entry.stamp != key->second) {
+  kv::CommitResult committed = *std::exchange(refusal_, std::nullopt);
+  if (found.outcome == Outcome::ok && found.entry.revision != key->second) {
     committed = {};
     committed.outcome = Outcome::ok;
-    committed.epoch = found.entry.stamp;
+    committed.store_revision = found.entry.revision;
   }
   return {committed, true};
 }
--- a/src/controller/pending_transaction.h
+++ b/src/controller/pending_transaction.h
@@ -6,8 +6,8 @@
 #include <optional>
 #include <string>
 
-#include "controller/ledger.h"
-#include "state/client.h"
+#include "controller/transaction_builder.h"
+#include "kv/client.h"
 
 namespace reachramp::controller {
 
@@ -16,26 +16,26 @@
   // What became of the transaction. Not certain: an earlier sending may have been applied, and
   // nothing in the store tells.
   struct Resolution {
-    state::Committed committed;
+    kv::CommitResult committed;
     bool is_certain = true;
   };
 
   bool is_empty() const { return !batch_; }
-  const Batch& batch() const { return *batch_; }
-  void begin(Batch batch) { batch_ = std::move(batch); }
+  const TransactionBatch& batch() const { return *batch_; }
+  void begin(TransactionBatch batch) { batch_ = std::move(batch); }
   // Takes the batch out; another may begin.
-  Batch finish();
+  TransactionBatch finish();
 
   // The answer to a sending. Nothing where the outcome is still open: the batch is then to be sent
   // again, or a key is to be read first.
-  std::optional<Resolution> on_answer(const state::Committed& answer, double now);
+  std::optional<Resolution> on_answer(const kv::CommitResult& answer, double now);
 
-  // After a conflict that an earlier sending may itself have caused, the stamp of a key that only
-  // leaders write tells whether that sending was applied.
+  // After a conflict that an earlier sending may itself have caused, the revision of a key that
+  // only leaders write tells whether that sending was applied.
   bool awaits_read_back() const { return refusal_.has_value(); }
   void on_read_back_failed(double now);
   // `found` was read while this leader's token was valid.
-  Resolution on_read_back(const state::Found& found);
+  Resolution on_read_back(const kv::ReadResult& found);
 
   // What is due now; each is returned once.
   std::optional<std::string> take_read_back(double now);
@@ -47,11 +47,11 @@
   void note_success() { failures_ = 0; }
 
  private:
-  std::optional<Batch> batch_;
+  std::optional<TransactionBatch> batch_;
   bool may_be_applied_ = false;  // an earlier sending had no answer
   bool resend_ = false;
   bool read_back_ = false;
-  std::optional<state::Committed> refusal_;  // the conflict that the read is to explain
+  std::optional<kv::CommitResult> refusal_;  // the conflict that the read is to explain
   double not_before_ = 0;
   int failures_ = 0;  // in a row
 };
--- a/src/controller/pending_transaction_test.cpp
+++ b/src/controller/pending_transaction_test.cpp
@@ -5,18 +5,18 @@
 namespace reachramp::controller {
 namespace {
 
-using state::Outcome;
+using kv::Outcome;
 
 constexpr const char* kKey = "task/j-1/0";
-constexpr std::uint64_t kStampBefore = 7;
+constexpr std::uint64_t kRevisionBefore = 7;
 
 class PendingTransactionTest : public ::testing::Test {
  protected:
   // As after a sending whose answer was lost.
   void send_without_answer(const std::string& key) {
-    Batch batch;
-    batch.transaction.conditions = {{key, kStampBefore}};
-    batch.transaction.writes = {{key, state::Json::object(), std::nullopt}};
+    TransactionBatch batch;
+    batch.transaction.preconditions = {{key, kRevisionBefore}};
+    batch.transaction.writes = {{key, kv::Json::object(), std::nullopt}};
     transaction_.begin(batch);
     EXPECT_FALSE(answer(Outcome::unknown, 0));
     EXPECT_FALSE(transaction_.take_resend(0)) << "not at once";
@@ -24,14 +24,14 @@
     EXPECT_FALSE(transaction_.take_resend(1)) << "once";
   }
   std::optional<PendingTransaction::Resolution> answer(Outcome outcome, double now) {
-    state::Committed committed;
+    kv::CommitResult committed;
     committed.outcome = outcome;
     return transaction_.on_answer(committed, now);
   }
-  Outcome after_read_back(std::uint64_t stamp_found) {
-    state::Found found;
+  Outcome after_read_back(std::uint64_t found_revision) {
+    kv::ReadResult found;
     found.outcome = Outcome::ok;
-    found.entry.stamp = stamp_found;
+    found.entry.revision = found_revision;
     const PendingTransaction::Resolution resolution = transaction_.on_read_back(found);
     EXPECT_TRUE(resolution.is_certain);
     EXPECT_FALSE(transaction_.awaits_read_back());
@@ -41,15 +41,16 @@
   PendingTransaction transaction_;
 };
 
-TEST_F(PendingTransactionTest, AConflictAfterALostAnswerIsExplainedByTheStampOfALeadersKey) {
-  for (const std::uint64_t stamp : {kStampBefore, kStampBefore + 1}) {
+TEST_F(PendingTransactionTest, AConflictAfterALostAnswerIsExplainedByTheRevisionOfALeadersKey) {
+  for (const std::uint64_t revision : {kRevisionBefore, kRevisionBefore + 1}) {
     send_without_answer(kKey);
     EXPECT_FALSE(answer(Outcome::conflict, 1));
     EXPECT_EQ(transaction_.take_read_back(1), kKey);
     EXPECT_EQ(transaction_.take_read_back(1), std::nullopt) << "one read at a time";
     transaction_.on_read_back_failed(1);
     EXPECT_EQ(transaction_.take_read_back(2), kKey);
-    EXPECT_EQ(after_read_back(stamp), stamp == kStampBefore ? Outcome::conflict : Outcome::ok);
+    EXPECT_EQ(after_read_back(revision),
+              revision == kRevisionBefore ? Outcome::conflict : Outcome::ok);
     transaction_.finish();
     transaction_.note_success();
   }
