--- a/src/controller/node.cpp
+++ b/src/controller/server.cpp
@@ -1,19 +1,19 @@
-#include "controller/node.h"
+#include "controller/server.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <deque>
 
-#include "controller/stale.h"
-#include "state/clock.h"
+#include "controller/obsolete_records.h"
+#include "kv/steady_clock.h"
 
 namespace reachramp::controller {
 
 namespace {
 
-using state::Outcome;
-using state::steady_now;
+using kv::Outcome;
+using kv::steady_now;
 using namespace std::chrono_literals;
 
 constexpr auto kReportLimit = 3s;
@@ -36,8 +36,8 @@
 wire::Reply no_path() { return {404, {{"error", "no such path"}}}; }
 wire::Reply no_method() { return {405, {{"error", "no such method here"}}}; }
 
-wire::Party sender(const wire::Request& request) {
-  return request.path == kReportPath ? wire::Party::worker : wire::Party::user;
+wire::ClientKind sender(const wire::Request& request) {
+  return request.path == kReportPath ? wire::ClientKind::worker : wire::ClientKind::user;
 }
 
 }  // namespace
@@ -48,12 +48,12 @@
       policy_(policy),
       state_(platform_.state, platform_.state_limits.rps * 0.6),
       cloud_(platform_.cloud),
-      speech_{levels::kOldest, levels::kNewest, policy_.hold_at, REACHRAMP_VERSION},
+      speech_{schema::kOldest, schema::kNewest, policy_.hold_at, REACHRAMP_VERSION},
       book_(state_, platform_, speech_),
       campaign_(
-          state_, platform_, [this] { return book_.another_should_lead(); },
-          [this](double silent_s, double permit_s, std::uint64_t baton) {
-            return health_.cut_off(silent_s, permit_s, baton);
+          state_, platform_, [this] { return book_.defers_leadership(); },
+          [this](double silent_s, double lease_duration_s, std::uint64_t fencing_token) {
+            return health_.cut_off(silent_s, lease_duration_s, fencing_token);
           }),
       members_(state_, platform_),
       relay_(platform_),
@@ -65,20 +65,21 @@
 }
 
 // The doors first: whoever has not got them is a second process of this name, or there are too few
-// ports, and must not have said a word to the state service in its node's name.
+// ports, and must not have said a word to the key-value store in its node's name.
 void Node::run() {
-  wire::Budget budget(
+  wire::ConnectionLimiter budget(
       wire::connections_for({platform_.fd_limit, platform_.ram_mb, platform_.thread_limit}));
   wire::Server peers(
-      platform_.cluster_listen, budget, wire::Party::peer,
-      [](const wire::Request&) { return wire::Party::peer; },
+      platform_.cluster_listen, budget, wire::ClientKind::peer,
+      [](const wire::Request&) { return wire::ClientKind::peer; },
       [this](const wire::Request& request) { return serve_peer(request); });
-  wire::Server server(platform_.serve_on, budget, wire::Party::fresh, sender,
+  wire::Server server(platform_.serve_on, budget, wire::ClientKind::fresh, sender,
                       [this](const wire::Request& request) { return serve(request); });
   std::vector<std::thread> threads;
   threads.emplace_back([this] { own(); });
   threads.emplace_back([this] { members_.run(); });
-  threads.emplace_back([this] { book_.run([this](bool locked) { campaign_.bar(locked); }); });
+  threads.emplace_back(
+      [this] { book_.run([this](bool locked) { campaign_.set_disabled(locked); }); });
   if (desk_) threads.emplace_back([this] { desk_->run(); });
   threads.emplace_back([this] { commit(); });
   threads.emplace_back([this] { look_up(); });
@@ -101,10 +102,10 @@
   static const std::string withdraw = "/withdraw";
   if (request.path == "/ready") {
     if (!get) return no_method();
-    const bool ready = !book_.locked() && health_.ready();
+    const bool ready = !book_.incompatible() && health_.ready();
     return {ready ? 200 : 503, {{"ready", ready}}};
   }
-  if (book_.locked()) return {503, {{"error", "the stored state is of another version"}}, 5};
+  if (book_.incompatible()) return {503, {{"error", "the stored state is of another version"}}, 5};
   if (request.path == kReportPath) {
     return post ? report(request.body, Origin::worker) : no_method();
   }
@@ -124,10 +125,11 @@
 
 wire::Reply Node::serve_peer(const wire::Request& request) {
   if (request.path == peers::kServedPath) {
-    return request.method == "GET" ? health_.served(request.body, campaign_.standing().seen_stamp)
-                                   : no_method();
+    return request.method == "GET"
+               ? health_.served(request.body, campaign_.status().highest_seen_revision)
+               : no_method();
   }
-  if (book_.locked()) return {503, {{"error", "the stored state is of another version"}}};
+  if (book_.incompatible()) return {503, {{"error", "the stored state is of another version"}}};
   const bool onward = request.path == peers::kOnwardPath;
   if (!onward && request.path != peers::kRelayPath) return no_path();
   if (request.method != "POST") return no_method();
@@ -136,25 +138,25 @@
 
 wire::Reply Node::report(const std::string& body, Origin origin) {
   const wire::Json message = wire::decode_map(body);
-  const workers::Report report = workers::decode_report(message);
+  const workers::Heartbeat report = workers::decode_heartbeat(message);
   const double give_up = steady_now() + kCarryFor_s;
   for (;;) {
-    const leadership::Standing standing = campaign_.standing();
+    const leadership::LeadershipStatus standing = campaign_.status();
     const bool detour = origin == Origin::worker;
-    if (standing.baton != 0) {
-      wire::Reply reply = ask_owner(standing.baton, report);
+    if (standing.fencing_token != 0) {
+      wire::Reply reply = ask_owner(standing.fencing_token, report);
       if (reply.status != kMayNotAnswer || !detour) return reply;
     }
     if (origin == Origin::relay) break;
-    if (standing.baton != 0 || standing.cut_off) {
-      // It may answer no longer, or has let the lead go. Refused by the state service alone it
+    if (standing.fencing_token != 0 || standing.cut_off) {
+      // It may answer no longer, or has let the lead go. Refused by the key-value store alone it
       // still has the other nodes, who know of a leader: its workers need not move. Cut off from
       // all, or where they all know of none but this one, it sends them on at once.
-      if (auto answer = relay_.carry("", message, detour, give_up)) return *answer;
+      if (auto answer = relay_.forward("", message, detour, give_up)) return *answer;
       break;
     }
     if (!standing.leader.empty() && standing.leader != platform_.node_name) {
-      if (auto answer = relay_.carry(standing.leader, message, detour, give_up)) return *answer;
+      if (auto answer = relay_.forward(standing.leader, message, detour, give_up)) return *answer;
     }
     // A leader that has just died is replaced well within the time that a worker waits for an
     // answer. Turned away, it would try the next node, which may be gone as well: workers lost
@@ -166,10 +168,10 @@
   return {503, {{"error", "no leader answers"}}};
 }
 
-wire::Reply Node::ask_owner(std::uint64_t baton, const workers::Report& report) {
+wire::Reply Node::ask_owner(std::uint64_t fencing_token, const workers::Heartbeat& report) {
   auto reply = std::make_shared<std::promise<wire::Reply>>();
   std::future<wire::Reply> answer = reply->get_future();
-  commands_.push({baton, ReportIn{report, reply}});
+  commands_.push({fencing_token, ReportIn{report, reply}});
   if (answer.wait_for(kReportLimit) == std::future_status::ready) return answer.get();
   return {503, {{"error", "busy"}}};
 }
@@ -183,7 +185,7 @@
     if (catalog_ || now - catalog_looked_at_ < kCatalogLookAgain_s) return catalog_;
     catalog_looked_at_ = now;
   }
-  const state::Found found = state_.get(kCatalogKey);
+  const kv::ReadResult found = state_.get(kCatalogKey);
   try {
     if (found.outcome == Outcome::ok) learn_catalog(cloud::decode_catalog(found.entry.value));
   } catch (const std::exception& error) {
@@ -214,11 +216,11 @@
     }
     if (!leader_) continue;
     if (members_.all_upgraded()) leader_->on_all_upgraded();
-    const std::uint64_t baton = leader_->cluster().baton;
+    const std::uint64_t fencing_token = leader_->cluster().fencing_token;
     if (leader_->deposed()) {
-      campaign_.deposed(baton);
+      campaign_.on_deposed(fencing_token);
       leader_.reset();
-    } else if (campaign_.standing().baton != baton) {
+    } else if (campaign_.status().fencing_token != fencing_token) {
       leader_.reset();
     } else {
       hand_out(leader_->advance(now));
@@ -237,21 +239,21 @@
       reply->set_value(body.is_null() ? wire::Reply{kMayNotAnswer, {{"error", "not current"}}}
                                       : wire::Reply{200, body});
     };
-    const bool ours = leader_ && leader_->cluster().baton == command.baton;
-    const ReportVerdict verdict =
-        ours ? leader_->on_report(in->report, answer, now) : ReportVerdict::deposed;
-    if (verdict == ReportVerdict::deposed) {
+    const bool ours = leader_ && leader_->cluster().fencing_token == command.fencing_token;
+    const HeartbeatVerdict verdict =
+        ours ? leader_->on_heartbeat(in->report, answer, now) : HeartbeatVerdict::deposed;
+    if (verdict == HeartbeatVerdict::deposed) {
       reply->set_value({503, {{"error", "not leading"}}});
     }
     return;
   }
-  if (!leader_ || leader_->cluster().baton != command.baton) return;
+  if (!leader_ || leader_->cluster().fencing_token != command.fencing_token) return;
   struct Visitor {
     Leader& leader;
     double now;
     void operator()(TookLead&) const {}
     void operator()(ReportIn&) const {}
-    void operator()(DirectIn& in) const { leader.on_direct(in.report, now); }
+    void operator()(DirectIn& in) const { leader.on_direct_status(in.report, now); }
     void operator()(JobsChanged& in) const {
       leader.on_jobs(in.changes, now);
       leader.on_jobs_current(in.asked_at);
@@ -260,85 +262,92 @@
       leader.on_job_list(in.entries, now);
       leader.on_jobs_current(in.asked_at);
     }
-    void operator()(WordsIn& in) const { leader.on_words(in.words, now); }
+    void operator()(WordsIn& in) const { leader.on_cancellation_digests(in.words, now); }
     void operator()(EndRead& in) const { leader.on_end_read(in.id, in.found, now); }
-    void operator()(ReadBack& in) const { leader.on_read_back(in.found, in.leader, now); }
+    void operator()(ReadBack& in) const {
+      leader.on_transaction_verified(in.found, in.leader, now);
+    }
     void operator()(ClaimsRead& in) const { leader.on_claims(in.entries); }
-    void operator()(StaleRead& in) const { leader.on_stale(in.entries, now); }
+    void operator()(StaleRead& in) const { leader.on_obsolete_records(in.entries, now); }
     void operator()(DrainsRead& in) const { leader.on_drains(in.entry, now); }
-    void operator()(Settled& in) const { leader.on_settled(in.committed, now); }
+    void operator()(Settled& in) const { leader.on_transaction_completed(in.committed, now); }
     void operator()(CatalogRead& in) const { leader.on_catalog(in.catalog, now); }
-    void operator()(ListRead& in) const { leader.on_list(in.machines, in.asked_at, now); }
-    void operator()(HireAnswered& in) const { leader.on_hired(in.hire, in.hired, now); }
-    void operator()(Returned& in) const { leader.on_returned(in.machines, now); }
+    void operator()(ListRead& in) const { leader.on_host_list(in.machines, in.asked_at, now); }
+    void operator()(HireAnswered& in) const {
+      leader.on_scale_out_completed(in.hire, in.hired, now);
+    }
+    void operator()(Returned& in) const { leader.on_scale_in_completed(in.machines, now); }
   };
   std::visit(Visitor{*leader_, now}, command.what);
 }
 
-void Node::hand_out(Outbox outbox) {
-  const std::uint64_t baton = leader_->cluster().baton;
-  if (outbox.resign) {
-    campaign_.resign(baton);
+void Node::hand_out(Effects outbox) {
+  const std::uint64_t fencing_token = leader_->cluster().fencing_token;
+  if (outbox.step_down) {
+    campaign_.resign(fencing_token);
     leader_.reset();
     return;
   }
   if (outbox.read_jobs) read_jobs_again_ = true;
-  if (outbox.commit) commits_.push({baton, outbox.commit->transaction});
-  if (!outbox.ask_told.empty()) ask_told_.push({baton, std::move(outbox.ask_told)});
+  if (outbox.transaction) commits_.push({fencing_token, outbox.transaction->transaction});
+  if (!outbox.cancellation_poll_windows.empty())
+    ask_told_.push({fencing_token, std::move(outbox.cancellation_poll_windows)});
   using What = LookUp::What;
-  if (outbox.read_back) look_ups_.push({What::back, baton, std::move(*outbox.read_back)});
-  for (std::string& job : outbox.look_up) look_ups_.push({What::end, baton, std::move(job)});
-  if (outbox.read_claims) look_ups_.push({What::claims, baton});
-  if (outbox.read_stale) look_ups_.push({What::stale, baton});
-  if (outbox.read_drains) look_ups_.push({What::drains, baton});
-  for (CloudOrder& order : outbox.cloud) cloud_work_.push({baton, std::move(order)});
-  for (auto& [address, body] : outbox.stop_now) {
-    greetings_.push({baton, std::move(address), std::move(body)});
+  if (outbox.verify_key) look_ups_.push({What::back, fencing_token, std::move(*outbox.verify_key)});
+  for (std::string& job : outbox.read_job_ends)
+    look_ups_.push({What::end, fencing_token, std::move(job)});
+  if (outbox.read_claims) look_ups_.push({What::claims, fencing_token});
+  if (outbox.read_obsolete_records) look_ups_.push({What::stale, fencing_token});
+  if (outbox.read_drains) look_ups_.push({What::drains, fencing_token});
+  for (CloudRequest& order : outbox.cloud_requests)
+    cloud_work_.push({fencing_token, std::move(order)});
+  for (auto& [address, body] : outbox.urgent_stops) {
+    greetings_.push({fencing_token, std::move(address), std::move(body)});
   }
-  for (std::string& address : outbox.greet) greetings_.push({baton, std::move(address)});
+  for (std::string& address : outbox.probes) greetings_.push({fencing_token, std::move(address)});
 }
 
-// ---- edges: the state service
+// ---- edges: the key-value store
 
-std::optional<std::vector<state::Entry>> Node::read_all(const std::string& prefix,
-                                                        std::uint64_t* epoch) {
-  std::vector<state::Entry> entries;
+std::optional<std::vector<kv::Entry>> Node::read_all(const std::string& prefix,
+                                                     std::uint64_t* store_revision) {
+  std::vector<kv::Entry> entries;
   for (;;) {
-    state::Page page = state_.list(prefix, entries.empty() ? "" : entries.back().key);
+    kv::ListResult page = state_.list(prefix, entries.empty() ? "" : entries.back().key);
     if (page.outcome != Outcome::ok) return std::nullopt;
     // Later pages may show later changes; the watch begins where the first one stood.
-    if (epoch != nullptr && *epoch == 0) *epoch = page.epoch;
+    if (store_revision != nullptr && *store_revision == 0) *store_revision = page.store_revision;
     const bool more = page.more && !page.entries.empty();
     for (auto& entry : page.entries) entries.push_back(std::move(entry));
     if (!more) return entries;
   }
 }
 
-std::optional<Snapshot> Node::load(double jobs_asked_at) {
-  Snapshot snapshot;
+std::optional<LeaderSnapshot> Node::load(double jobs_asked_at) {
+  LeaderSnapshot snapshot;
   auto tasks = read_all("task/", nullptr);
   auto pools = tasks ? read_all("pool/", nullptr) : std::nullopt;
-  const state::Found found = pools ? state_.get(kCatalogKey) : state::Found{};
+  const kv::ReadResult found = pools ? state_.get(kCatalogKey) : kv::ReadResult{};
   if (!pools || (found.outcome != Outcome::ok && found.outcome != Outcome::absent)) {
     return std::nullopt;
   }
-  // No level is stored without our baton from now on.
-  const state::Found level = state_.get(levels::kLevelKey);
+  // No level is stored without our fencing token from now on.
+  const kv::ReadResult level = state_.get(schema::kLevelKey);
   if (level.outcome != Outcome::ok && level.outcome != Outcome::absent) return std::nullopt;
   if (level.outcome == Outcome::ok) snapshot.level = level.entry;
-  const state::Found shares = state_.get(shares::kSharesKey);
+  const kv::ReadResult shares = state_.get(shares::kSharesKey);
   if (shares.outcome != Outcome::ok && shares.outcome != Outcome::absent) return std::nullopt;
   if (shares.outcome == Outcome::ok) snapshot.shares = shares.entry;
   for (const auto& [key, into] : {std::pair{drains::kRulesKey, &snapshot.drains},
                                   std::pair{drains::kUsedKey, &snapshot.drains_used},
                                   std::pair{zones::kZonesKey, &snapshot.zones}}) {
-    const state::Found record = state_.get(key);
+    const kv::ReadResult record = state_.get(key);
     if (record.outcome != Outcome::ok && record.outcome != Outcome::absent) return std::nullopt;
     if (record.outcome == Outcome::ok) *into = record.entry;
   }
-  const state::Found timeline = state_.get(state::kTimelineKey);
+  const kv::ReadResult timeline = state_.get(kv::kTimelineKey);
   if (timeline.outcome != Outcome::ok && timeline.outcome != Outcome::absent) return std::nullopt;
-  if (timeline.outcome == Outcome::ok) snapshot.told_timeline = timeline.entry;
+  if (timeline.outcome == Outcome::ok) snapshot.stored_revision_clock = timeline.entry;
   // An old node may have led until now: only a look tells in which form the records may go on.
   const auto upgraded = members_.look();
   if (!upgraded) return std::nullopt;
@@ -346,56 +355,56 @@
   snapshot.tasks = std::move(*tasks);
   snapshot.pools = std::move(*pools);
   if (found.outcome == Outcome::ok) snapshot.catalog = found.entry;
-  snapshot.timeline = state_.timeline();
+  snapshot.revision_clock = state_.revision_clock();
   snapshot.asked_at = jobs_asked_at;
   return snapshot;
 }
 
 void Node::watch_jobs() {
-  std::uint64_t baton = 0;
+  std::uint64_t fencing_token = 0;
   for (;;) {
-    baton = campaign_.wait_to_lead(baton);
+    fencing_token = campaign_.wait_until_leader(fencing_token);
     std::uint64_t position = 0;
     bool loaded = false;
-    while (campaign_.standing().baton == baton) {
+    while (campaign_.status().fencing_token == fencing_token) {
       if (read_jobs_again_.exchange(false)) position = 0;
       if (position == 0) {
         const double asked_at = steady_now();
         auto jobs = read_all("job/", &position);
-        std::optional<Snapshot> snapshot = jobs && !loaded ? load(asked_at) : std::nullopt;
+        std::optional<LeaderSnapshot> snapshot = jobs && !loaded ? load(asked_at) : std::nullopt;
         if (!jobs || (!loaded && !snapshot)) {
           position = 0;
-          std::this_thread::sleep_for(state::jittered(0.2));
+          std::this_thread::sleep_for(kv::jittered(0.2));
           continue;
         }
         if (loaded) {
-          commands_.push({baton, JobsRead{std::move(*jobs), asked_at}});
+          commands_.push({fencing_token, JobsRead{std::move(*jobs), asked_at}});
           continue;
         }
         try {
           snapshot->jobs = std::move(*jobs);
-          commands_.push(
-              {baton, TookLead{std::make_unique<Leader>(platform_, policy_, baton, *snapshot,
-                                                        steady_now(), speech_)}});
+          commands_.push({fencing_token,
+                          TookLead{std::make_unique<Leader>(platform_, policy_, fencing_token,
+                                                            *snapshot, steady_now(), speech_)}});
           loaded = true;
         } catch (const std::exception& error) {
           spdlog::error("records cannot be read: {}", error.what());
           position = 0;
-          std::this_thread::sleep_for(state::jittered(1));
+          std::this_thread::sleep_for(kv::jittered(1));
         }
         continue;
       }
       // Answers say what was when they were asked for, at the least: a process that stood still
       // finds one that has waited for it as long.
       const double asked_at = steady_now();
-      state::Changes changes = state_.follow("job/", position, kFollowFor);
+      kv::WatchResult changes = state_.watch("job/", position, kFollowFor);
       if (changes.outcome == Outcome::absent) {
         position = 0;
       } else if (changes.outcome == Outcome::ok) {
-        position = changes.epoch;
-        commands_.push({baton, JobsChanged{std::move(changes.changes), asked_at}});
+        position = changes.store_revision;
+        commands_.push({fencing_token, JobsChanged{std::move(changes.changes), asked_at}});
       } else {
-        std::this_thread::sleep_for(state::jittered(0.3));
+        std::this_thread::sleep_for(kv::jittered(0.3));
       }
     }
   }
@@ -404,8 +413,8 @@
 void Node::commit() {
   for (;;) {
     for (const Commit& work : commits_.take(std::chrono::hours(1))) {
-      if (campaign_.standing().baton != work.baton) continue;
-      commands_.push({work.baton, Settled{state_.commit(work.transaction)}});
+      if (campaign_.status().fencing_token != work.fencing_token) continue;
+      commands_.push({work.fencing_token, Settled{state_.commit(work.transaction)}});
     }
   }
 }
@@ -413,39 +422,40 @@
 void Node::look_up() {
   for (;;) {
     for (const LookUp& work : look_ups_.take(std::chrono::hours(1))) {
-      if (campaign_.standing().baton != work.baton) continue;
+      if (campaign_.status().fencing_token != work.fencing_token) continue;
       if (work.what == LookUp::What::end) {
-        commands_.push({work.baton, EndRead{work.name, state_.get(jobs::end_key(work.name))}});
+        commands_.push(
+            {work.fencing_token, EndRead{work.name, state_.get(jobs::end_key(work.name))}});
       } else if (work.what == LookUp::What::back) {
-        state::Found found = state_.get(work.name);
-        commands_.push({work.baton, ReadBack{std::move(found), state_.get(kLeaderKey)}});
+        kv::ReadResult found = state_.get(work.name);
+        commands_.push({work.fencing_token, ReadBack{std::move(found), state_.get(kLeaderKey)}});
       } else if (work.what == LookUp::What::drains) {
-        const state::Found found = state_.get(drains::kRulesKey);
+        const kv::ReadResult found = state_.get(drains::kRulesKey);
         if (found.outcome == Outcome::ok) {
-          commands_.push({work.baton, DrainsRead{found.entry}});
+          commands_.push({work.fencing_token, DrainsRead{found.entry}});
         } else if (found.outcome == Outcome::absent) {
-          commands_.push({work.baton, DrainsRead{}});
+          commands_.push({work.fencing_token, DrainsRead{}});
         }
       } else if (work.what == LookUp::What::stale) {
-        look_for_stale(work.baton);
-      } else if (auto claims = read_all(levels::kClaims, nullptr)) {
-        commands_.push({work.baton, ClaimsRead{std::move(*claims)}});
+        look_for_stale(work.fencing_token);
+      } else if (auto claims = read_all(schema::kClaims, nullptr)) {
+        commands_.push({work.fencing_token, ClaimsRead{std::move(*claims)}});
       }
     }
   }
 }
 
 // Everything that a level may find stale, page by page. The owner tells which of it is.
-void Node::look_for_stale(std::uint64_t baton) {
-  std::vector<state::Entry> found;
+void Node::look_for_stale(std::uint64_t fencing_token) {
+  std::vector<kv::Entry> found;
   for (const std::string& prefix : stale_prefixes()) {
     auto entries = read_all(prefix, nullptr);
     if (!entries) return;
-    for (state::Entry& entry : *entries) {
+    for (kv::Entry& entry : *entries) {
       if (is_stale_at_any(entry.key, entry.value)) found.push_back(std::move(entry));
     }
   }
-  commands_.push({baton, StaleRead{std::move(found)}});
+  commands_.push({fencing_token, StaleRead{std::move(found)}});
 }
 
 // ---- edges: cloud and workers
@@ -457,36 +467,38 @@
   }
 }
 
-void Node::read_machines(std::uint64_t baton) {
+void Node::read_machines(std::uint64_t fencing_token) {
   const double asked_at = steady_now();
-  std::vector<cloud::Listed> machines;
+  std::vector<cloud::ListedMachine> machines;
   for (;;) {
     cloud_turn();
     cloud::ListPage page = cloud_.list(machines.empty() ? "" : machines.back().name);
-    if (page.verdict != cloud::Verdict::ok) return;
+    if (page.verdict != cloud::CloudOutcome::ok) return;
     const bool more = page.more && !page.machines.empty();
     for (auto& machine : page.machines) machines.push_back(std::move(machine));
     if (!more) break;
   }
-  commands_.push({baton, ListRead{std::move(machines), asked_at}});
+  commands_.push({fencing_token, ListRead{std::move(machines), asked_at}});
 }
 
 void Node::deal_with_cloud() {
   double catalog_at = -1e9;
   double list_at = -1e9;
-  std::deque<CloudCall> waiting;
+  std::deque<QueuedCloudRequest> waiting;
   for (;;) {
-    for (CloudCall& work :
+    for (QueuedCloudRequest& work :
          cloud_work_.take(std::chrono::duration<double>(waiting.empty() ? 0.5 : 0.05))) {
       waiting.push_back(std::move(work));
     }
     // Read after the wait: what a new lead asks for at once must not be taken for an old one's.
-    const std::uint64_t baton = campaign_.standing().baton;
-    std::erase_if(waiting, [&](const CloudCall& call) { return call.token != baton; });
+    const std::uint64_t fencing_token = campaign_.status().fencing_token;
+    std::erase_if(waiting, [&](const QueuedCloudRequest& call) {
+      return call.fencing_token != fencing_token;
+    });
     double now = steady_now();
     // Nodes that do not lead need the machine types too, to tell what can never run; they take
-    // them from the state service, and from the cloud only while nobody has stored them.
-    if (baton == 0) {
+    // them from the key-value store, and from the cloud only while nobody has stored them.
+    if (fencing_token == 0) {
       list_at = catalog_at = -1e9;
       if (!catalog()) {
         cloud_turn();
@@ -499,35 +511,36 @@
       catalog_at = now;
       if (const auto read = cloud_.catalog()) {
         learn_catalog(*read);
-        commands_.push({baton, CatalogRead{*read}});
+        commands_.push({fencing_token, CatalogRead{*read}});
       } else {
         catalog_at = now - kCatalogEvery_s + 2;
       }
     }
     // After standing still it may be another's: nothing is rented or returned on a view from
     // before, but for the sake of a cancellation.
-    if (has_urgent_call(waiting) || (!waiting.empty() && campaign_.is_sure_of(baton))) {
-      const CloudCall work = take_next_call(waiting);
+    if (has_urgent_request(waiting) ||
+        (!waiting.empty() && campaign_.is_leadership_certain(fencing_token))) {
+      const QueuedCloudRequest work = take_next_request(waiting);
       cloud_turn();
-      if (work.order.kind == CloudOrder::Kind::hire) {
-        const cloud::Hired hired = cloud_.hire(work.order.hire);
-        if (hired.verdict == cloud::Verdict::later) {
+      if (work.request.kind == CloudRequest::Kind::scale_out) {
+        const cloud::ScaleOutResult hired = cloud_.scale_out(work.request.scale_out);
+        if (hired.verdict == cloud::CloudOutcome::later) {
           waiting.push_back(work);
-          std::this_thread::sleep_for(state::jittered(0.3));
+          std::this_thread::sleep_for(kv::jittered(0.3));
         } else {
-          commands_.push({baton, HireAnswered{work.order.hire, hired}});
+          commands_.push({fencing_token, HireAnswered{work.request.scale_out, hired}});
         }
-      } else if (cloud_.give_back(work.order.machines)) {
-        commands_.push({baton, Returned{work.order.machines}});
+      } else if (cloud_.scale_in(work.request.machines)) {
+        commands_.push({fencing_token, Returned{work.request.machines}});
       } else {
         waiting.push_back(work);
-        std::this_thread::sleep_for(state::jittered(0.3));
+        std::this_thread::sleep_for(kv::jittered(0.3));
       }
     }
     now = steady_now();
     if (now - list_at > kListEvery_s) {
       list_at = now;
-      read_machines(baton);
+      read_machines(fencing_token);
     }
   }
 }
@@ -535,8 +548,8 @@
 void Node::ask_told() {
   for (;;) {
     for (const AskTold& ask : ask_told_.take(std::chrono::hours(1))) {
-      if (campaign_.standing().baton != ask.baton) continue;
-      commands_.push({ask.baton, WordsIn{health_.ask_told(ask.windows)}});
+      if (campaign_.status().fencing_token != ask.fencing_token) continue;
+      commands_.push({ask.fencing_token, WordsIn{health_.poll_cancellations(ask.windows)}});
     }
   }
 }
@@ -544,20 +557,21 @@
 void Node::greet() {
   for (;;) {
     for (const Greeting& greeting : greetings_.take(std::chrono::hours(1))) {
-      if (campaign_.standing().baton != greeting.baton) continue;
+      if (campaign_.status().fencing_token != greeting.fencing_token) continue;
       try {
         wire::Client worker(wire::parse_address(greeting.address), 0, 2 * wire::kBodyLimit);
         wire::Json body = greeting.body;
         if (body.is_null()) {
           const wire::Answer status = worker.call("GET", "/status", nullptr, kGreetingLimit);
           if (status.status != 200) continue;
-          body = {{"baton", greeting.baton},
-                  {"tenure", workers::decode_report(status.body).tenure},
+          body = {{"baton", greeting.fencing_token},
+                  {"tenure", workers::decode_heartbeat(status.body).incarnation},
                   {"orders", wire::Json::array()}};
         }
         const wire::Answer answer = worker.call("POST", "/orders", &body, kGreetingLimit);
         if (answer.status == 200 || answer.status == 409) {
-          commands_.push({greeting.baton, DirectIn{workers::decode_report(answer.body)}});
+          commands_.push(
+              {greeting.fencing_token, DirectIn{workers::decode_heartbeat(answer.body)}});
         }
       } catch (const std::exception& error) {
         spdlog::info("greeting {}: {}", greeting.address, error.what());
--- a/src/controller/node_bytes_test.cpp
+++ b/src/controller/server_bytes_test.cpp
@@ -1,12 +1,12 @@
 // The routes of a node's two doors, and what it sends to a worker that it has not heard: of a node
-// in a process of its own, with a state service, a cloud and a worker that are played.
+// in a process of its own, with a key-value store, a cloud and a worker that are played.
 #include <signal.h>
 #include <sys/prctl.h>
 #include <sys/wait.h>
 
 #include <thread>
 
-#include "controller/node.h"
+#include "controller/server.h"
 #include "loopback/state_server.h"
 #include "recorder.h"
 
@@ -122,12 +122,12 @@
   for (const char* field : {"served", "ago_s", "leader_stamp", "told"}) {
     EXPECT_TRUE(served.body.contains(field)) << field;
   }
-  int tick = 1;
+  int sequence_number = 1;
   for (const auto& [at, path] : {std::pair{users, "/v1/report"}, std::pair{peers, "/relay/report"},
                                  std::pair{peers, "/relay/onward"}}) {
     const std::string report =
         R"({"host":"n-1","rig":"small","hall":"a","loaner":false,"tenure":5,"tick":)" +
-        std::to_string(++tick) + R"(,"baton":0,"pieces":[]})";
+        std::to_string(++sequence_number) + R"(,"baton":0,"pieces":[]})";
     const wire::Answer answer = ask(at, "POST", path, report.c_str());
     EXPECT_EQ(answer.status, 200) << path;
     EXPECT_TRUE(is_written_as(with_baton_40(answer.body), R"({"baton":40,"orders":[]})"));
@@ -136,7 +136,7 @@
 
 TEST_F(NodeBytes, RecordsStandUnderLiteralKeys) {
   const RunningNode node(platform_);
-  // Once it leads and has told the state service what it speaks.
+  // Once it leads and has told the key-value store what it speaks.
   for (const char* key : {"leader", "member/node-0", "claim/node-0", "level", "catalog"}) {
     bool stands = false;
     for (int i = 0; i < 200 && !stands; ++i) {
--- /dev/null
+++ b/src/controller/transaction_builder.cpp
@@ -0,0 +1,314 @@
+#include "controller/transaction_builder.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <set>
+
+#include "controller/obsolete_records.h"
+#include "pipelines/dependencies.h"
+#include "schema/schema.h"
+
+namespace reachramp::controller {
+
+using kv::Outcome;
+using placement::Attempt;
+using placement::DependencyState;
+using placement::Job;
+using placement::ObservedState;
+
+namespace {
+
+constexpr std::size_t kMostBytes = 48 * 1024;  // the limit is 64 KiB in all
+constexpr double kTellEvery = 2.0;
+constexpr double kAfterConflict = 0.05;
+constexpr double kEndsWait_s = 3;
+constexpr double kAvoidFor_s = 10;
+
+// What an earlier leader placed is taken to run until its worker has been heard: each change of
+// leaders wrote "pending" over the headers of running jobs, and "running" again.
+std::uint32_t running_tasks(const Job& job) {
+  return static_cast<std::uint32_t>(
+      std::count_if(job.attempts.begin(), job.attempts.end(), [](const auto& entry) {
+        return entry.second.observed == ObservedState::running ||
+               entry.second.observed == ObservedState::saving || entry.second.from_previous_leader;
+      }));
+}
+
+// Records that starts wait for, the most first; then those with ends that have waited long. Until
+// then ends are not lost: their workers go on listing them. Most are never written at all, since
+// their job's end comes first.
+std::vector<TaskRangeRef> chunks_by_need(const Cluster& cluster, double now) {
+  std::vector<std::tuple<std::uint32_t, double, TaskRangeRef>> needs;
+  for (const TaskRangeRef& ref : cluster.dirty) {
+    if (cluster.finished_jobs.contains(ref.job)) continue;  // goes with its job
+    if (cluster.jobs[ref.job]->unconfirmed) continue;
+    const placement::TaskRange& chunk = cluster.jobs[ref.job]->task_ranges[ref.range];
+    const double age = now - chunk.dirty_since;
+    if (chunk.waiting > 0 || age > kEndsWait_s) needs.emplace_back(chunk.waiting, age, ref);
+  }
+  std::sort(needs.rbegin(), needs.rend());
+  std::vector<TaskRangeRef> refs;
+  for (const auto& need : needs) refs.push_back(std::get<2>(need));
+  return refs;
+}
+
+}  // namespace
+
+struct TransactionBuilder::Builder {
+  // Whatever is written has the form of a level, so all of it is conditional on the level's
+  // revision: a leader that stood still across a step writes nothing of the old form afterwards.
+  Builder(const Cluster& cluster, std::uint64_t level, int most) : ops(most) {
+    require(kLeaderKey, cluster.fencing_token);
+    require(schema::kLevelKey, level);
+  }
+
+  bool has_room(std::size_t more = 1) const {
+    return batch.transaction.writes.size() + more <= static_cast<std::size_t>(ops) &&
+           bytes < kMostBytes;
+  }
+  void require(const std::string& key, std::uint64_t revision) {
+    if (required.insert(key).second) batch.transaction.preconditions.emplace_back(key, revision);
+  }
+  void write(const std::string& key, std::optional<kv::Json> value) {
+    if (value) bytes += wire::json_size(*value);
+    batch.transaction.writes.push_back({key, std::move(value), std::nullopt});
+  }
+
+  TransactionBatch batch;
+  int ops;
+  std::size_t bytes = 0;
+  std::set<std::string> required;
+};
+
+void TransactionBuilder::write(RecordWrite note) {
+  const std::string key = note.key;
+  pending_writes_[key] = std::move(note);
+}
+
+// The simulated cluster wrote a closed pool as before, one transaction after the step to having
+// none.
+void TransactionBuilder::set_schema_level(std::uint32_t level) {
+  for (auto& [key, note] : pending_writes_) {
+    if (note.value && is_stale(key, *note.value, level)) note.value.reset();
+  }
+}
+
+std::optional<std::uint64_t> TransactionBuilder::revision_of(const std::string& key) const {
+  const auto at = revisions_.find(key);
+  return at == revisions_.end() ? std::nullopt : std::optional(at->second);
+}
+
+bool TransactionBuilder::is_stored(const std::string& key) const {
+  return !pending_writes_.contains(key) && revisions_.contains(key);
+}
+
+// The job's end and everything that goes with it in one step. Chunks beyond what a transaction may
+// change are removed afterwards: without a job they mean nothing.
+void TransactionBuilder::add_end(Cluster& cluster, Index index, Builder& builder) {
+  Job& job = *cluster.jobs[index];
+  const std::string& id = job.spec.id;
+  builder.require(jobs::job_key(id), job.revision);
+  builder.require(jobs::end_key(id), 0);
+  const bool cancelled = job.cancelled;
+  builder.write(jobs::end_key(id), jobs::encode_ending({cancelled, job.done_count}));
+  builder.write(jobs::job_key(id), std::nullopt);
+  const auto remove = [&](const std::string& key, std::uint64_t revision) {
+    if (builder.has_room()) {
+      builder.require(key, revision);
+      builder.write(key, std::nullopt);
+    } else {
+      builder.batch.leftovers.emplace_back(key, revision);
+    }
+  };
+  for (std::size_t chunk = 0; chunk < job.task_ranges.size(); ++chunk) {
+    if (job.task_ranges[chunk].revision != 0) {
+      remove(cluster.chunk_key(job, chunk), job.task_ranges[chunk].revision);
+    }
+  }
+  for (const placement::ObsoleteRecord& stray : job.obsolete_records)
+    remove(stray.key, stray.revision);
+  builder.batch.ended_jobs.emplace_back(
+      id, cancelled ? DependencyState::cancelled : DependencyState::done);
+}
+
+// Placements are reckoned before they are made, so a record fits. One that does not all the same,
+// such as one that takes over a larger record of before, gives up what may still be given up, and
+// else stays as it is until enough of its tasks have ended; it must not hold up the others.
+void TransactionBuilder::add_chunk(Cluster& cluster, const TaskRangeRef& ref, double now,
+                                   Builder& builder) {
+  const Job& job = *cluster.jobs[ref.job];
+  const placement::TaskRange& chunk = job.task_ranges[ref.range];
+  const std::string key = cluster.chunk_key(job, ref.range);
+  if (backs_off(key, now)) return;
+  jobs::ChunkRecord record = cluster.chunk_record(job, ref.range);
+  kv::Json value = cluster.encode_chunk(record);
+  if (!kv::fits(value, cluster.value_kb())) {
+    cluster.release_unstored(ref.job, ref.range, now);
+    record = cluster.chunk_record(job, ref.range);
+    value = cluster.encode_chunk(record);
+    if (!kv::fits(value, cluster.value_kb())) {
+      spdlog::debug("record {} is too long to be written now", key);
+      return;
+    }
+  }
+  // A cancellation changes the header, so that starts decided before it fail.
+  builder.require(jobs::job_key(job.spec.id), job.revision);
+  builder.require(key, chunk.revision);
+  builder.write(key, std::move(value));
+  builder.batch.chunks.push_back({ref, job.spec.id, chunk.changed, record.placements});
+}
+
+void TransactionBuilder::add_headers(Cluster& cluster, double now, Builder& builder) {
+  for (auto at = cluster.jobs_with_changed_counts.begin();
+       at != cluster.jobs_with_changed_counts.end() && builder.has_room();) {
+    Job& job = *cluster.jobs[*at];
+    if (now - job.reported_at < kTellEvery) {
+      ++at;
+      continue;
+    }
+    const std::uint32_t running = running_tasks(job);
+    // A change of phase shows; counts alone are refreshed along with it.
+    const bool told =
+        (running > 0) == (job.reported_running > 0) && job.done_count == job.reported_done;
+    if (told || job.cancelled || job.finished()) {
+      at = cluster.jobs_with_changed_counts.erase(at);
+      continue;
+    }
+    ++at;
+    const std::string key = jobs::job_key(job.spec.id);
+    job.reported_at = now;
+    kv::Json value =
+        jobs::encode_header({job.spec, false, job.done_count, running, job.accepted_revision});
+    // Accepted when values could be longer: its counts are not shown.
+    if (backs_off(key, now) || !kv::fits(value, cluster.value_kb())) continue;
+    builder.require(key, job.revision);
+    builder.write(key, std::move(value));
+    builder.batch.status_counts.push_back({job.spec.id, job.done_count, running});
+  }
+}
+
+std::optional<TransactionBatch> TransactionBuilder::next_batch(Cluster& cluster, int most,
+                                                               bool spare, double now) {
+  if (now < not_before_) return std::nullopt;
+  Builder builder(cluster, revision_of(schema::kLevelKey).value_or(0), most);
+  for (const Index index : cluster.finished_jobs) {
+    if (!builder.has_room(2)) break;
+    if (cluster.jobs[index]->unconfirmed) continue;
+    add_end(cluster, index, builder);
+  }
+  for (const auto& [key, note] : pending_writes_) {
+    if (!builder.has_room()) break;
+    if (backs_off(key, now)) continue;
+    builder.require(key, revision_of(key).value_or(0));
+    for (const auto& [other, revision] : note.preconditions) builder.require(other, revision);
+    builder.write(key, note.value);
+    builder.batch.record_writes.push_back(note);
+  }
+  for (const TaskRangeRef& ref : chunks_by_need(cluster, now)) {
+    if (!builder.has_room()) break;
+    add_chunk(cluster, ref, now, builder);
+  }
+  if (spare) add_headers(cluster, now, builder);
+  if (builder.batch.transaction.writes.empty()) return std::nullopt;
+  return std::move(builder.batch);
+}
+
+// Notes that were to be written only while the key stood as it was. Whether there were any.
+bool TransactionBuilder::drop_conditional_on(const std::string& key) {
+  return std::erase_if(pending_writes_, [&](const auto& entry) {
+           const auto& given = entry.second.preconditions;
+           return std::any_of(given.begin(), given.end(),
+                              [&](const auto& one) { return one.first == key; });
+         }) > 0;
+}
+
+bool TransactionBuilder::backs_off(const std::string& key, double now) const {
+  const auto at = backed_off_until_.find(key);
+  return at != backed_off_until_.end() && now < at->second;
+}
+
+void TransactionBuilder::back_off(const TransactionBatch& batch, double now) {
+  std::erase_if(backed_off_until_, [&](const auto& entry) { return now >= entry.second; });
+  for (const kv::Write& write : batch.transaction.writes) {
+    spdlog::error("record {} is refused", write.key);
+    backed_off_until_[write.key] = now + kAvoidFor_s;
+  }
+}
+
+BatchOutcome TransactionBuilder::apply_result(Cluster& cluster, const TransactionBatch& batch,
+                                              const kv::CommitResult& committed, double now) {
+  switch (committed.outcome) {
+    case Outcome::ok:
+      break;
+    case Outcome::refused:
+      return BatchOutcome::retry;
+    case Outcome::malformed:
+      return BatchOutcome::too_large;
+    case Outcome::conflict: {
+      bool others = !committed.failed_keys.empty();
+      for (const std::string& key : committed.failed_keys) {
+        if (key == kLeaderKey) return BatchOutcome::deposed;
+        const bool given = drop_conditional_on(key);
+        others = others && (given || key.starts_with("job/"));
+      }
+      // A header that changed was cancelled by its user; the watch brings the new one. What a note
+      // was conditional on is looked at again by whoever wrote the note.
+      not_before_ = now + kAfterConflict;
+      return others ? BatchOutcome::retry : BatchOutcome::uncertain;
+    }
+    default:
+      return BatchOutcome::uncertain;
+  }
+  for (const TransactionBatch::StoredChunk& stored : batch.chunks) {
+    Job* job = cluster.job(stored.job);
+    if (job == nullptr) continue;
+    placement::TaskRange& chunk = job->task_ranges[stored.ref.range];
+    chunk.revision = committed.store_revision;
+    chunk.stored = stored.changed;
+    if (chunk.changed == chunk.stored) {
+      cluster.dirty.erase({cluster.job_index[stored.job], stored.ref.range});
+    }
+    for (const jobs::Placement& placement : stored.placements) {
+      const auto at = job->attempts.find(placement.task);
+      if (at != job->attempts.end() && at->second.number == placement.attempt &&
+          cluster.hosts[at->second.host]->name == placement.host) {
+        cluster.mark_persisted(*job, placement.task);
+      }
+    }
+  }
+  for (const TransactionBatch::StatusCounts& told : batch.status_counts) {
+    if (Job* job = cluster.job(told.job)) {
+      job->revision = std::max(job->revision, committed.store_revision);
+      job->reported_done = told.done;
+      job->reported_running = told.running;
+      cluster.jobs_with_changed_counts.insert(
+          cluster.job_index[told.job]);  // they may have changed meanwhile
+    }
+  }
+  for (const RecordWrite& note : batch.record_writes) {
+    if (note.value) {
+      revisions_[note.key] = committed.store_revision;
+    } else {
+      revisions_.erase(note.key);
+    }
+    const auto at = pending_writes_.find(note.key);
+    if (at != pending_writes_.end() && at->second.value == note.value) pending_writes_.erase(at);
+  }
+  for (const auto& [key, revision] : batch.leftovers) {
+    revisions_[key] = revision;
+    write({key, std::nullopt});
+  }
+  for (const auto& [id, fate] : batch.ended_jobs) {
+    const auto at = cluster.job_index.find(id);
+    if (at == cluster.job_index.end()) continue;
+    const Job& job = *cluster.jobs[at->second];
+    spdlog::info("job {} {}: {} of {} tasks done", id, job.cancelled ? "cancelled" : "done",
+                 job.done_count, job.spec.tasks);
+    cluster.remove_job(at->second);
+    pipelines::resolve_dependents(cluster, id, fate, now);
+  }
+  return BatchOutcome::applied;
+}
+
+}  // namespace reachramp::controller
--- a/src/controller/write_budget.cpp
+++ b/src/controller/write_budget.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kThrottlesTell = 3;
 constexpr double kThrottlesWithin_s = 5;
 
-state::Bucket bucket_for(double write_rps) { return {write_rps * kLeadersShare, write_rps}; }
+kv::TokenBucket bucket_for(double write_rps) { return {write_rps * kLeadersShare, write_rps}; }
 
 }  // namespace
 
--- a/src/controller/write_budget.h
+++ b/src/controller/write_budget.h
@@ -1,11 +1,11 @@
-// How many changes a second the leader may write to the state service. The operators may announce a
-// lower limit that comes into force without notice; it is recognised by refusals for the rate.
+// How many changes a second the leader may write to the key-value store. The operators may announce
+// a lower limit that comes into force without notice; it is recognised by refusals for the rate.
 #pragma once
 
 #include <vector>
 
+#include "kv/token_bucket.h"
 #include "settings/settings.h"
-#include "state/bucket.h"
 
 namespace reachramp::controller {
 
@@ -23,7 +23,7 @@
  private:
   double write_rps_;
   double announced_write_rps_;
-  state::Bucket bucket_;
+  kv::TokenBucket bucket_;
   std::vector<double> throttled_at_;
   bool uses_announced_rate_ = false;
 };
--- a/src/drains/budgets.cpp
+++ b/src/drains/budgets.cpp
@@ -8,53 +8,53 @@
 namespace {
 
 using placement::Attempt;
-using placement::Seen;
+using placement::ObservedState;
 
 constexpr double kHour_s = 3600;
 constexpr double kCrumb = 1e-6;
 constexpr std::size_t kMostKept = 60;  // jobs and teams in the record
 
 bool runs(const Attempt& attempt) {
-  return attempt.seen == Seen::running || attempt.seen == Seen::saving;
+  return attempt.observed == ObservedState::running || attempt.observed == ObservedState::saving;
 }
 
-void count(Toll& toll, double cores) {
+void count(DisruptionCounts& toll, double cores) {
   toll.running -= cores;
   toll.voluntary += cores;
 }
 
 // Gangs and services that have run under an earlier leader and do not now.
 bool left_down(const Job& job) {
-  return job.spec.shape != jobs::Shape::array && job.last_attempt > 0 && job.down.empty();
+  return job.spec.shape != jobs::Shape::array && job.last_attempt > 0 && job.interruptions.empty();
 }
 
 }  // namespace
 
-const char* name_of(Refusal refusal) {
+const char* name_of(BudgetRejection refusal) {
   switch (refusal) {
-    case Refusal::none:
+    case BudgetRejection::none:
       return "none";
-    case Refusal::down:
+    case BudgetRejection::down:
       return "enough is down";
-    case Refusal::lost:
+    case BudgetRejection::lost:
       return "enough was lost in the last hour";
-    case Refusal::replicas:
+    case BudgetRejection::replicas:
       return "too few replicas would be up";
-    case Refusal::stops:
+    case BudgetRejection::stops:
       return "stopped often enough";
-    case Refusal::guarantee:
+    case BudgetRejection::guarantee:
       return "within its guarantee, and no place at hand";
-    case Refusal::deadline:
+    case BudgetRejection::deadline:
       return "it would miss its deadline";
   }
   return "";
 }
 
-std::vector<Toll> Budgets::tolls(const Cluster& cluster) const {
-  std::vector<Toll> tolls(cluster.used.size());
+std::vector<DisruptionCounts> Budgets::tolls(const Cluster& cluster) const {
+  std::vector<DisruptionCounts> tolls(cluster.used.size());
   for (const auto& job : cluster.jobs) {
     if (!job || job->team == placement::kNone || job->cancelled) continue;
-    Toll& toll = tolls[job->team];
+    DisruptionCounts& toll = tolls[job->team];
     std::uint32_t running = 0, stopping = 0;
     for (const auto& [task, attempt] : job->attempts) {
       if (!runs(attempt)) continue;
@@ -64,68 +64,72 @@
         ++stopping;
       }
     }
-    toll.running += running * job->need.cpus;
-    toll.voluntary += stopping * job->need.cpus;
-    for (const auto& [task, down] : job->down) {
-      (down.voluntary ? toll.voluntary : toll.forced) += job->need.cpus;
+    toll.running += running * job->resources_per_task.cpus;
+    toll.voluntary += stopping * job->resources_per_task.cpus;
+    for (const auto& [task, down] : job->interruptions) {
+      (down.voluntary ? toll.voluntary : toll.forced) += job->resources_per_task.cpus;
     }
     if (left_down(*job)) {
       const std::uint32_t rest = job->spec.tasks - job->done_count;
-      toll.forced += (rest - std::min<std::uint32_t>(rest, running + stopping)) * job->need.cpus;
+      toll.forced +=
+          (rest - std::min<std::uint32_t>(rest, running + stopping)) * job->resources_per_task.cpus;
     }
   }
   return tolls;
 }
 
-Refusal Budgets::judge(const Rules& rules, const Cluster& cluster, std::vector<Toll> tolls,
-                       const std::vector<Stop>& stops, double now) const {
+BudgetRejection Budgets::judge(const Rules& rules, const Cluster& cluster,
+                               std::vector<DisruptionCounts> tolls, const std::vector<Stop>& stops,
+                               double now) const {
   std::map<Index, double> lost;  // by team, by these stops
   for (const Stop& stop : stops) {
     const Job& job = *cluster.jobs[stop.job];
     const Budget& budget = rules.budget_of(job.spec.team);
-    const double cores = job.need.cpus * stop.tasks;
-    Toll& toll = tolls[job.team];
+    const double cores = job.resources_per_task.cpus * stop.tasks;
+    DisruptionCounts& toll = tolls[job.team];
     const double down = toll.voluntary + toll.forced;
     // One gang or task may always go while nothing else of the team is down, or a team whose gang
     // is all it runs could never be moved.
     const bool first = down <= kCrumb && budget.down > 0;
-    if (!first && down + cores > budget.down * (toll.running + down) + kCrumb) return Refusal::down;
+    if (!first && down + cores > budget.down * (toll.running + down) + kCrumb)
+      return BudgetRejection::down;
     count(toll, cores);
     lost[job.team] += stop.lost_core_s;
     if (lost_core_s(rules, job.spec.team, now) + lost[job.team] >
         budget.lost_core_s_an_hour + kCrumb) {
-      return Refusal::lost;
+      return BudgetRejection::lost;
     }
     const auto before = jobs_.find(job.spec.id);
-    if ((before == jobs_.end() ? 0 : before->second) >= budget.stops_a_job) return Refusal::stops;
+    if ((before == jobs_.end() ? 0 : before->second) >= budget.stops_a_job)
+      return BudgetRejection::stops;
     if (job.spec.shape == jobs::Shape::service) {
       const auto up = std::count_if(job.attempts.begin(), job.attempts.end(), [](const auto& one) {
-        return one.second.seen == Seen::running && !one.second.stopping;
+        return one.second.observed == ObservedState::running && !one.second.stopping;
       });
       const double least = std::ceil(job.spec.tasks * budget.replicas_up - kCrumb);
-      if (static_cast<double>(up) - stop.tasks < least) return Refusal::replicas;
+      if (static_cast<double>(up) - stop.tasks < least) return BudgetRejection::replicas;
     }
     const settings::Team& team = cluster.platform.teams[job.team];
     if (!stop.placed && team.cpus > 0 && cluster.used[job.team].cpus <= team.cpus + kCrumb) {
-      return Refusal::guarantee;
+      return BudgetRejection::guarantee;
     }
     if (job.spec.deadline_s && job.spec.estimate_s > 0) {
       double begun = now;
       for (const auto& [task, attempt] : job.attempts) {
         if (attempt.running_since >= 0) begun = std::min(begun, attempt.running_since);
       }
-      const double due = job.seen_at + *job.spec.deadline_s;
+      const double due = job.accepted_at + *job.spec.deadline_s;
       const double end = std::max(now, begun + job.spec.estimate_s);
-      if (end <= due && end + stop.late_s > due) return Refusal::deadline;
+      if (end <= due && end + stop.late_s > due) return BudgetRejection::deadline;
     }
   }
-  return Refusal::none;
+  return BudgetRejection::none;
 }
 
-void Budgets::note(const Rules& rules, const Cluster& cluster, std::vector<Toll>& tolls,
+void Budgets::note(const Rules& rules, const Cluster& cluster, std::vector<DisruptionCounts>& tolls,
                    const Stop& stop, double now) {
   const Job& job = *cluster.jobs[stop.job];
-  count(tolls[job.team], job.need.cpus * stop.tasks);
+  count(tolls[job.team], job.resources_per_task.cpus * stop.tasks);
   const double left = lost_core_s(rules, job.spec.team, now);
   Used& used = used_[job.spec.team];
   used.core_s = left + stop.lost_core_s;
@@ -168,7 +172,7 @@
   return {{"teams", std::move(teams)}, {"jobs", std::move(jobs)}};
 }
 
-void Budgets::inherit(const wire::Json& record, double now) {
+void Budgets::restore(const wire::Json& record, double now) {
   if (!record.is_object()) throw wire::BadMessage("drains/used: not a map");
   std::map<std::string, Used> used;
   for (const wire::Json& item : wire::list(record, "teams")) {
@@ -195,7 +199,7 @@
     const double ran = attempt.running_since < 0 ? 0 : now - attempt.running_since;
     const double lost =
         saves ? std::min(ran, job.spec.save_s) : (job.spec.shape == jobs::Shape::service ? 0 : ran);
-    stop.lost_core_s += lost * job.need.cpus;
+    stop.lost_core_s += lost * job.resources_per_task.cpus;
     stop.late_s = std::max(stop.late_s, saves ? 2 * job.spec.save_s + lost : ran);
   }
   return stop;
--- a/src/drains/budgets.h
+++ b/src/drains/budgets.h
@@ -23,14 +23,14 @@
 using placement::Job;
 
 // Cores of a team's work that has begun.
-struct Toll {
+struct DisruptionCounts {
   double running = 0;    // and is not being stopped
   double voluntary = 0;  // stopped, or being stopped, by choice
   double forced = 0;     // down for any other reason
 };
 
-enum class Refusal { none, down, lost, replicas, stops, guarantee, deadline };
-const char* name_of(Refusal refusal);
+enum class BudgetRejection { none, down, lost, replicas, stops, guarantee, deadline };
+const char* name_of(BudgetRejection refusal);
 
 // What is to be stopped of one job, all or part of its tasks.
 struct Stop {
@@ -44,20 +44,21 @@
 class Budgets {
  public:
   // Of the moment; by team.
-  std::vector<Toll> tolls(const Cluster& cluster) const;
+  std::vector<DisruptionCounts> tolls(const Cluster& cluster) const;
   // Whether all of these may be stopped together, and if not, why; `tolls` are those of the moment.
-  Refusal judge(const Rules& rules, const Cluster& cluster, std::vector<Toll> tolls,
-                const std::vector<Stop>& stops, double now) const;
+  BudgetRejection judge(const Rules& rules, const Cluster& cluster,
+                        std::vector<DisruptionCounts> tolls, const std::vector<Stop>& stops,
+                        double now) const;
   // They are stopped.
-  void note(const Rules& rules, const Cluster& cluster, std::vector<Toll>& tolls, const Stop& stop,
-            double now);
+  void note(const Rules& rules, const Cluster& cluster, std::vector<DisruptionCounts>& tolls,
+            const Stop& stop, double now);
 
   double lost_core_s(const Rules& rules, const std::string& team, double now) const;
   std::uint32_t stopped(const std::string& team) const;
 
   wire::Json encode(const Rules& rules, const Cluster& cluster, double now) const;
   // Throws wire::BadMessage and is as it was.
-  void inherit(const wire::Json& record, double now);
+  void restore(const wire::Json& record, double now);
 
  private:
   struct Used {
--- a/src/drains/drains.cpp
+++ b/src/drains/drains.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 
 #include "placement/plan.h"
-#include "quarantine/blame.h"
+#include "quarantine/fault_attribution.h"
 
 namespace reachramp::drains {
 
@@ -15,7 +15,7 @@
 using placement::Attempt;
 using placement::HostPhase;
 using placement::kNone;
-using placement::Seen;
+using placement::ObservedState;
 using placement::TaskRef;
 
 constexpr double kLeastCharge_s = 60;
@@ -62,7 +62,7 @@
   if (!in_force()) return;
   spdlog::info("drains: none is in force any more");
   for (const auto& host : cluster.hosts) {
-    if (host) host->going = host->outgoing = false;
+    if (host) host->cordoned = host->to_be_replaced = false;
   }
   rules_ = {};
   lines_.clear();
@@ -101,18 +101,18 @@
 void Drains::mark(Cluster& cluster, double now) {
   std::map<std::string, std::size_t> matched;
   for (const auto& host : cluster.hosts) {
-    if (!host || host->phase == HostPhase::leaving) continue;
+    if (!host || host->phase == HostPhase::terminating) continue;
     const Entry* entry = entry_of(cluster, *host, now);
     if (entry != nullptr) ++matched[entry->text];
-    const Line* line = nullptr;
+    const RuleLine* line = nullptr;
     if (entry != nullptr && entry->in_steps) {
       const auto at = lines_.find({host->type, host->spot});
       if (at != lines_.end() && at->second.old.contains(host->name)) line = &at->second;
     }
-    host->outgoing = line != nullptr && line->phase == Phase::renting;
-    host->going = entry != nullptr &&
-                  (!entry->in_steps || (line != nullptr && line->phase == Phase::emptying));
-    if (host->going) {
+    host->to_be_replaced = line != nullptr && line->phase == Phase::renting;
+    host->cordoned = entry != nullptr &&
+                     (!entry->in_steps || (line != nullptr && line->phase == Phase::emptying));
+    if (host->cordoned) {
       going_since_.try_emplace(host->name, now);
     } else {
       going_since_.erase(host->name);
@@ -135,7 +135,7 @@
 
 // The zone with the most to replace; there those that would go back anyway, then those with the
 // least work on them.
-void Drains::begin_step(Cluster& cluster, const LineKey& key, Line& line, double now) {
+void Drains::begin_step(Cluster& cluster, const LineKey& key, RuleLine& line, double now) {
   std::map<Index, std::vector<const Host*>> found;
   std::size_t all = 0;
   for (const auto& host : cluster.hosts) {
@@ -178,7 +178,8 @@
 
 // The cloud had nothing for what the last step gave back: the next one waits until it has, or the
 // fleet would be taken apart step by step.
-bool Drains::starves(const Cluster& cluster, const LineKey& key, Line& line, double now) const {
+bool Drains::misses_deadline(const Cluster& cluster, const LineKey& key, RuleLine& line,
+                             double now) const {
   if (line.starved_at < 0) return false;
   const Pool pool{key.first, line.zone, key.second};
   const bool came = std::any_of(cluster.hosts.begin(), cluster.hosts.end(), [&](const auto& host) {
@@ -189,10 +190,10 @@
   return line.starved_at >= 0;
 }
 
-void Drains::watch_step(Cluster& cluster, const LineKey& key, Line& line,
+void Drains::watch_step(Cluster& cluster, const LineKey& key, RuleLine& line,
                         const Conditions& conditions, double now) {
   const Pool pool{key.first, line.zone, key.second};
-  const auto* type = cluster.kind(key.first);
+  const auto* type = cluster.machine_type(key.first);
   const double boot_s = type == nullptr ? 60 : type->boot_s;
   bool boots = false;
   line.refused = line.refused || conditions.refused(pool);
@@ -226,7 +227,7 @@
         }
         // One that no entry names any more is not of the step.
         const Host& host = *cluster.hosts[at->second];
-        return host.phase != HostPhase::leaving && entry_of(cluster, host, now) == nullptr;
+        return host.phase != HostPhase::terminating && entry_of(cluster, host, now) == nullptr;
       });
       if (line.old.empty()) next(Phase::settling);
       return;
@@ -242,7 +243,7 @@
     if (at == cluster.host_index.end()) continue;  // it has done its work, or was taken back
     const Host& host = *cluster.hosts[at->second];
     const bool sick =
-        quarantine::weight_against(cluster, at->second) > 0 && host.reclaim_at == placement::kNever;
+        quarantine::fault_evidence(cluster, at->second) > 0 && host.reclaim_at == placement::kNever;
     if (host.phase == HostPhase::booting || sick) ++line.failed;
   }
   line.phase = Phase::idle;
@@ -296,12 +297,12 @@
       }
       continue;
     }
-    if (!starves(cluster, key, line, now)) begin_step(cluster, key, line, now);
+    if (!misses_deadline(cluster, key, line, now)) begin_step(cluster, key, line, now);
   }
 }
 
 void Drains::stop(Cluster& cluster, Index index, const std::vector<std::uint32_t>& tasks,
-                  Wishes& wishes, double now) {
+                  DrainActions& wishes, double now) {
   const Job& job = *cluster.jobs[index];
   if (moves_.moves(job.spec.id)) return;
   const bool saves = job.spec.checkpoint_s > 0;
@@ -309,18 +310,18 @@
   const auto refuse = [&](const char* why) { ++waits_[job.spec.team][why]; };
   // As if a place were at hand, for which one has to search; what starts anew one by one needs none
   // but within its team's guarantee.
-  for (const Refusal full : {Refusal::down, Refusal::lost}) {
+  for (const BudgetRejection full : {BudgetRejection::down, BudgetRejection::lost}) {
     if (full_.contains({job.team, full})) return refuse(drains::name_of(full));
   }
   Stop cost = stop_of(cluster, index, tasks, true, now);
-  Refusal refusal = budgets_.judge(rules_, cluster, tolls_, {cost}, now);
-  if (refusal != Refusal::none) {
+  BudgetRejection refusal = budgets_.judge(rules_, cluster, tolls_, {cost}, now);
+  if (refusal != BudgetRejection::none) {
     full_.insert({job.team, refusal});
     return refuse(drains::name_of(refusal));
   }
   cost.placed = false;
   std::map<std::uint32_t, Index> places;
-  if (!array || budgets_.judge(rules_, cluster, tolls_, {cost}, now) != Refusal::none) {
+  if (!array || budgets_.judge(rules_, cluster, tolls_, {cost}, now) != BudgetRejection::none) {
     if (searches_ == 0) return;
     --searches_;
     places = places_for(cluster, index, tasks, now);
@@ -334,13 +335,14 @@
     hosts.insert(job.attempts.at(task).host);
     cluster.stop(index, task, saves ? job.spec.save_s + 1 : 0, true);
   }
-  if (hosts.size() > 1) wishes.stop_now.insert(wishes.stop_now.end(), hosts.begin(), hosts.end());
+  if (hosts.size() > 1)
+    wishes.urgent_stops.insert(wishes.urgent_stops.end(), hosts.begin(), hosts.end());
   spdlog::info("job {}: {} tasks leave their machines", job.spec.id, tasks.size());
 }
 
 // What ends soon is left to end; what saves goes on elsewhere, gangs whole; tasks that save nothing
 // are left for a while, then the youngest go first.
-void Drains::empty(Cluster& cluster, Index index, Wishes& wishes, double now) {
+void Drains::empty(Cluster& cluster, Index index, DrainActions& wishes, double now) {
   Host& host = *cluster.hosts[index];
   const double since = going_since_.at(host.name);
   const std::set<TaskRef> refs = host.attempts;
@@ -350,10 +352,11 @@
     const auto at = attempts.find(ref.task);
     if (at == attempts.end()) continue;  // released with another one of its job
     const Attempt& attempt = at->second;
-    if (!attempt.sent && !attempt.inherited && attempt.seen == Seen::nowhere) {
+    if (!attempt.start_sent && !attempt.from_previous_leader &&
+        attempt.observed == ObservedState::unobserved) {
       cluster.stop(ref.job, ref.task, 0, true);
       cluster.release_unsent(ref.job, now);
-    } else if (attempt.seen == Seen::running && !attempt.stopping) {
+    } else if (attempt.observed == ObservedState::running && !attempt.stopping) {
       running.emplace_back(now - attempt.running_since, ref);
     }
   }
@@ -374,20 +377,21 @@
     // Whole, and only while all of it runs: one that gathers will run, or be incomplete.
     std::vector<std::uint32_t> tasks;
     for (const auto& [task, attempt] : job.attempts) {
-      if (attempt.seen == Seen::running && !attempt.stopping) tasks.push_back(task);
+      if (attempt.observed == ObservedState::running && !attempt.stopping) tasks.push_back(task);
     }
     if (tasks.size() == job.spec.tasks) stop(cluster, ref.job, tasks, wishes, now);
   }
 }
 
-Wishes Drains::pass(Cluster& cluster, const Conditions& conditions, double now) {
-  Wishes wishes;
+DrainActions Drains::advance(Cluster& cluster, const Conditions& conditions, double now) {
+  DrainActions wishes;
   if (!in_force()) return wishes;
   std::size_t known = 0, heard = 0;
   for (const auto& host : cluster.hosts) {
     if (!host || !should_be_heard(cluster, *host, now)) continue;
     ++known;
-    heard += host->heard_at >= 0 && now - host->heard_at < cluster.platform.workers.lease_s / 2;
+    heard += host->last_heartbeat_at >= 0 &&
+             now - host->last_heartbeat_at < cluster.platform.workers.lease_s / 2;
   }
   const char* unrest = conditions.rolling ? "controllers are being changed"
                        : static_cast<double>(heard) < kHeard * static_cast<double>(known)
@@ -408,12 +412,12 @@
   searches_ = kMostSearches;
   for (Index i = 0; i < cluster.hosts.size(); ++i) {
     Host* host = cluster.hosts[i].get();
-    if (host == nullptr || !host->going || host->phase == HostPhase::leaving) continue;
+    if (host == nullptr || !host->cordoned || host->phase == HostPhase::terminating) continue;
     if (calm_ && host->phase == HostPhase::up && host->reclaim_at == placement::kNever) {
       empty(cluster, i, wishes, now);
     }
     if (host->attempts.empty() && host->reserved == 0 && now - host->rented_at >= kLeastCharge_s) {
-      wishes.back.push_back(i);
+      wishes.scale_in.push_back(i);
     }
   }
   tell(cluster, conditions, now);
@@ -427,8 +431,8 @@
     for (const auto& [task, attempt] : cluster.jobs[index]->attempts) tasks.push_back(task);
     stops.push_back(stop_of(cluster, index, tasks, false, now));
   }
-  std::vector<Toll> tolls = budgets_.tolls(cluster);
-  if (budgets_.judge(rules_, cluster, tolls, stops, now) != Refusal::none) return false;
+  std::vector<DisruptionCounts> tolls = budgets_.tolls(cluster);
+  if (budgets_.judge(rules_, cluster, tolls, stops, now) != BudgetRejection::none) return false;
   for (const Stop& stop : stops) budgets_.note(rules_, cluster, tolls, stop, now);
   changed_ = true;
   return true;
@@ -439,7 +443,7 @@
   double price = 0;
   for (const auto& host : cluster.hosts) {
     const auto* type = host ? cluster.type_of(*host) : nullptr;
-    if (type == nullptr || host->phase == HostPhase::leaving) continue;
+    if (type == nullptr || host->phase == HostPhase::terminating) continue;
     const Entry* entry = entry_of(cluster, *host, now);
     if (entry == nullptr || !entry->in_steps) continue;
     const Pool pool{host->type, host->zone, host->spot};
@@ -454,11 +458,11 @@
     std::size_t to_go = 0, emptying = 0;
     for (const auto& [text, count] : matched_) to_go += count;
     for (const auto& host : cluster.hosts) {
-      if (host && host->phase != HostPhase::leaving) emptying += host->going ? 1 : 0;
+      if (host && host->phase != HostPhase::terminating) emptying += host->cordoned ? 1 : 0;
     }
     std::string more;
     for (Index team = 0; team < tolls_.size(); ++team) {
-      const Toll& toll = tolls_[team];
+      const DisruptionCounts& toll = tolls_[team];
       if (toll.voluntary + toll.forced < 1) continue;
       more +=
           fmt::format("; {}: {:.0f} cores down by choice, {:.0f} otherwise, {:.0f} running",
@@ -476,7 +480,7 @@
   }
   if (now - told_teams_at_ < kTellTeamsEvery_s) return;
   told_teams_at_ = now;
-  const std::vector<Toll> tolls = budgets_.tolls(cluster);
+  const std::vector<DisruptionCounts> tolls = budgets_.tolls(cluster);
   for (Index team = 0; team < tolls.size(); ++team) {
     const std::string& name = cluster.platform.teams[team].name;
     spdlog::info(
@@ -498,7 +502,7 @@
   return record;
 }
 
-void Drains::inherit(const wire::Json& record, double now) {
+void Drains::restore(const wire::Json& record, double now) {
   std::map<std::string, std::pair<std::uint32_t, int>> lines;
   if (!record.is_object()) throw wire::BadMessage("drains/used: not a map");
   for (const wire::Json& item : wire::list(record, "lines")) {
@@ -506,7 +510,7 @@
         static_cast<std::uint32_t>(wire::count(item, "size", 100000)),
         static_cast<int>(wire::count(item, "halts", kMostHalts))};
   }
-  budgets_.inherit(record, now);
+  budgets_.restore(record, now);
   inherited_ = std::move(lines);
 }
 
--- a/src/drains/drains.h
+++ b/src/drains/drains.h
@@ -30,9 +30,10 @@
   std::function<double(const Pool&)> hour_price;  // of a machine
 };
 
-struct Wishes {
-  std::vector<Index> back;      // machines to be returned
-  std::vector<Index> stop_now;  // machines to be told of stops at once: a gang's must come together
+struct DrainActions {
+  std::vector<Index> scale_in;  // machines to be returned
+  std::vector<Index>
+      urgent_stops;  // machines to be told of stops at once: a gang's must come together
 };
 
 class Drains {
@@ -46,7 +47,7 @@
   // Before each plan. Returns how many tasks were placed.
   int settle(Cluster& cluster, double now) { return moves_.settle(cluster, now); }
   // Marks machines, stops what may be stopped, takes steps on; twice a second.
-  Wishes pass(Cluster& cluster, const Conditions& conditions, double now);
+  DrainActions advance(Cluster& cluster, const Conditions& conditions, double now);
   // Whether these jobs may be stopped for other work's sake; they are then.
   bool may_yield(const Cluster& cluster, const std::vector<Index>& jobs, double now);
   // Pools that are to be left: nothing is rented there.
@@ -54,7 +55,7 @@
 
   wire::Json encode(const Cluster& cluster, double now) const;
   // Throws wire::BadMessage and is as it was.
-  void inherit(const wire::Json& record, double now);
+  void restore(const wire::Json& record, double now);
   // Whether encode() would say something new.
   bool has_changed() const { return changed_; }
   void note_written() { changed_ = false; }
@@ -62,7 +63,7 @@
  private:
   enum class Phase { idle, renting, emptying, settling };
   // Pools of one type and kind: one zone of them at a time.
-  struct Line {
+  struct RuleLine {
     Phase phase = Phase::idle;
     Index zone = placement::kNone;
     std::set<std::string> old;    // machines of the step
@@ -82,13 +83,14 @@
   const Entry* entry_of(const Cluster& cluster, const Host& host, double now) const;
   void mark(Cluster& cluster, double now);
   void step(Cluster& cluster, const Conditions& conditions, double now);
-  bool starves(const Cluster& cluster, const LineKey& key, Line& line, double now) const;
-  void begin_step(Cluster& cluster, const LineKey& key, Line& line, double now);
-  void watch_step(Cluster& cluster, const LineKey& key, Line& line, const Conditions& conditions,
-                  double now);
-  void empty(Cluster& cluster, Index host, Wishes& wishes, double now);
-  void stop(Cluster& cluster, Index job, const std::vector<std::uint32_t>& tasks, Wishes& wishes,
-            double now);
+  bool misses_deadline(const Cluster& cluster, const LineKey& key, RuleLine& line,
+                       double now) const;
+  void begin_step(Cluster& cluster, const LineKey& key, RuleLine& line, double now);
+  void watch_step(Cluster& cluster, const LineKey& key, RuleLine& line,
+                  const Conditions& conditions, double now);
+  void empty(Cluster& cluster, Index host, DrainActions& wishes, double now);
+  void stop(Cluster& cluster, Index job, const std::vector<std::uint32_t>& tasks,
+            DrainActions& wishes, double now);
   double price_left(const Cluster& cluster, const Conditions& conditions, double now) const;
   void tell(const Cluster& cluster, const Conditions& conditions, double now);
   std::string name_of(const Cluster& cluster, const LineKey& key) const;
@@ -97,14 +99,15 @@
   std::map<std::uint64_t, double> accepted_;
   Budgets budgets_;
   Moves moves_;
-  std::map<LineKey, Line> lines_;
+  std::map<LineKey, RuleLine> lines_;
   std::map<std::string, std::pair<std::uint32_t, int>> inherited_;   // size and halts, by line
   std::map<std::string, double> going_since_;                        // machines
   std::map<std::string, std::size_t> matched_;                       // by entry, of late
   std::map<std::string, std::map<std::string, std::size_t>> waits_;  // by team, why, of late
-  std::vector<Toll> tolls_;                                          // in a pass
-  std::set<std::pair<Index, Refusal>> full_;  // teams that were refused in this pass, and why
-  int searches_ = 0;                          // for places, left to this pass
+  std::vector<DisruptionCounts> tolls_;                              // in a pass
+  std::set<std::pair<Index, BudgetRejection>>
+      full_;          // teams that were refused in this pass, and why
+  int searches_ = 0;  // for places, left to this pass
   std::size_t gone_ = 0;
   bool dear_ = false;
   bool calm_ = false;
--- a/src/drains/drains_bytes_test.cpp
+++ b/src/drains/drains_bytes_test.cpp
@@ -25,7 +25,7 @@
     cluster.add_job(header, 1, 0);
   }
   Budgets budgets;
-  budgets.inherit(test::received(kRecord), 10);
+  budgets.restore(test::received(kRecord), 10);
   EXPECT_EQ(budgets.lost_core_s({}, "blue", 10), 7200);
   EXPECT_EQ(budgets.stopped("blue"), 5u);
   EXPECT_EQ(budgets.stopped("red"), 1u);
@@ -52,12 +52,12 @@
       read_rules(settings::parse_tree("(drains (serial 1) (replace (older-than-s 100)))", "p"),
                  settings, "p"),
       {}, 100);
-  drains.inherit(test::received(kRecord), 100);
+  drains.restore(test::received(kRecord), 100);
   EXPECT_TRUE(test::is_written_as(
       drains.encode(cluster, 100),
       R"({"teams":[{"name":"red","core_s":60.0,"stops":2}],"jobs":[],"lines":[]})"));
-  drains.pass(cluster, {false, [](const Pool&) { return false; }, [](const Pool&) { return 1.0; }},
-              100);
+  drains.advance(cluster,
+                 {false, [](const Pool&) { return false; }, [](const Pool&) { return 1.0; }}, 100);
   EXPECT_TRUE(test::is_written_as(drains.encode(cluster, 100), kRecord));
   EXPECT_STREQ(kUsedKey, "drains/used");
 }
--- a/src/drains/drains_test.cpp
+++ b/src/drains/drains_test.cpp
@@ -16,7 +16,7 @@
 
 using placement::Attempt;
 using placement::HostPhase;
-using placement::Seen;
+using placement::ObservedState;
 
 settings::Platform make_platform() {
   settings::Platform p;
@@ -51,7 +51,7 @@
   void change_leader() {
     const wire::Json record = drains_.encode(cluster_, now_);
     drains_ = {};
-    drains_.inherit(wire::Json::from_msgpack(wire::Json::to_msgpack(record)), now_);
+    drains_.restore(wire::Json::from_msgpack(wire::Json::to_msgpack(record)), now_);
     drains_.rule(rules_of(text_), {{1, -100}, {2, 0}}, now_);
     for (const auto& host : cluster_.hosts) {
       if (!host) continue;
@@ -60,10 +60,11 @@
         --host->reserved;
         host->free = {};
       }
-      host->going = host->outgoing = false;
+      host->cordoned = host->to_be_replaced = false;
       if (const auto* type = cluster_.type_of(*host)) {
         host->free = {type->cpus, type->gpus, type->ram_gb};
-        for (const auto& ref : host->attempts) host->free -= cluster_.jobs[ref.job]->need;
+        for (const auto& ref : host->attempts)
+          host->free -= cluster_.jobs[ref.job]->resources_per_task;
       }
     }
     ++leaders_;
@@ -107,7 +108,9 @@
   std::size_t running(Index job) const {
     return static_cast<std::size_t>(std::count_if(
         cluster_.jobs[job]->attempts.begin(), cluster_.jobs[job]->attempts.end(),
-        [](const auto& one) { return one.second.seen == Seen::running && !one.second.stopping; }));
+        [](const auto& one) {
+          return one.second.observed == ObservedState::running && !one.second.stopping;
+        }));
   }
   // Tasks told to stop by choice so far, by job.
   std::map<std::string, int> stops;
@@ -149,8 +152,8 @@
         host->idle_since = now_;
       }
       if (host->phase == HostPhase::up) {
-        host->heard_at = now_;
-        host->ours = true;
+        host->last_heartbeat_at = now_;
+        host->acknowledged_token = true;
       }
     }
     for (Index i = 0; i < cluster_.jobs.size(); ++i) {
@@ -170,19 +173,19 @@
     placement::Job& job = *cluster_.jobs[index];
     if (!job.attempts.contains(task)) return;  // a gang has ended together
     Attempt& attempt = job.attempts.at(task);
-    if (!attempt.sent) {
-      attempt.sent = attempt.durable = true;
-      attempt.seen = Seen::fetching;
+    if (!attempt.start_sent) {
+      attempt.start_sent = attempt.persisted = true;
+      attempt.observed = ObservedState::fetching;
       return;
     }
     if (attempt.stopping) {
       auto [at, fresh] =
-          ends_.try_emplace({index, task, attempt.number}, now_ + attempt.wind_down_s);
+          ends_.try_emplace({index, task, attempt.number}, now_ + attempt.grace_period_s);
       if (now_ >= at->second) cluster_.end_attempt(index, task, now_);
       return;
     }
-    if (attempt.seen == Seen::fetching) {
-      attempt.seen = Seen::running;
+    if (attempt.observed == ObservedState::fetching) {
+      attempt.observed = ObservedState::running;
       cluster_.note_running(job, task, now_);
       job.gang_started = true;
       return;
@@ -198,27 +201,27 @@
   }
 
   // What the team has of work that runs, and that is down.
-  Toll toll_of(Index team) const { return Budgets().tolls(cluster_)[team]; }
+  DisruptionCounts toll_of(Index team) const { return Budgets().tolls(cluster_)[team]; }
 
   void step() {
     live();
-    std::vector<Toll> before = Budgets().tolls(cluster_);
+    std::vector<DisruptionCounts> before = Budgets().tolls(cluster_);
     std::map<std::string, std::size_t> stopping = stopping_by_choice();
     const Conditions conditions{rolling, [&](const Pool&) { return refused; },
                                 [](const Pool&) { return 1.0; }};
     drains_.settle(cluster_, now_);
-    const Wishes wishes = drains_.pass(cluster_, conditions, now_);
+    const DrainActions wishes = drains_.advance(cluster_, conditions, now_);
     check_budgets(before, stopping);
-    for (const Index index : wishes.back) remove(index);
+    for (const Index index : wishes.scale_in) remove(index);
     int going = 0;
-    for (const auto& host : cluster_.hosts) going += host && host->going ? 1 : 0;
+    for (const auto& host : cluster_.hosts) going += host && host->cordoned ? 1 : 0;
     largest_step = std::max(largest_step, going);
     drains_.settle(cluster_, now_);
     placement::plan(cluster_, now_);
     for (const auto& job : cluster_.jobs) {
       if (!job) continue;
       for (const auto& [task, attempt] : job->attempts) {
-        if (attempt.placed_at == now_ && cluster_.hosts[attempt.host]->going) {
+        if (attempt.placed_at == now_ && cluster_.hosts[attempt.host]->cordoned) {
           broken.push_back("placed on a machine that goes: " + job->spec.id);
         }
       }
@@ -248,10 +251,10 @@
 
   // Told apart from how they are decided: after a pass that stopped something of a team, no more of
   // it is down than its budget, or it is one task or gang alone.
-  void check_budgets(const std::vector<Toll>& before,
+  void check_budgets(const std::vector<DisruptionCounts>& before,
                      const std::map<std::string, std::size_t>& stopping) {
     const Rules rules = rules_of(text_);
-    const std::vector<Toll> after = Budgets().tolls(cluster_);
+    const std::vector<DisruptionCounts> after = Budgets().tolls(cluster_);
     for (const auto& [id, count] : stopping_by_choice()) {
       const auto at = stopping.find(id);
       const std::size_t fresh = count - (at == stopping.end() ? 0 : at->second);
@@ -259,11 +262,12 @@
       stops[id] += static_cast<int>(fresh);
       const placement::Job& job = *cluster_.job(id);
       const Budget& budget = rules.budget_of(job.spec.team);
-      const Toll& was = before[job.team];
-      const Toll& is = after[job.team];
+      const DisruptionCounts& was = before[job.team];
+      const DisruptionCounts& is = after[job.team];
       const double all = is.running + is.voluntary + is.forced;
-      const bool alone = was.voluntary + was.forced < 1e-6 &&
-                         is.voluntary <= job.need.cpus * static_cast<double>(fresh) + 1e-6;
+      const bool alone =
+          was.voluntary + was.forced < 1e-6 &&
+          is.voluntary <= job.resources_per_task.cpus * static_cast<double>(fresh) + 1e-6;
       if (budget.down <= 0 || (!alone && is.voluntary + is.forced > budget.down * all + 1e-6)) {
         broken.push_back("over the budget of " + job.spec.team + " at " + std::to_string(now_));
       }
@@ -329,7 +333,7 @@
   RC_ASSERT(world.broken.empty());
   // Whatever an entry names is gone. Services never end: they were moved.
   for (const auto& host : world.cluster().hosts) {
-    if (host && old.contains(host->name) && (host->going || host->outgoing)) {
+    if (host && old.contains(host->name) && (host->cordoned || host->to_be_replaced)) {
       RC_LOG() << host->name << " of " << world.cluster().types[host->type] << ":";
       for (const auto& ref : host->attempts) {
         const auto& job = *world.cluster().jobs[ref.job];
@@ -432,7 +436,7 @@
   // Taken out of the rules, they serve again.
   world.rule("(drains (serial 3) (budget (down 0)))");
   world.run(1);
-  for (const auto& host : world.cluster().hosts) EXPECT_FALSE(host && host->going);
+  for (const auto& host : world.cluster().hosts) EXPECT_FALSE(host && host->cordoned);
 }
 
 TEST(DrainsOfGangs, AGangOfWhichAMateDiesCountsAndNothingMoreIsStopped) {
@@ -460,22 +464,22 @@
   const Rules rules =
       rules_of("(drains (serial 1) (budget (lost-core-s-an-hour 3600) (stops-a-job 1)))");
   Budgets budgets;
-  std::vector<Toll> tolls = budgets.tolls(world.cluster());
+  std::vector<DisruptionCounts> tolls = budgets.tolls(world.cluster());
   Stop stop = stop_of(world.cluster(), job, {0}, true, 20);
   stop.lost_core_s = 1800;
-  EXPECT_EQ(budgets.judge(rules, world.cluster(), tolls, {stop}, 20), Refusal::none);
+  EXPECT_EQ(budgets.judge(rules, world.cluster(), tolls, {stop}, 20), BudgetRejection::none);
   budgets.note(rules, world.cluster(), tolls, stop, 20);
   EXPECT_EQ(budgets.lost_core_s(rules, "grey", 20), 1800);
   EXPECT_EQ(budgets.lost_core_s(rules, "grey", 20 + 900), 900) << "forgiven evenly";
   Budgets later;
-  later.inherit(budgets.encode(rules, world.cluster(), 20 + 900), 5);
+  later.restore(budgets.encode(rules, world.cluster(), 20 + 900), 5);
   EXPECT_EQ(later.lost_core_s(rules, "grey", 5), 900);
   EXPECT_EQ(later.judge(rules, world.cluster(), later.tolls(world.cluster()), {stop}, 5),
-            Refusal::stops);
+            BudgetRejection::stops);
   for (const wire::Json& bad :
        {wire::Json(1), wire::Json::object(), wire::Json{{"teams", {{{"name", 1}}}}, {"jobs", 1}},
         wire::Json{{"teams", wire::Json::array()}, {"jobs", {{{"name", "j"}, {"stops", -1}}}}}}) {
-    EXPECT_THROW(later.inherit(bad, 5), wire::BadMessage) << bad.dump();
+    EXPECT_THROW(later.restore(bad, 5), wire::BadMessage) << bad.dump();
   }
   EXPECT_EQ(later.lost_core_s(rules, "grey", 5), 900) << "as it was";
 }
--- a/src/drains/moves.cpp
+++ b/src/drains/moves.cpp
@@ -30,7 +30,8 @@
   std::vector<Room> rooms;
   for (Index i = 0; i < cluster.hosts.size(); ++i) {
     const auto& host = cluster.hosts[i];
-    if (!host || host->outgoing || !usable(cluster, *host, now) || !allows(cluster, job, *host)) {
+    if (!host || host->to_be_replaced || !usable(cluster, *host, now) ||
+        !allows(cluster, job, *host)) {
       continue;
     }
     const auto failed = job.failed_on.find(i);
@@ -38,8 +39,8 @@
     const auto at = own.find(i);
     const std::uint32_t here = at == own.end() ? 0 : at->second;
     Resources room = host->free;
-    room += job.need.times(here);
-    const std::uint32_t copies = room.copies(job.need);
+    room += job.resources_per_task.times(here);
+    const std::uint32_t copies = room.copies(job.resources_per_task);
     if (copies > 0) rooms.push_back({i, here, host->images.contains(job.spec.image), copies});
   }
   std::stable_sort(rooms.begin(), rooms.end(), [](const Room& a, const Room& b) {
@@ -111,7 +112,7 @@
 void Moves::begin(Cluster& cluster, Index index, const std::map<std::uint32_t, Index>& places,
                   double now) {
   const Job& job = *cluster.jobs[index];
-  Move move{{}, job.need, now};
+  Move move{{}, job.resources_per_task, now};
   for (const auto& [task, host] : places) {
     move.places[task] = {cluster.hosts[host]->name, false};
     keep(cluster, move, move.places[task]);
--- a/src/drains/desk.cpp
+++ b/src/drains/policy_file_watcher.cpp
@@ -1,4 +1,4 @@
-#include "drains/desk.h"
+#include "drains/policy_file_watcher.h"
 
 #include <spdlog/spdlog.h>
 #include <sys/stat.h>
@@ -6,26 +6,26 @@
 #include <thread>
 #include <utility>
 
-#include "state/clock.h"
+#include "kv/steady_clock.h"
 
 namespace reachramp::drains {
 
 namespace {
 
-using state::Outcome;
+using kv::Outcome;
 
 constexpr double kLookEvery_s = 1;
 constexpr int kCheckEvery = 30;  // looks; the record may have gone with a step back of the levels
 
 }  // namespace
 
-std::atomic<bool> Desk::hurried_{false};
+std::atomic<bool> PolicyFileWatcher::hurried_{false};
 
-Desk::Desk(state::Client& state, levels::Book& book, const settings::Platform& platform,
-           std::string path)
+PolicyFileWatcher::PolicyFileWatcher(kv::Client& state, schema::SchemaVersionTracker& book,
+                                     const settings::Platform& platform, std::string path)
     : state_(state), book_(book), platform_(platform), path_(std::move(path)) {}
 
-void Desk::say(const std::string& what, bool wrong) {
+void PolicyFileWatcher::say(const std::string& what, bool wrong) {
   if (what == said_) return;
   said_ = what;
   if (wrong) {
@@ -35,7 +35,7 @@
   }
 }
 
-bool Desk::is_new() {
+bool PolicyFileWatcher::is_new() {
   struct stat found {};
   const bool there = ::stat(path_.c_str(), &found) == 0;
   const std::pair<std::int64_t, std::int64_t> now{
@@ -45,7 +45,7 @@
 }
 
 // A file that is wrong is refused whole; what was read before goes on.
-void Desk::read() {
+void PolicyFileWatcher::read() {
   try {
     const settings::Policy policy = settings::load_policy(path_);
     if (policy.drains) {
@@ -60,14 +60,14 @@
   }
 }
 
-bool Desk::submit() {
-  const std::optional<levels::View> view = book_.view();
+bool PolicyFileWatcher::submit() {
+  const std::optional<schema::SchemaView> view = book_.view();
   if (!view) return false;
-  if (!levels::has(view->stored, levels::kDrains)) {
-    say(fmt::format("serial {} waits for level {}", serial_, levels::kDrains), false);
+  if (!schema::has(view->stored, schema::kDrains)) {
+    say(fmt::format("serial {} waits for level {}", serial_, schema::kDrains), false);
     return false;
   }
-  const state::Found found = state_.get(kRulesKey);
+  const kv::ReadResult found = state_.get(kRulesKey);
   if (found.outcome != Outcome::ok && found.outcome != Outcome::absent) return false;
   std::optional<Accepted> stored;
   try {
@@ -76,8 +76,8 @@
     say(fmt::format("record {}: {}: left alone", kRulesKey, error.what()), true);
     return true;
   }
-  const std::uint64_t stamp = stored ? found.entry.stamp : 0;
-  const auto next = accept(stored, stamp, serial_, text_);
+  const std::uint64_t revision = stored ? found.entry.revision : 0;
+  const auto next = accept(stored, revision, serial_, text_);
   if (!next) {
     if (stored->serial > serial_) {
       say(fmt::format("serial {} of this file is older than {}, which is in force", serial_,
@@ -90,23 +90,23 @@
     }
     return true;
   }
-  const state::Json value = encode_accepted(*next);
-  if (!state::fits(value, platform_.lasting().value_kb)) {
+  const kv::Json value = encode_accepted(*next);
+  if (!kv::fits(value, platform_.lasting().value_kb)) {
     say(fmt::format("serial {} is longer than a value may be: refused", serial_), true);
     return true;
   }
-  state::Transaction transaction;
-  transaction.conditions = {{kRulesKey, stamp}, {levels::kLevelKey, view->stamp}};
+  kv::Transaction transaction;
+  transaction.preconditions = {{kRulesKey, revision}, {schema::kLevelKey, view->revision}};
   transaction.writes.push_back({kRulesKey, value, std::nullopt});
   if (state_.commit(transaction).outcome != Outcome::ok) {
-    book_.look();  // the level may have changed behind our back
+    book_.read_revision();  // the level may have changed behind our back
     return false;
   }
   say(fmt::format("serial {} is accepted", serial_), false);
   return true;
 }
 
-void Desk::run() {
+void PolicyFileWatcher::run() {
   bool settled = false;
   for (int turn = 0;; ++turn) {
     const bool hurried = hurried_.exchange(false);
--- a/src/drains/desk.h
+++ b/src/drains/policy_file_watcher.h
@@ -6,21 +6,21 @@
 #include <string>
 
 #include "drains/rules.h"
-#include "levels/book.h"
-#include "state/client.h"
+#include "kv/client.h"
+#include "schema/schema_version_tracker.h"
 
 namespace reachramp::drains {
 
-class Desk {
+class PolicyFileWatcher {
  public:
   // `path`: the policy's file.
-  Desk(state::Client& state, levels::Book& book, const settings::Platform& platform,
-       std::string path);
+  PolicyFileWatcher(kv::Client& state, schema::SchemaVersionTracker& book,
+                    const settings::Platform& platform, std::string path);
 
   // For a thread of its own; never returns.
   void run();
   // From a signal's handler.
-  static void hurry() { hurried_ = true; }
+  static void request_reload() { hurried_ = true; }
 
  private:
   // Whether the file is another than when it was last read.
@@ -32,8 +32,8 @@
 
   static std::atomic<bool> hurried_;
 
-  state::Client& state_;
-  levels::Book& book_;
+  kv::Client& state_;
+  schema::SchemaVersionTracker& book_;
   const settings::Platform& platform_;
   const std::string path_;
   std::pair<std::int64_t, std::int64_t> seen_{-1, -1};  // the file's time and size
--- a/src/drains/rules.cpp
+++ b/src/drains/rules.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "levels/table.h"
+#include "schema/schema_levels.h"
 
 namespace reachramp::drains {
 
@@ -17,7 +17,7 @@
 constexpr double kLongest_s = 1e9;
 constexpr std::size_t kMostEntries = 50;
 constexpr std::size_t kMostNames = 2000;
-constexpr std::size_t kMostStamps = 16;
+constexpr std::size_t kMostRevisions = 16;
 
 bool yes_or_no(const Tree& entry, const std::string& path) {
   const std::string& word = word_in(entry, path);
@@ -120,7 +120,7 @@
 }  // namespace
 
 bool is_stale(const std::string& key, const wire::Json&, std::uint32_t level) {
-  return (key == kRulesKey || key == kUsedKey) && level < levels::kDrains;
+  return (key == kRulesKey || key == kUsedKey) && level < schema::kDrains;
 }
 
 const Budget& Rules::budget_of(const std::string& team) const {
@@ -209,9 +209,9 @@
 }
 
 wire::Json encode_accepted(const Accepted& accepted) {
-  wire::Json stamps = wire::Json::array();
-  for (const auto& [serial, stamp] : accepted.stamps) stamps.push_back({serial, stamp});
-  return {{"serial", accepted.serial}, {"text", accepted.text}, {"stamps", std::move(stamps)}};
+  wire::Json revisions = wire::Json::array();
+  for (const auto& [serial, revision] : accepted.revisions) revisions.push_back({serial, revision});
+  return {{"serial", accepted.serial}, {"text", accepted.text}, {"stamps", std::move(revisions)}};
 }
 
 Accepted decode_accepted(const wire::Json& value) {
@@ -224,21 +224,21 @@
         !pair[1].is_number_unsigned()) {
       throw wire::BadMessage("stamps: not pairs of numbers");
     }
-    accepted.stamps[pair[0].get<std::uint64_t>()] = pair[1].get<std::uint64_t>();
+    accepted.revisions[pair[0].get<std::uint64_t>()] = pair[1].get<std::uint64_t>();
   }
   return accepted;
 }
 
-std::optional<Accepted> accept(const std::optional<Accepted>& stored, std::uint64_t stored_stamp,
+std::optional<Accepted> accept(const std::optional<Accepted>& stored, std::uint64_t stored_revision,
                                std::uint64_t serial, const std::string& text) {
   if (stored && stored->serial >= serial) return std::nullopt;
   Accepted next;
   next.serial = serial;
   next.text = text;
   if (stored) {
-    next.stamps = stored->stamps;
-    next.stamps[stored->serial] = stored_stamp;
-    while (next.stamps.size() > kMostStamps) next.stamps.erase(next.stamps.begin());
+    next.revisions = stored->revisions;
+    next.revisions[stored->serial] = stored_revision;
+    while (next.revisions.size() > kMostRevisions) next.revisions.erase(next.revisions.begin());
   }
   return next;
 }
--- a/src/drains/rules.h
+++ b/src/drains/rules.h
@@ -82,17 +82,17 @@
                                      const std::set<std::string>& zones);
 
 // The record: the newest section that any node has read, and when the serials before it were
-// accepted, as stamps.
+// accepted, as revisions.
 struct Accepted {
   std::uint64_t serial = 0;
   std::string text;
-  std::map<std::uint64_t, std::uint64_t> stamps;  // by serial; the record's own is its stamp
+  std::map<std::uint64_t, std::uint64_t> revisions;  // by serial; the record's own is its revision
 };
 wire::Json encode_accepted(const Accepted& accepted);
 // Throws wire::BadMessage.
 Accepted decode_accepted(const wire::Json& value);
 // What takes the place of the record; nothing if it is as new already.
-std::optional<Accepted> accept(const std::optional<Accepted>& stored, std::uint64_t stored_stamp,
+std::optional<Accepted> accept(const std::optional<Accepted>& stored, std::uint64_t stored_revision,
                                std::uint64_t serial, const std::string& text);
 
 }  // namespace reachramp::drains
--- a/src/drains/rules_bytes_test.cpp
+++ b/src/drains/rules_bytes_test.cpp
@@ -14,7 +14,7 @@
   const Accepted read = decode_accepted(test::received(kRecord));
   EXPECT_EQ(read.serial, 7u);
   EXPECT_EQ(read.text, "(drains (serial 7))");
-  EXPECT_EQ(read.stamps, (std::map<std::uint64_t, std::uint64_t>{{3, 120}, {5, 400}}));
+  EXPECT_EQ(read.revisions, (std::map<std::uint64_t, std::uint64_t>{{3, 120}, {5, 400}}));
   EXPECT_STREQ(kRulesKey, "drains");
 }
 
--- a/src/drains/rules_test.cpp
+++ b/src/drains/rules_test.cpp
@@ -95,24 +95,24 @@
   }
 }
 
-TEST(Accepted, TheNewestSerialStandsAndEarlierOnesKeepTheirStamps) {
+TEST(Accepted, TheNewestSerialStandsAndEarlierOnesKeepTheirRevisions) {
   const auto first = accept(std::nullopt, 0, 3, "(drains (serial 3))");
   ASSERT_TRUE(first);
-  EXPECT_TRUE(first->stamps.empty());
+  EXPECT_TRUE(first->revisions.empty());
   EXPECT_FALSE(accept(first, 40, 3, "(drains (serial 3) (soon-s 1))"))
       << "not under the same number";
   EXPECT_FALSE(accept(first, 40, 2, "(drains (serial 2))"));
   auto next = accept(first, 40, 5, "(drains (serial 5))");
   ASSERT_TRUE(next);
-  EXPECT_EQ(next->stamps.at(3), 40u);
+  EXPECT_EQ(next->revisions.at(3), 40u);
   next = decode_accepted(encode_accepted(*next));
   EXPECT_EQ(next->serial, 5u);
   EXPECT_EQ(next->text, "(drains (serial 5))");
   for (std::uint64_t serial = 6; serial < 60; ++serial) {
     next = accept(next, serial * 10, serial, "(drains)");
   }
-  EXPECT_EQ(next->stamps.size(), 16u);
-  EXPECT_EQ(next->stamps.rbegin()->first, 58u);
+  EXPECT_EQ(next->revisions.size(), 16u);
+  EXPECT_EQ(next->revisions.rbegin()->first, 58u);
   for (const wire::Json& bad : {wire::Json("x"), wire::Json::object(), wire::Json{{"serial", -1}},
                                 wire::Json{{"serial", 1}, {"text", "x"}, {"stamps", {{1, "x"}}}},
                                 wire::Json{{"serial", 1}, {"text", "x"}, {"stamps", {1}}}}) {
--- a/src/jobs/reads.cpp
+++ b/src/jobs/job_reader.cpp
@@ -1,18 +1,18 @@
-#include "jobs/reads.h"
+#include "jobs/job_reader.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <thread>
 
-#include "state/clock.h"
+#include "kv/steady_clock.h"
 
 namespace reachramp::jobs {
 
 namespace {
 
-using state::Outcome;
-using state::steady_now;
+using kv::Outcome;
+using kv::steady_now;
 
 constexpr double kPatience_s = 1.2;  // users wait 2 s
 constexpr double kResolveWithin_s = 0.6;
@@ -25,60 +25,60 @@
 
 }  // namespace
 
-Reads::Reads(state::Client& state, double rps, std::size_t conditions, bool cancelled_is_final)
+JobReader::JobReader(kv::Client& state, double rps, std::size_t conditions, bool cancelled_is_final)
     : state_(state),
       most_(std::max<std::size_t>(1, conditions)),
       cancelled_is_final_(cancelled_is_final),
       bucket_(std::max(rps, kLeastRate), std::max(rps, kLeastRate)) {}
 
-bool Reads::is_final(const Lookup& lookup) const {
-  return lookup.presence == Presence::ended ||
-         (cancelled_is_final_ && lookup.presence == Presence::live && lookup.header.cancelled);
+bool JobReader::is_final(const Lookup& lookup) const {
+  return lookup.presence == JobState::ended ||
+         (cancelled_is_final_ && lookup.presence == JobState::live && lookup.header.cancelled);
 }
 
 // A job moves once, from job/ to end/, in one transaction. Reading in that order, "absent" twice
 // means that it was not accepted when the question was asked.
-Lookup Reads::read(const std::string& id) {
+Lookup JobReader::read(const std::string& id) {
   Lookup lookup;
   try {
-    const state::Found live = state_.get(job_key(id));
+    const kv::ReadResult live = state_.get(job_key(id));
     if (live.outcome == Outcome::ok) {
       lookup.header = decode_header(live.entry.value);
-      lookup.stamp = live.entry.stamp;
-      lookup.presence = Presence::live;
+      lookup.revision = live.entry.revision;
+      lookup.presence = JobState::live;
     } else if (live.outcome == Outcome::absent) {
-      const state::Found ended = state_.get(end_key(id));
+      const kv::ReadResult ended = state_.get(end_key(id));
       if (ended.outcome == Outcome::ok) {
         lookup.ending = decode_ending(ended.entry.value);
-        lookup.presence = Presence::ended;
+        lookup.presence = JobState::ended;
       } else if (ended.outcome == Outcome::absent) {
-        lookup.presence = Presence::absent;
+        lookup.presence = JobState::absent;
       }
     }
   } catch (const std::exception& error) {
     spdlog::error("record of {}: {}", id, error.what());
-    lookup.presence = Presence::unsure;
+    lookup.presence = JobState::unsure;
   }
   keep(id, lookup);
   return lookup;
 }
 
-void Reads::remember(const std::string& id, const Header& header, std::uint64_t stamp) {
+void JobReader::remember(const std::string& id, const Header& header, std::uint64_t revision) {
   Lookup lookup;
-  lookup.presence = Presence::live;
+  lookup.presence = JobState::live;
   lookup.header = header;
-  lookup.stamp = stamp;
+  lookup.revision = revision;
   keep(id, lookup);
 }
 
-void Reads::keep(const std::string& id, const Lookup& lookup) {
-  if (lookup.presence != Presence::live && lookup.presence != Presence::ended) return;
+void JobReader::keep(const std::string& id, const Lookup& lookup) {
+  if (lookup.presence != JobState::live && lookup.presence != JobState::ended) return;
   std::lock_guard lock(mutex_);
   const auto [at, fresh] = known_.try_emplace(id, lookup);
   if (!fresh) {
     // Reads overtake each other; what is final stays.
     if (!is_final(at->second) &&
-        (lookup.presence == Presence::ended || lookup.stamp > at->second.stamp)) {
+        (lookup.presence == JobState::ended || lookup.revision > at->second.revision)) {
       at->second = lookup;
     }
     return;
@@ -89,13 +89,13 @@
   known_order_.pop_front();
 }
 
-std::optional<Lookup> Reads::known(const std::string& id) {
+std::optional<Lookup> JobReader::known(const std::string& id) {
   std::lock_guard lock(mutex_);
   const auto at = known_.find(id);
   return at == known_.end() ? std::nullopt : std::optional(at->second);
 }
 
-Lookup Reads::ask(const std::string& id) {
+Lookup JobReader::ask(const std::string& id) {
   const double until = steady_now() + kPatience_s;
   std::unique_lock lock(mutex_);
   const auto final_answer = known_.find(id);
@@ -140,7 +140,7 @@
 }
 
 // Whoever asks from now on is not among them: the reads may be under way.
-std::vector<Reads::Asked> Reads::take() {
+std::vector<JobReader::Asked> JobReader::take() {
   std::vector<Asked> batch;
   std::size_t unknown = 0;
   while (!waiting_.empty() && batch.size() < most_ && unknown < kMostUnknown) {
@@ -153,7 +153,7 @@
   return batch;
 }
 
-bool Reads::may_read(double until) {
+bool JobReader::may_read(double until) {
   for (;;) {
     const double now = steady_now();
     double wait = 0;
@@ -169,7 +169,7 @@
 
 // What cannot be read soon is not held back: users had no answer in their two seconds where six
 // reads waited for their turn.
-void Reads::resolve(const std::vector<Asked>& batch) {
+void JobReader::resolve(const std::vector<Asked>& batch) {
   const double until = steady_now() + kResolveWithin_s;
   std::vector<Asked> known_ones, to_read;
   for (const Asked& question : batch) {
@@ -191,21 +191,21 @@
 
 // One comparison for all of them. The service need not name all that differ, so the rest is
 // compared again.
-std::vector<Reads::Asked> Reads::confirm(std::vector<Asked> same, double until) {
+std::vector<JobReader::Asked> JobReader::confirm(std::vector<Asked> same, double until) {
   std::vector<Asked> changed;
   for (int round = 0; round < kMostRounds && !same.empty(); ++round) {
-    state::Transaction compare;
+    kv::Transaction compare;
     std::vector<Lookup> held;
     for (const Asked& question : same) {
       held.push_back(known(question->id).value_or(Lookup{}));
-      compare.conditions.emplace_back(job_key(question->id), held.back().stamp);
+      compare.preconditions.emplace_back(job_key(question->id), held.back().revision);
     }
     if (round > 0 && !may_read(until)) break;
-    const state::Committed compared = state_.commit(compare);
-    if (compared.outcome == Outcome::conflict && !compared.failed.empty()) {
+    const kv::CommitResult compared = state_.commit(compare);
+    if (compared.outcome == Outcome::conflict && !compared.failed_keys.empty()) {
       const auto differs = std::stable_partition(same.begin(), same.end(), [&](const Asked& one) {
-        return std::find(compared.failed.begin(), compared.failed.end(), job_key(one->id)) ==
-               compared.failed.end();
+        return std::find(compared.failed_keys.begin(), compared.failed_keys.end(),
+                         job_key(one->id)) == compared.failed_keys.end();
       });
       changed.insert(changed.end(), differs, same.end());
       same.erase(differs, same.end());
--- a/src/jobs/reads.h
+++ b/src/jobs/job_reader.h
@@ -1,6 +1,6 @@
-// What the state service holds of a job, by strong reads that users who ask at the same time share.
-// Each question is answered by a read that was sent after it came, so no answer is older than any
-// that a node has given. Ended and cancelled jobs stay so: known once, they need no read.
+// What the key-value store holds of a job, by strong reads that users who ask at the same time
+// share. Each question is answered by a read that was sent after it came, so no answer is older
+// than any that a node has given. Ended and cancelled jobs stay so: known once, they need no read.
 #pragma once
 
 #include <condition_variable>
@@ -12,32 +12,32 @@
 #include <vector>
 
 #include "jobs/spec.h"
-#include "state/client.h"
+#include "kv/client.h"
 
 namespace reachramp::jobs {
 
-enum class Presence { live, ended, absent, unsure };
+enum class JobState { live, ended, absent, unsure };
 
 struct Lookup {
-  Presence presence = Presence::unsure;
-  Header header;            // live
-  std::uint64_t stamp = 0;  // of the header
-  Ending ending;            // ended
+  JobState presence = JobState::unsure;
+  Header header;               // live
+  std::uint64_t revision = 0;  // of the header
+  FinalState ending;           // ended
 };
 
-class Reads {
+class JobReader {
  public:
   // Questions may take so many requests a second, and a request so many conditions.
   // `cancelled_is_final`: a header that says cancelled is not looked at again; else only the job's
   // end is final.
-  Reads(state::Client& state, double rps, std::size_t conditions, bool cancelled_is_final = true);
+  JobReader(kv::Client& state, double rps, std::size_t conditions, bool cancelled_is_final = true);
 
   // Reads now, alone.
   Lookup read(const std::string& id);
   // Shares its read with whoever waits. Within about a second: unsure if there was no chance.
   Lookup ask(const std::string& id);
-  // The header is stored under the stamp: the next question takes a comparison, no read.
-  void remember(const std::string& id, const Header& header, std::uint64_t stamp);
+  // The header is stored under the revision: the next question takes a comparison, no read.
+  void remember(const std::string& id, const Header& header, std::uint64_t revision);
 
  private:
   struct Question {
@@ -59,11 +59,11 @@
   bool may_read(double until);
   bool is_final(const Lookup& lookup) const;
 
-  state::Client& state_;
+  kv::Client& state_;
   const std::size_t most_;
   const bool cancelled_is_final_;
   std::mutex mutex_;
-  state::Bucket bucket_;
+  kv::TokenBucket bucket_;
   int reading_ = 0;
   std::deque<Asked> waiting_;
   std::unordered_map<std::string, Asked> waiting_by_id_;
--- a/src/jobs/reads_test.cpp
+++ b/src/jobs/job_reader_test.cpp
@@ -1,6 +1,6 @@
-// Shared reads against the lab's state service, with many users at once: no answer is older than
+// Shared reads against the lab's key-value store, with many users at once: no answer is older than
 // what was stored before its question came, and questions that come together share requests.
-#include "jobs/reads.h"
+#include "jobs/job_reader.h"
 
 #include <gtest/gtest.h>
 
@@ -22,8 +22,8 @@
 constexpr int kEnded = 1000, kCancelled = 1001;
 
 int progress(const Lookup& lookup) {
-  if (lookup.presence == Presence::ended) return kEnded;
-  if (lookup.presence != Presence::live) return -1;
+  if (lookup.presence == JobState::ended) return kEnded;
+  if (lookup.presence != JobState::live) return -1;
   return lookup.header.cancelled ? kCancelled : static_cast<int>(lookup.header.done);
 }
 
@@ -35,10 +35,10 @@
   test::PortReservations ports;
   const std::uint16_t port = ports.reserve();
   server.open("all", port);
-  state::Client writer_client({"127.0.0.1", port}, 5000), client({"127.0.0.1", port}, 5000);
-  Reads reads(client, 2000, 32);
+  kv::Client writer_client({"127.0.0.1", port}, 5000), client({"127.0.0.1", port}, 5000);
+  JobReader reads(client, 2000, 32);
   std::array<std::atomic<int>, kJobs> stored{};
-  std::array<std::uint64_t, kJobs> stamps{};
+  std::array<std::uint64_t, kJobs> revisions{};
   const auto header = [](int job, int done, bool cancelled) {
     Header made;
     made.spec.id = id_of(job);
@@ -53,8 +53,8 @@
   for (int job = 0; job < kJobs; ++job) {
     const auto done = writer_client.commit(
         {{}, {{job_key(id_of(job)), encode_header(header(job, 0, false)), std::nullopt}}});
-    ASSERT_EQ(done.outcome, state::Outcome::ok);
-    stamps[job] = done.epoch;
+    ASSERT_EQ(done.outcome, kv::Outcome::ok);
+    revisions[job] = done.store_revision;
   }
   std::atomic<bool> stopping{false};
   std::atomic<int> asked{0}, older{0}, absent{0}, unsure{0};
@@ -67,10 +67,10 @@
         const int before = stored[job];
         const Lookup answer = reads.ask(id_of(job));
         ++asked;
-        unsure += answer.presence == Presence::unsure;
-        absent += answer.presence == Presence::absent;
-        older += answer.presence != Presence::unsure && progress(answer) < before;
-        if (random() % 50 == 0) absent += reads.ask("j-none").presence == Presence::live;
+        unsure += answer.presence == JobState::unsure;
+        absent += answer.presence == JobState::absent;
+        older += answer.presence != JobState::unsure && progress(answer) < before;
+        if (random() % 50 == 0) absent += reads.ask("j-none").presence == JobState::live;
       }
     });
   }
@@ -84,8 +84,8 @@
     const int job = static_cast<int>(random() % kJobs);
     if (stored[job] >= kEnded) continue;
     const int done = stored[job] + 1;
-    state::Transaction change;
-    change.conditions = {{job_key(id_of(job)), stamps[job]}};
+    kv::Transaction change;
+    change.preconditions = {{job_key(id_of(job)), revisions[job]}};
     int becomes = done;
     if (step > 1200 && random() % 4 == 0) {
       becomes = kEnded;
@@ -98,9 +98,9 @@
           {job_key(id_of(job)), encode_header(header(job, done, cancelled)), std::nullopt}};
     }
     const auto committed = writer_client.commit(change);
-    ASSERT_EQ(committed.outcome, state::Outcome::ok);
+    ASSERT_EQ(committed.outcome, kv::Outcome::ok);
     ++writes;
-    stamps[job] = committed.epoch;
+    revisions[job] = committed.store_revision;
     stored[job] = becomes;  // from now on nobody may be told less
   }
   stopping = true;
@@ -118,13 +118,13 @@
 // Where the service does not answer, nobody is held back for long, and nothing piles up.
 TEST(Reads, WithoutAServiceTheAnswerIsUnsure) {
   test::PortReservations ports;
-  state::Client client({"127.0.0.1", ports.reserve()}, 100);
-  Reads reads(client, 100, 32);
+  kv::Client client({"127.0.0.1", ports.reserve()}, 100);
+  JobReader reads(client, 100, 32);
   std::vector<std::thread> users;
   for (int user = 0; user < 8; ++user) {
     users.emplace_back([&, user] {
       for (int i = 0; i < 5; ++i) {
-        EXPECT_EQ(reads.ask(id_of(user % 3)).presence, Presence::unsure);
+        EXPECT_EQ(reads.ask(id_of(user % 3)).presence, JobState::unsure);
       }
     });
   }
--- a/src/jobs/door.h
+++ b/src/jobs/job_service.h
@@ -1,4 +1,4 @@
-// The users' door: any node accepts, answers and withdraws, straight from the state service.
+// The users' door: any node accepts, answers and withdraws, straight from the key-value store.
 #pragma once
 
 #include <functional>
@@ -7,22 +7,23 @@
 #include <string_view>
 #include <variant>
 
-#include "jobs/reads.h"
+#include "jobs/job_reader.h"
 #include "jobs/spec.h"
-#include "levels/book.h"
+#include "kv/client.h"
 #include "peers/members.h"
-#include "peers/told.h"
-#include "state/client.h"
+#include "peers/recent_cancellations.h"
+#include "schema/schema_version_tracker.h"
 #include "wire/http.h"
 
 namespace reachramp::jobs {
 
-class Door {
+class JobService {
  public:
   using CatalogSource = std::function<std::shared_ptr<const cloud::Catalog>()>;
 
-  Door(state::Client& state, const settings::Platform& platform, peers::Members& members,
-       levels::Book& book, peers::Told& told, CatalogSource catalog);
+  JobService(kv::Client& state, const settings::Platform& platform, peers::Members& members,
+             schema::SchemaVersionTracker& book, peers::RecentCancellations& told,
+             CatalogSource catalog);
 
   wire::Reply submit(const std::string& body);
   wire::Reply query(const std::string& id);
@@ -41,18 +42,18 @@
                    std::uint32_t done = 0, std::uint32_t running = 0);
   // Commits on condition that the stored state is at the level that we take it to be at: a node
   // that stood still across a step writes nothing of the old form.
-  state::Committed commit(state::Transaction transaction);
+  kv::CommitResult commit(kv::Transaction transaction);
 
-  state::Client& state_;
+  kv::Client& state_;
   // Whether users are told of a cancellation before its tasks are proven to be over. Not where a
   // lease may outlast cancel_s: there no bound on the leader's answers could keep the promise
-  // (leadership/staleness.h), and they are told once the job's end is stored.
+  // (leadership/read_freshness.h), and they are told once the job's end is stored.
   const bool confirms_at_once_;
-  Reads reads_;
+  JobReader reads_;
   const settings::Platform& platform_;
   peers::Members& members_;
-  levels::Book& book_;
-  peers::Told& told_;
+  schema::SchemaVersionTracker& book_;
+  peers::RecentCancellations& told_;
   CatalogSource catalog_;
 };
 
--- a/src/jobs/door_bytes_test.cpp
+++ b/src/jobs/job_service_bytes_test.cpp
@@ -1,7 +1,7 @@
 // The literal form of the answers that users get, and of what they make the door store.
-#include "jobs/door.h"
+#include "jobs/job_service.h"
+#include "kv/steady_clock.h"
 #include "recorder.h"
-#include "state/clock.h"
 
 namespace reachramp::jobs {
 namespace {
@@ -20,13 +20,14 @@
          std::to_string(done) + R"(,"running":)" + std::to_string(running) + R"(,"born":0})";
 }
 
-std::string entry(const std::string& key, const std::string& value, int stamp) {
-  return R"({"k":")" + key + R"(","value":)" + value + R"(,"stamp":)" + std::to_string(stamp) + "}";
+std::string entry(const std::string& key, const std::string& value, int revision) {
+  return R"({"k":")" + key + R"(","value":)" + value + R"(,"stamp":)" + std::to_string(revision) +
+         "}";
 }
 
 class DoorBytes : public ::testing::Test {
  protected:
-  // Records that the state service has; a transaction is answered with `committed`.
+  // Records that the key-value store has; a transaction is answered with `committed`.
   std::map<std::string, std::string> records_;
   wire::Reply committed_{200, received(R"({"epoch":50})"), 0};
 
@@ -62,16 +63,16 @@
 
   const settings::Platform platform_ = platform();
   test::Recorder service_{[this](const wire::Request& request) { return answer(request); }};
-  state::Client state_{service_.at(), 1000};
+  kv::Client state_{service_.at(), 1000};
   peers::Members members_{state_, platform_};
-  levels::Book book_{state_, platform_, {}};
-  peers::Told told_{30, state::steady_now()};
+  schema::SchemaVersionTracker book_{state_, platform_, {}};
+  peers::RecentCancellations told_{30, kv::steady_now()};
 
  protected:
-  Door door_{state_, platform_, members_, book_, told_, [] {
-               return std::make_shared<const cloud::Catalog>(
-                   cloud::Catalog{{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a"}}});
-             }};
+  JobService door_{state_, platform_, members_, book_, told_, [] {
+                     return std::make_shared<const cloud::Catalog>(
+                         cloud::Catalog{{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a"}}});
+                   }};
 };
 
 TEST_F(DoorBytes, AcceptedJobIsStoredAndAnsweredAsLiteral) {
--- a/src/jobs/spec.cpp
+++ b/src/jobs/spec.cpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <utility>
 
-#include "levels/table.h"
+#include "schema/schema_levels.h"
 
 namespace reachramp::jobs {
 
@@ -95,7 +95,7 @@
   spec.checkpoint_s = wire::amount(body, "snapshot_every_s");
   spec.save_s = wire::amount(body, "snapshot_cost_s");
   spec.deadline_s = wire::maybe_amount(body, "due_s");
-  if (wire::find(body, "waits_on") != nullptr) spec.needs = decode_needs(body, spec.id);
+  if (wire::find(body, "waits_on") != nullptr) spec.depends_on = decode_needs(body, spec.id);
   return spec;
 }
 
@@ -120,7 +120,7 @@
   if (spec.types) body["rigs"] = *spec.types;
   if (spec.zone) body["hall"] = *spec.zone;
   if (spec.deadline_s) body["due_s"] = *spec.deadline_s;
-  if (!spec.needs.empty()) body["waits_on"] = spec.needs;
+  if (!spec.depends_on.empty()) body["waits_on"] = spec.depends_on;
   return body;
 }
 
@@ -166,7 +166,7 @@
 Json encode_cancelled_header(Header header) {
   header.cancelled = true;
   header.spec.types.reset();
-  header.spec.needs.clear();
+  header.spec.depends_on.clear();
   header.spec.job_class = header.spec.image = "-";
   return encode_header(header);
 }
@@ -181,11 +181,11 @@
   return header;
 }
 
-Json encode_ending(const Ending& ending) {
+Json encode_ending(const FinalState& ending) {
   return {{"cancelled", ending.cancelled}, {"done", ending.done}};
 }
 
-Ending decode_ending(const Json& record) {
+FinalState decode_ending(const Json& record) {
   return {wire::flag(record, "cancelled"),
           static_cast<std::uint32_t>(wire::count(record, "done", kMostTasks))};
 }
@@ -374,7 +374,7 @@
 }
 
 bool is_stale(const std::string& key, const wire::Json&, std::uint32_t level) {
-  const auto chunk = level >= levels::kAges ? parse_chunk_key(key) : std::nullopt;
+  const auto chunk = level >= schema::kAges ? parse_chunk_key(key) : std::nullopt;
   return chunk && chunk->format == Format::whole;
 }
 
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -1,4 +1,4 @@
-// What a user submits, and the records in which a job lives in the state service.
+// What a user submits, and the records in which a job lives in the key-value store.
 #pragma once
 
 #include <cstdint>
@@ -38,7 +38,8 @@
   double checkpoint_s = 0;
   double save_s = 0;
   std::optional<double> deadline_s;
-  std::vector<std::string> needs;  // jobs that have to be done before any task of this one starts
+  std::vector<std::string>
+      depends_on;  // jobs that have to be done before any task of this one starts
 };
 
 bool is_job_id(const std::string& text);
@@ -57,11 +58,11 @@
   bool cancelled = false;
   std::uint32_t done = 0;
   std::uint32_t running = 0;
-  std::uint64_t born = 0;  // 0: the record's own stamp
+  std::uint64_t born = 0;  // 0: the record's own revision
 };
 
 // end/<id>: for ever.
-struct Ending {
+struct FinalState {
   bool cancelled = false;
   std::uint32_t done = 0;
 };
@@ -71,8 +72,8 @@
 // value may be.
 Json encode_cancelled_header(Header header);
 Header decode_header(const Json& record);
-Json encode_ending(const Ending& ending);
-Ending decode_ending(const Json& record);
+Json encode_ending(const FinalState& ending);
+FinalState decode_ending(const Json& record);
 
 // task/<id>/...: what is done of a range of a job's tasks, and where attempts may be. A task has at
 // most one. Where ranges overlap, the record that was written last is the one that counts.
--- a/src/jobs/spec_bytes_test.cpp
+++ b/src/jobs/spec_bytes_test.cpp
@@ -37,7 +37,7 @@
   spec.checkpoint_s = 30.5;
   spec.save_s = 4.5;
   spec.deadline_s = 900.5;
-  spec.needs = {"j-1", "j-2"};
+  spec.depends_on = {"j-1", "j-2"};
   return spec;
 }
 
@@ -62,7 +62,7 @@
   EXPECT_EQ(spec.checkpoint_s, 30.5);
   EXPECT_EQ(spec.save_s, 4.5);
   EXPECT_EQ(spec.deadline_s, 900.5);
-  EXPECT_EQ(spec.needs, (std::vector<std::string>{"j-1", "j-2"}));
+  EXPECT_EQ(spec.depends_on, (std::vector<std::string>{"j-1", "j-2"}));
 }
 
 void expect_same(const ChunkRecord& got, const ChunkRecord& expected) {
@@ -88,7 +88,7 @@
   spec.types.reset();
   spec.zone.reset();
   spec.deadline_s.reset();
-  spec.needs.clear();
+  spec.depends_on.clear();
   constexpr const char* kLeast =
       R"({"ref":"j-000412","jobclass":"train","owner":"vision","shape":"ensemble",
           "urgency":"urgent","pieces":16,"vcpus":8.5,"accelerators":1.5,"ram_gb":64.25,
@@ -97,7 +97,7 @@
   EXPECT_TRUE(is_written_as(encode_spec(spec), kLeast));
   const Spec back = decode_spec(received(kLeast));
   EXPECT_FALSE(back.types || back.zone || back.deadline_s);
-  EXPECT_TRUE(back.needs.empty());
+  EXPECT_TRUE(back.depends_on.empty());
 }
 
 TEST(JobSpecBytes, EachFlagIsItsOwnField) {
@@ -236,7 +236,7 @@
           "ram_gb":64.0,"ref":"j-8","scatter":false,"shape":"service","snapshot_cost_s":0.0,
           "snapshot_every_s":0.0,"together":true,"urgency":"prod","vcpus":12.0,
           "waits_on":["j-7"]}})"));
-  EXPECT_EQ(header.spec.needs, std::vector<std::string>{"j-7"});
+  EXPECT_EQ(header.spec.depends_on, std::vector<std::string>{"j-7"});
   EXPECT_EQ(header.spec.shape, Shape::service);
   EXPECT_EQ(header.spec.priority, Priority::production);
   EXPECT_TRUE(header.cancelled);
--- a/src/jobs/spec_test.cpp
+++ b/src/jobs/spec_test.cpp
@@ -69,13 +69,13 @@
   Json body = submission();
   for (const char* none : {"null", "[]"}) {
     body["waits_on"] = Json::parse(none);
-    EXPECT_TRUE(decode_spec(body).needs.empty());
+    EXPECT_TRUE(decode_spec(body).depends_on.empty());
     EXPECT_FALSE(encode_spec(decode_spec(body)).contains("waits_on"));
   }
   body["waits_on"] = {"j-2", "j-1", "j-2"};
   const Spec spec = decode_spec(body);
-  EXPECT_EQ(spec.needs, (std::vector<std::string>{"j-1", "j-2"}));
-  EXPECT_EQ(decode_spec(encode_spec(spec)).needs, spec.needs);
+  EXPECT_EQ(spec.depends_on, (std::vector<std::string>{"j-1", "j-2"}));
+  EXPECT_EQ(decode_spec(encode_spec(spec)).depends_on, spec.depends_on);
   for (const char* bad :
        {R"("j-1")", "{}", "[1]", "[null]", R"(["x-1"])", R"(["j-1/0"])", R"(["j-000412"])"}) {
     body["waits_on"] = Json::parse(bad);
--- a/src/state/client.cpp
+++ b/src/kv/client.cpp
@@ -1,13 +1,13 @@
-#include "state/client.h"
+#include "kv/client.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <thread>
 
-#include "state/clock.h"
+#include "kv/steady_clock.h"
 
-namespace reachramp::state {
+namespace reachramp::kv {
 
 namespace {
 
@@ -22,7 +22,7 @@
     case 200:
       return Outcome::ok;
     case 400:
-      return Outcome::bad;
+      return Outcome::malformed;
     case 404:
     case 410:
       return Outcome::absent;
@@ -55,8 +55,8 @@
 
 Json encode_transaction(const Transaction& transaction) {
   Json conditions = Json::array();
-  for (const auto& [key, stamp] : transaction.conditions) {
-    conditions.push_back({{"k", key}, {"stamp", stamp}});
+  for (const auto& [key, revision] : transaction.preconditions) {
+    conditions.push_back({{"k", key}, {"stamp", revision}});
   }
   Json then = Json::array();
   for (const Write& write : transaction.writes) {
@@ -65,7 +65,7 @@
       continue;
     }
     Json put{{"write", write.key}, {"value", *write.value}};
-    if (write.permit) put["permit"] = *write.permit;
+    if (write.lease_id) put["permit"] = *write.lease_id;
     then.push_back(std::move(put));
   }
   Json body{{"if", std::move(conditions)}};
@@ -73,24 +73,24 @@
   return body;
 }
 
-Committed decode_committed(const wire::Answer& answer) {
-  return sensible<Committed>(answer, [&](Committed& result) {
-    if (result.outcome == Outcome::ok) result.epoch = wire::count(answer.body, "epoch");
+CommitResult decode_committed(const wire::Answer& answer) {
+  return sensible<CommitResult>(answer, [&](CommitResult& result) {
+    if (result.outcome == Outcome::ok) result.store_revision = wire::count(answer.body, "epoch");
     if (result.outcome == Outcome::conflict) {
       for (const Json& key : wire::list(answer.body, "failed")) {
-        result.failed.push_back(key.get<std::string>());
+        result.failed_keys.push_back(key.get<std::string>());
       }
     }
-    if (result.outcome == Outcome::bad && answer.body.value("error", "") == "no such lease") {
-      result.outcome = Outcome::no_permit;
+    if (result.outcome == Outcome::malformed && answer.body.value("error", "") == "no such lease") {
+      result.outcome = Outcome::unknown_lease;
     }
   });
 }
 
-Page decode_page(const wire::Answer& answer) {
-  return sensible<Page>(answer, [&](Page& page) {
+ListResult decode_page(const wire::Answer& answer) {
+  return sensible<ListResult>(answer, [&](ListResult& page) {
     if (page.outcome != Outcome::ok) return;
-    page.epoch = wire::count(answer.body, "epoch");
+    page.store_revision = wire::count(answer.body, "epoch");
     const Json* more = wire::find(answer.body, "truncated");
     page.more = more != nullptr && more->get<bool>();
     for (const Json& item : wire::list(answer.body, "entries")) {
@@ -100,13 +100,13 @@
   });
 }
 
-Changes decode_changes(const wire::Answer& answer) {
-  return sensible<Changes>(answer, [&](Changes& result) {
+WatchResult decode_changes(const wire::Answer& answer) {
+  return sensible<WatchResult>(answer, [&](WatchResult& result) {
     if (result.outcome != Outcome::ok) return;
-    result.epoch = wire::count(answer.body, "epoch");
+    result.store_revision = wire::count(answer.body, "epoch");
     for (const Json& item : wire::list(answer.body, "log")) {
-      Change change;
-      change.stamp = wire::count(item, "stamp");
+      KeyChange change;
+      change.revision = wire::count(item, "stamp");
       if (const auto removed = wire::maybe_text(item, "remove")) {
         change.key = *removed;
       } else {
@@ -118,16 +118,16 @@
   });
 }
 
-Found decode_found(const wire::Answer& answer) {
-  return sensible<Found>(answer, [&](Found& found) {
+ReadResult decode_found(const wire::Answer& answer) {
+  return sensible<ReadResult>(answer, [&](ReadResult& found) {
     if (found.outcome == Outcome::ok) {
       found.entry = {wire::text(answer.body, "k"), wire::need(answer.body, "value"),
                      wire::count(answer.body, "stamp")};
       if (wire::find(answer.body, "permit") != nullptr) {
-        found.entry.permit = wire::count(answer.body, "permit");
+        found.entry.lease_id = wire::count(answer.body, "permit");
       }
     } else if (found.outcome == Outcome::absent) {
-      found.epoch = wire::count(answer.body, "epoch");
+      found.store_revision = wire::count(answer.body, "epoch");
     }
   });
 }
@@ -157,7 +157,7 @@
 }
 
 void Client::note(const wire::Answer& answer) {
-  const Json* epoch = answer.body.is_object() ? wire::find(answer.body, "epoch") : nullptr;
+  const Json* store_revision = answer.body.is_object() ? wire::find(answer.body, "epoch") : nullptr;
   const double now = steady_now();
   std::lock_guard lock(mutex_);
   if (answer.status != 503) {
@@ -166,67 +166,67 @@
   } else if (refused_since_ < 0) {
     refused_since_ = now;
   }
-  if (epoch != nullptr && epoch->is_number_unsigned()) {
-    timeline_.note(epoch->get<std::uint64_t>(), now);
+  if (store_revision != nullptr && store_revision->is_number_unsigned()) {
+    timeline_.observe(store_revision->get<std::uint64_t>(), now);
   }
 }
 
-Timeline Client::timeline() const {
+RevisionClock Client::revision_clock() const {
   std::lock_guard lock(mutex_);
   return timeline_;
 }
 
-double Client::refused_for(double now) const {
+double Client::refused_duration_s(double now) const {
   std::lock_guard lock(mutex_);
   return refused_since_ < 0 ? 0 : std::max(now - refused_since_, 1e-3);
 }
 
-double Client::served_ago(double now) const {
+double Client::seconds_since_served(double now) const {
   std::lock_guard lock(mutex_);
   return now - served_at_;
 }
 
-Found Client::get(const std::string& key) {
+ReadResult Client::get(const std::string& key) {
   return decode_found(call("GET", "/keys/" + key, nullptr, kLimit));
 }
 
-Page Client::list(const std::string& prefix, const std::string& after) {
+ListResult Client::list(const std::string& prefix, const std::string& after) {
   std::string target = "/keys?starts=" + prefix;
   if (!after.empty()) target += "&after=" + after;
   return decode_page(call("GET", target + "&limit=1000", nullptr, 2 * kLimit));
 }
 
-Committed Client::commit(const Transaction& transaction) {
+CommitResult Client::commit(const Transaction& transaction) {
   const Json body = encode_transaction(transaction);
   int throttled = 0;
-  Committed committed = decode_committed(call("POST", "/multi", &body, kLimit, &throttled));
-  committed.throttled = throttled;
+  CommitResult committed = decode_committed(call("POST", "/multi", &body, kLimit, &throttled));
+  committed.throttle_count = throttled;
   return committed;
 }
 
-Permit Client::hold(std::chrono::milliseconds life) {
+LeaseGrant Client::grant_lease(std::chrono::milliseconds life) {
   const Json body{{"life_ms", life.count()}};
   const wire::Answer answer = call("POST", "/holds", &body, kLimit);
-  return sensible<Permit>(answer, [&](Permit& permit) {
-    if (permit.outcome == Outcome::ok) permit.id = wire::count(answer.body, "permit");
+  return sensible<LeaseGrant>(answer, [&](LeaseGrant& lease_id) {
+    if (lease_id.outcome == Outcome::ok) lease_id.id = wire::count(answer.body, "permit");
   });
 }
 
-Outcome Client::renew(std::uint64_t permit) {
+Outcome Client::renew_lease(std::uint64_t lease_id) {
   const Json body = Json::object();
-  return outcome_of(call("POST", "/holds/" + std::to_string(permit) + "/renew", &body, kLimit));
+  return outcome_of(call("POST", "/holds/" + std::to_string(lease_id) + "/renew", &body, kLimit));
 }
 
-void Client::release(std::uint64_t permit) {
-  call("DELETE", "/holds/" + std::to_string(permit), nullptr, kLimit);
+void Client::revoke_lease(std::uint64_t lease_id) {
+  call("DELETE", "/holds/" + std::to_string(lease_id), nullptr, kLimit);
 }
 
-Changes Client::follow(const std::string& prefix, std::uint64_t after,
-                       std::chrono::milliseconds hold) {
+WatchResult Client::watch(const std::string& prefix, std::uint64_t after,
+                          std::chrono::milliseconds hold) {
   return decode_changes(call("GET",
                              "/follow?starts=" + prefix + "&after=" + std::to_string(after) +
                                  "&hold_ms=" + std::to_string(hold.count()),
                              nullptr, hold + kLimit));
 }
 
-}  // namespace reachramp::state
+}  // namespace reachramp::kv
--- a/src/state/client_bytes_test.cpp
+++ b/src/kv/client_bytes_test.cpp
@@ -1,8 +1,8 @@
-// The literal form of the state service's requests and answers.
+// The literal form of the key-value store's requests and answers.
+#include "kv/client.h"
 #include "recorder.h"
-#include "state/client.h"
 
-namespace reachramp::state {
+namespace reachramp::kv {
 namespace {
 
 using test::is_written_as;
@@ -25,61 +25,62 @@
 }
 
 TEST(StateServiceBytes, AnswersToTransactionAreReadFromLiteral) {
-  const Committed done = decode_committed(answer(200, R"({"epoch":41})"));
+  const CommitResult done = decode_committed(answer(200, R"({"epoch":41})"));
   EXPECT_EQ(done.outcome, Outcome::ok);
-  EXPECT_EQ(done.epoch, 41u);
-  const Committed conflict = decode_committed(answer(409, R"({"failed":["job/j-1","level"]})"));
+  EXPECT_EQ(done.store_revision, 41u);
+  const CommitResult conflict = decode_committed(answer(409, R"({"failed":["job/j-1","level"]})"));
   EXPECT_EQ(conflict.outcome, Outcome::conflict);
-  EXPECT_EQ(conflict.failed, (std::vector<std::string>{"job/j-1", "level"}));
+  EXPECT_EQ(conflict.failed_keys, (std::vector<std::string>{"job/j-1", "level"}));
   EXPECT_EQ(decode_committed(answer(400, R"({"error":"no such lease"})")).outcome,
-            Outcome::no_permit);
-  EXPECT_EQ(decode_committed(answer(400, R"({"error":"too large"})")).outcome, Outcome::bad);
+            Outcome::unknown_lease);
+  EXPECT_EQ(decode_committed(answer(400, R"({"error":"too large"})")).outcome, Outcome::malformed);
 }
 
 TEST(StateServiceBytes, PageIsReadFromLiteral) {
-  const Page page = decode_page(answer(
+  const ListResult page = decode_page(answer(
       200,
       R"({"epoch":41,"truncated":true,"entries":[{"k":"job/j-1","value":{"a":1},"stamp":7}]})"));
   EXPECT_EQ(page.outcome, Outcome::ok);
-  EXPECT_EQ(page.epoch, 41u);
+  EXPECT_EQ(page.store_revision, 41u);
   EXPECT_TRUE(page.more);
   ASSERT_EQ(page.entries.size(), 1u);
   EXPECT_EQ(page.entries[0].key, "job/j-1");
   EXPECT_TRUE(is_written_as(page.entries[0].value, R"({"a":1})"));
-  EXPECT_EQ(page.entries[0].stamp, 7u);
+  EXPECT_EQ(page.entries[0].revision, 7u);
   EXPECT_FALSE(decode_page(answer(200, R"({"epoch":41,"entries":[]})")).more);
 }
 
 TEST(StateServiceBytes, ChangesAreReadFromLiteral) {
-  const Changes changes = decode_changes(
+  const WatchResult changes = decode_changes(
       answer(200, R"({"epoch":41,"log":[{"write":"job/j-1","value":{"a":1},"stamp":7},
                                  {"remove":"job/j-2","stamp":8}]})"));
   EXPECT_EQ(changes.outcome, Outcome::ok);
-  EXPECT_EQ(changes.epoch, 41u);
+  EXPECT_EQ(changes.store_revision, 41u);
   ASSERT_EQ(changes.changes.size(), 2u);
   EXPECT_EQ(changes.changes[0].key, "job/j-1");
   ASSERT_TRUE(changes.changes[0].value);
   EXPECT_TRUE(is_written_as(*changes.changes[0].value, R"({"a":1})"));
-  EXPECT_EQ(changes.changes[0].stamp, 7u);
+  EXPECT_EQ(changes.changes[0].revision, 7u);
   EXPECT_EQ(changes.changes[1].key, "job/j-2");
   EXPECT_FALSE(changes.changes[1].value);
-  EXPECT_EQ(changes.changes[1].stamp, 8u);
+  EXPECT_EQ(changes.changes[1].revision, 8u);
   EXPECT_EQ(decode_changes(answer(410, R"({"error":"too old"})")).outcome, Outcome::absent);
 }
 
 TEST(StateServiceBytes, EntryIsReadFromLiteral) {
-  const Found found =
+  const ReadResult found =
       decode_found(answer(200, R"({"k":"leader","value":{"a":1},"stamp":7,"permit":5})"));
   EXPECT_EQ(found.outcome, Outcome::ok);
   EXPECT_EQ(found.entry.key, "leader");
   EXPECT_TRUE(is_written_as(found.entry.value, R"({"a":1})"));
-  EXPECT_EQ(found.entry.stamp, 7u);
-  EXPECT_EQ(found.entry.permit, 5u);
+  EXPECT_EQ(found.entry.revision, 7u);
+  EXPECT_EQ(found.entry.lease_id, 5u);
   EXPECT_EQ(
-      decode_found(answer(200, R"({"k":"a","value":1,"stamp":7,"permit":null})")).entry.permit, 0u);
-  const Found absent = decode_found(answer(404, R"({"epoch":41})"));
+      decode_found(answer(200, R"({"k":"a","value":1,"stamp":7,"permit":null})")).entry.lease_id,
+      0u);
+  const ReadResult absent = decode_found(answer(404, R"({"epoch":41})"));
   EXPECT_EQ(absent.outcome, Outcome::absent);
-  EXPECT_EQ(absent.epoch, 41u);
+  EXPECT_EQ(absent.store_revision, 41u);
 }
 
 TEST(StateServiceBytes, EachCallSendsItsLiteralRequest) {
@@ -92,12 +93,12 @@
   client.list("task/", "");
   client.list("task/", "task/j-1/0");
   client.commit({{{"level", 4}}, {}});
-  const Permit permit = client.hold(std::chrono::milliseconds(20000));
-  EXPECT_EQ(permit.outcome, Outcome::ok);
-  EXPECT_EQ(permit.id, 9u);
-  EXPECT_EQ(client.renew(9), Outcome::ok);
-  client.release(9);
-  client.follow("job/", 41, std::chrono::milliseconds(250));
+  const LeaseGrant lease_id = client.grant_lease(std::chrono::milliseconds(20000));
+  EXPECT_EQ(lease_id.outcome, Outcome::ok);
+  EXPECT_EQ(lease_id.id, 9u);
+  EXPECT_EQ(client.renew_lease(9), Outcome::ok);
+  client.revoke_lease(9);
+  client.watch("job/", 41, std::chrono::milliseconds(250));
   const std::pair<const char*, const char*> expected[] = {
       {"GET /keys/job/j-1", nullptr},
       {"GET /keys?starts=task/&limit=1000", nullptr},
@@ -116,4 +117,4 @@
 }
 
 }  // namespace
-}  // namespace reachramp::state
+}  // namespace reachramp::kv
--- a/src/state/timeline_bytes_test.cpp
+++ b/src/kv/revision_clock_bytes_test.cpp
@@ -1,19 +1,19 @@
-// The literal form of the record `timeline`.
+// The literal form of the record `revision clock`.
 #include "bytes.h"
-#include "state/timeline.h"
+#include "kv/revision_clock.h"
 
-namespace reachramp::state {
+namespace reachramp::kv {
 namespace {
 
 TEST(TimelineRecordBytes, RecordIsReadAndWrittenAsLiteral) {
   constexpr const char* kRecord = R"({"marks":[[10,30000],[20,20000],[30,500]]})";
-  Timeline written;
-  written.note(10, 70);
-  written.note(20, 80);
-  written.note(30, 99.5);
+  RevisionClock written;
+  written.observe(10, 70);
+  written.observe(20, 80);
+  written.observe(30, 99.5);
   EXPECT_TRUE(test::is_written_as(written.encode(100), kRecord));
-  Timeline read;
-  read.inherit(test::received(kRecord), 40, 200);
+  RevisionClock read;
+  read.restore(test::received(kRecord), 40, 200);
   EXPECT_EQ(read.time_of(10, 200), 170);
   EXPECT_EQ(read.time_of(20, 200), 180);
   EXPECT_EQ(read.time_of(30, 200), 199.5);
@@ -21,10 +21,10 @@
 }
 
 TEST(TimelineRecordBytes, RecordOfVersion040IsRead) {
-  Timeline read;
-  read.inherit(test::received(R"({"marks":[[7,4000],[9,0]]})"), 9, 50);
+  RevisionClock read;
+  read.restore(test::received(R"({"marks":[[7,4000],[9,0]]})"), 9, 50);
   EXPECT_EQ(read.time_of(7, 50), 46);
 }
 
 }  // namespace
-}  // namespace reachramp::state
+}  // namespace reachramp::kv
--- a/src/state/clock.h
+++ b/src/kv/steady_clock.h
@@ -4,7 +4,7 @@
 #include <chrono>
 #include <random>
 
-namespace reachramp::state {
+namespace reachramp::kv {
 
 inline double steady_now() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
@@ -17,4 +17,4 @@
       std::uniform_real_distribution<double>(0.5 * seconds, 1.5 * seconds)(random));
 }
 
-}  // namespace reachramp::state
+}  // namespace reachramp::kv
--- a/src/state/bucket.h
+++ b/src/kv/token_bucket.h
@@ -3,11 +3,11 @@
 
 #include <algorithm>
 
-namespace reachramp::state {
+namespace reachramp::kv {
 
-class Bucket {
+class TokenBucket {
  public:
-  Bucket(double rate, double burst) : rate_(rate), burst_(burst), tokens_(burst) {}
+  TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), tokens_(burst) {}
 
   // Seconds until `amount` may be taken; 0 means it has been.
   double take(double amount, double now) {
@@ -42,4 +42,4 @@
   double last_ = -1;
 };
 
-}  // namespace reachramp::state
+}  // namespace reachramp::kv
--- a/src/leadership/holder.cpp
+++ b/src/leadership/holder.cpp
@@ -9,23 +9,23 @@
   return found != nullptr && found->is_string() ? found->get<std::string>() : std::string();
 }
 
-std::string nonce_with(const Identity& self, std::uint64_t permit) {
-  return self.nonce + std::to_string(permit);
+std::string nonce_with(const Identity& self, std::uint64_t lease_id) {
+  return self.nonce + std::to_string(lease_id);
 }
 
 }  // namespace
 
-wire::Json encode_holder(const Identity& self, std::uint64_t permit) {
-  return {{"node", self.node}, {"at", self.at}, {"nonce", nonce_with(self, permit)}};
+wire::Json encode_holder(const Identity& self, std::uint64_t lease_id) {
+  return {{"node", self.node}, {"at", self.at}, {"nonce", nonce_with(self, lease_id)}};
 }
 
 std::string node_of(const wire::Json& value) { return text_in(value, "node"); }
 
-Holder holder_of(const wire::Json& value, const Identity& self, std::uint64_t permit) {
+Holder holder_of(const wire::Json& value, const Identity& self, std::uint64_t lease_id) {
   const std::string node = node_of(value);
   if (node.empty()) return Holder::unreadable;
   if (node != self.node) return Holder::other;
-  if (permit != 0 && text_in(value, "nonce") == nonce_with(self, permit)) return Holder::ours;
+  if (lease_id != 0 && text_in(value, "nonce") == nonce_with(self, lease_id)) return Holder::ours;
   return text_in(value, "at") == self.at ? Holder::predecessor : Holder::other;
 }
 
--- a/src/leadership/holder.h
+++ b/src/leadership/holder.h
@@ -1,5 +1,5 @@
 // Whose key stands under `leader`. A process that has bound its addresses knows that whoever held
-// them before it on the same machine is dead, whatever its permit says.
+// them before it on the same machine is dead, whatever its lease says.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,14 @@
 };
 
 enum class Holder {
-  ours,         // claimed with the permit that we hold
+  ours,         // claimed with the lease that we hold
   predecessor,  // an earlier process here, or an earlier claim of ours that came late
   other,        // another node, or the same name at another address, or a version that tells none
-  unreadable,   // nothing is done on its strength; it ends with its permit
+  unreadable,   // nothing is done on its strength; it ends with its lease
 };
 
-wire::Json encode_holder(const Identity& self, std::uint64_t permit);
-Holder holder_of(const wire::Json& value, const Identity& self, std::uint64_t permit);
+wire::Json encode_holder(const Identity& self, std::uint64_t lease_id);
+Holder holder_of(const wire::Json& value, const Identity& self, std::uint64_t lease_id);
 // The node that leads; empty if the record cannot be read.
 std::string node_of(const wire::Json& value);
 
--- a/src/leadership/holder_test.cpp
+++ b/src/leadership/holder_test.cpp
@@ -39,8 +39,8 @@
 RC_GTEST_PROP(Holder, NoLivingLeadIsEndedAndNoDeadOneStands, ()) {
   struct Process {
     Identity self;
-    std::uint64_t permit = 0;
-    std::optional<state::Entry> seen;
+    std::uint64_t lease_id = 0;
+    std::optional<kv::Entry> seen;
     bool looked = false;
   };
   std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
@@ -50,27 +50,27 @@
   Process processes[4];
   int started = 0;
   std::map<std::string, bool> lives;  // by nonce
-  std::vector<state::Transaction> late;
+  std::vector<kv::Transaction> late;
   const auto start = [&](int i) {
     lives[processes[i].self.nonce] = false;
     processes[i] = {{kNodes[i][0], kNodes[i][1], std::to_string(++started) + "-"}, 0, {}, false};
     lives[processes[i].self.nonce] = true;
   };
-  const auto stands = [&]() -> std::optional<state::Entry> {
+  const auto stands = [&]() -> std::optional<kv::Entry> {
     const auto entries = store.list("leader");
     return entries.empty() ? std::nullopt : std::optional(entries.front());
   };
   // Whether the key's process lives and would call it its own.
-  const auto held = [&](const std::optional<state::Entry>& entry) {
+  const auto held = [&](const std::optional<kv::Entry>& entry) {
     return entry && std::any_of(std::begin(processes), std::end(processes), [&](const auto& one) {
-             return holder_of(entry->value, one.self, one.permit) == Holder::ours;
+             return holder_of(entry->value, one.self, one.lease_id) == Holder::ours;
            });
   };
-  const auto apply = [&](const state::Transaction& transaction) {
+  const auto apply = [&](const kv::Transaction& transaction) {
     const bool led = held(stands());
     const auto before = stands();
     const auto outcome = store.commit(transaction).outcome;
-    if (outcome == state::Outcome::ok && !transaction.writes.front().value) {
+    if (outcome == kv::Outcome::ok && !transaction.writes.front().value) {
       RC_ASSERT(!led || !before);
     }
   };
@@ -95,15 +95,15 @@
       default: {
         if (!process.looked) break;
         process.looked = false;
-        state::Transaction wish;
+        kv::Transaction wish;
         if (!process.seen) {
-          process.permit = store.hold(1e9, 0);
-          wish.conditions = {{"leader", 0}};
+          process.lease_id = store.hold(1e9, 0);
+          wish.preconditions = {{"leader", 0}};
           wish.writes.push_back(
-              {"leader", encode_holder(process.self, process.permit), process.permit});
-        } else if (holder_of(process.seen->value, process.self, process.permit) ==
+              {"leader", encode_holder(process.self, process.lease_id), process.lease_id});
+        } else if (holder_of(process.seen->value, process.self, process.lease_id) ==
                    Holder::predecessor) {
-          wish.conditions = {{"leader", process.seen->stamp}};
+          wish.preconditions = {{"leader", process.seen->revision}};
           wish.writes.push_back({"leader", std::nullopt, std::nullopt});
         } else {
           break;
@@ -121,8 +121,8 @@
   // Once all look again, a key that nobody living holds does not stand.
   for (Process& process : processes) {
     const auto entry = stands();
-    if (entry && holder_of(entry->value, process.self, process.permit) == Holder::predecessor) {
-      apply({{{"leader", entry->stamp}}, {{"leader", std::nullopt, std::nullopt}}});
+    if (entry && holder_of(entry->value, process.self, process.lease_id) == Holder::predecessor) {
+      apply({{{"leader", entry->revision}}, {{"leader", std::nullopt, std::nullopt}}});
     }
   }
   const auto last = stands();
--- a/src/leadership/staleness.h
+++ b/src/leadership/read_freshness.h
@@ -6,7 +6,7 @@
 // of.
 //
 // Known to: the latest moment of which it is certain that every cancellation told to anybody before
-// it is in the leader's state. Two proofs advance it: the state service, by a view of the jobs
+// it is in the leader's state. Two proofs advance it: the key-value store, by a view of the jobs
 // asked for at that moment; and the word of all members, each for what it has told itself.
 // docs/design/meetings.md.
 //
@@ -31,40 +31,40 @@
 bool bound_holds(const settings::Workers& workers);
 
 // What a member says it has told users as cancelled.
-struct Word {
+struct CancellationDigest {
   std::size_t member = 0;
-  double window_s = 0;    // that it was asked for
-  double complete_s = 0;  // so far back, by its own clock, it knows all that it told
-  double asked_at = 0;    // ours
+  double window_s = 0;   // that it was asked for
+  double covered_s = 0;  // so far back, by its own clock, it knows all that it told
+  double asked_at = 0;   // ours
   double received_at = 0;
   std::vector<std::string> cancelled;  // told within the window
 };
 
-class Staleness {
+class ReadFreshness {
  public:
   // `members`: all that can tell users, this node among them. `known_to`: when the jobs that this
   // leader began with were asked for.
-  Staleness(const settings::Workers& workers, std::size_t members, double known_to);
+  ReadFreshness(const settings::Workers& workers, std::size_t members, double known_to);
 
   // First proof: all jobs as they were when they were asked for are in the state.
-  void read_to(double asked_at);
+  void on_jobs_read(double asked_at);
   // Second proof, with the others' words: its cancellations are in the state. Whether the word
   // reaches back to where the member was heard last; else it proves nothing.
-  bool take(const Word& word);
+  bool apply(const CancellationDigest& word);
 
-  double known_to() const;
-  double last_read() const { return read_to_; }
+  double cancellations_known_until() const;
+  double last_jobs_read_at() const { return jobs_read_until_; }
   bool may_answer(double now) const;
-  // Whether members should be asked: the state service has not told for a while.
-  bool should_ask(double now);
+  // Whether members should be asked: the key-value store has not told for a while.
+  bool should_poll_members(double now);
   // How far back each member's word has to reach.
-  std::vector<double> windows(double now) const;
+  std::vector<double> query_windows(double now) const;
 
  private:
   const double bound_s_;
-  double read_to_;
+  double jobs_read_until_;
   double asked_at_ = -1e9;
-  std::vector<double> heard_to_;  // by member: all that it told before is known
+  std::vector<double> members_known_until_;  // by member: all that it told before is known
 };
 
 }  // namespace reachramp::leadership
--- a/src/leadership/staleness_test.cpp
+++ b/src/leadership/read_freshness_test.cpp
@@ -1,6 +1,6 @@
-// The users' trouble: the state service refuses the leader, others confirm cancellations, then it
+// The users' trouble: the key-value store refuses the leader, others confirm cancellations, then it
 // is down for all, for longer than cancel_s, while workers go on reporting to that leader.
-#include "leadership/staleness.h"
+#include "leadership/read_freshness.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -10,7 +10,7 @@
 #include <random>
 #include <set>
 
-#include "peers/told.h"
+#include "peers/recent_cancellations.h"
 
 namespace reachramp::leadership {
 namespace {
@@ -18,26 +18,26 @@
 constexpr settings::Workers kWorkers{1, 10, 15, 4, 30};
 
 TEST(Staleness, AnswersEndWhereALeaseCouldOutlastACancellation) {
-  Staleness staleness(kWorkers, 2, 100);
+  ReadFreshness staleness(kWorkers, 2, 100);
   EXPECT_TRUE(staleness.may_answer(118.5));
   EXPECT_FALSE(staleness.may_answer(119)) << "a lease, and a moment more, before 130";
-  staleness.read_to(110);
+  staleness.on_jobs_read(110);
   EXPECT_TRUE(staleness.may_answer(128.5));
-  staleness.read_to(105);
-  EXPECT_EQ(staleness.known_to(), 110) << "answers overtake each other";
+  staleness.on_jobs_read(105);
+  EXPECT_EQ(staleness.cancellations_known_until(), 110) << "answers overtake each other";
 }
 
 TEST(Staleness, AllMembersWordsCountAndOnlyUnbroken) {
-  Staleness staleness(kWorkers, 2, 100);
-  const double window = staleness.windows(104).front();
-  EXPECT_TRUE(staleness.take({0, window, 50, 104, 104.1, {}}));
-  EXPECT_EQ(staleness.known_to(), 100) << "the other has said nothing";
-  EXPECT_FALSE(staleness.take({1, window, 2, 104, 104.1, {}})) << "it has begun two seconds ago";
-  EXPECT_FALSE(staleness.take({1, window, 50, 104, 106, {}})) << "its answer was held up";
-  EXPECT_FALSE(staleness.take({1, window, 50, 104, 103, {}}));
-  EXPECT_FALSE(staleness.take({2, window, 50, 104, 104.1, {}})) << "no member";
-  EXPECT_TRUE(staleness.take({1, window, 50, 104, 104.1, {}}));
-  EXPECT_EQ(staleness.known_to(), 104);
+  ReadFreshness staleness(kWorkers, 2, 100);
+  const double window = staleness.query_windows(104).front();
+  EXPECT_TRUE(staleness.apply({0, window, 50, 104, 104.1, {}}));
+  EXPECT_EQ(staleness.cancellations_known_until(), 100) << "the other has said nothing";
+  EXPECT_FALSE(staleness.apply({1, window, 2, 104, 104.1, {}})) << "it has begun two seconds ago";
+  EXPECT_FALSE(staleness.apply({1, window, 50, 104, 106, {}})) << "its answer was held up";
+  EXPECT_FALSE(staleness.apply({1, window, 50, 104, 103, {}}));
+  EXPECT_FALSE(staleness.apply({2, window, 50, 104, 104.1, {}})) << "no member";
+  EXPECT_TRUE(staleness.apply({1, window, 50, 104, 104.1, {}}));
+  EXPECT_EQ(staleness.cancellations_known_until(), 104);
 }
 
 TEST(Staleness, SaysWhereNothingCanKeepThePromise) {
@@ -58,28 +58,28 @@
   const auto chance = [&](double p) { return between(0, 1) < p; };
   constexpr std::size_t kMembers = 3;
   double speed[kMembers], offset[kMembers];
-  std::vector<std::unique_ptr<peers::Told>> told;
+  std::vector<std::unique_ptr<peers::RecentCancellations>> told;
   const auto clock = [&](std::size_t member, double now) {
     return offset[member] + now * speed[member];
   };
   for (std::size_t i = 0; i < kMembers; ++i) {
     speed[i] = 1 + between(0, kDrift);
     offset[i] = between(0, 1e6);
-    told.push_back(std::make_unique<peers::Told>(kWorkers.cancel_s, clock(i, 0)));
+    told.push_back(std::make_unique<peers::RecentCancellations>(kWorkers.cancel_s, clock(i, 0)));
   }
   const std::size_t self = kMembers - 1;
-  Staleness staleness(kWorkers, kMembers, clock(self, 0));
+  ReadFreshness staleness(kWorkers, kMembers, clock(self, 0));
   std::map<std::string, double> told_at, durable_at;
   std::set<std::string> known;
   double refused_until = 0, out_from = 0, out_until = 0;
   struct Asked {
     double look_at = 0, back_at = 0;
-    Word word;
+    CancellationDigest word;
     bool looked = false;
   };
   std::vector<Asked> asked;
   int jobs = 0;
-  double longest = 0;  // that the leader answered without the state service
+  double longest = 0;  // that the leader answered without the key-value store
   double last_read = 0;
   for (double now = 0.1; now < 300; now += 0.1) {
     if (now > std::max(refused_until, out_until) && chance(0.01)) {
@@ -99,18 +99,19 @@
       told_at[job] = now;
     }
     for (std::size_t i = 0; i < kMembers; ++i) {
-      if (chance(0.001)) told[i] = std::make_unique<peers::Told>(kWorkers.cancel_s, clock(i, now));
+      if (chance(0.001))
+        told[i] = std::make_unique<peers::RecentCancellations>(kWorkers.cancel_s, clock(i, now));
     }
     if (!all_out && now > refused_until && chance(0.3)) {
       const double asked = now - between(0, 1.5);
       for (const auto& [job, at] : durable_at) {
         if (at <= asked) known.insert(job);
       }
-      staleness.read_to(clock(self, asked));
+      staleness.on_jobs_read(clock(self, asked));
       last_read = now;
     }
-    if (staleness.should_ask(clock(self, now))) {
-      const std::vector<double> windows = staleness.windows(clock(self, now));
+    if (staleness.should_poll_members(clock(self, now))) {
+      const std::vector<double> windows = staleness.query_windows(clock(self, now));
       for (std::size_t i = 0; i < kMembers; ++i) {
         if (chance(0.1)) continue;
         const auto way = [&] { return chance(0.1) ? between(0, 5) : between(0, 0.2); };
@@ -121,8 +122,9 @@
     for (Asked& one : asked) {
       if (now < one.look_at || one.looked) continue;
       const std::size_t i = one.word.member;
-      const peers::Told::Since since = told[i]->since(one.word.window_s, clock(i, now));
-      one.word.complete_s = since.complete_s;
+      const peers::RecentCancellations::Since since =
+          told[i]->since(one.word.window_s, clock(i, now));
+      one.word.covered_s = since.complete_s;
       one.word.cancelled = since.jobs;
       one.looked = true;
     }
@@ -130,7 +132,7 @@
       if (!one.looked || now < one.back_at) return false;
       one.word.received_at = clock(self, now);
       known.insert(one.word.cancelled.begin(), one.word.cancelled.end());
-      staleness.take(one.word);
+      staleness.apply(one.word);
       return true;
     });
     if (!staleness.may_answer(clock(self, now))) continue;
--- a/src/peers/relay.cpp
+++ b/src/peers/heartbeat_forwarder.cpp
@@ -1,8 +1,8 @@
-#include "peers/relay.h"
+#include "peers/heartbeat_forwarder.h"
 
 #include <algorithm>
 
-#include "state/clock.h"
+#include "kv/steady_clock.h"
 
 namespace reachramp::peers {
 
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-class Relay::Slot {
+class HeartbeatForwarder::Slot {
  public:
-  explicit Slot(Relay& relay) : relay_(relay) {
+  explicit Slot(HeartbeatForwarder& relay) : relay_(relay) {
     std::unique_lock lock(relay.mutex_);
     taken_ = relay.freed_.wait_for(lock, kWaitForSlot, [&] { return relay.free_ > 0; });
     if (taken_) --relay.free_;
@@ -40,11 +40,11 @@
   bool taken() const { return taken_; }
 
  private:
-  Relay& relay_;
+  HeartbeatForwarder& relay_;
   bool taken_ = false;
 };
 
-Relay::Relay(const settings::Platform& platform) {
+HeartbeatForwarder::HeartbeatForwarder(const settings::Platform& platform) {
   const std::size_t others = std::max<std::size_t>(1, platform.members.size());
   const auto share = [&](double part) {
     return static_cast<std::size_t>(platform.fd_limit * part);
@@ -58,7 +58,7 @@
   }
 }
 
-bool Relay::cut_off(const std::string& leader, double now) {
+bool HeartbeatForwarder::cut_off(const std::string& leader, double now) {
   std::lock_guard lock(mutex_);
   const auto at = cut_off_until_.find(leader);
   return at != cut_off_until_.end() && now < at->second;
@@ -67,10 +67,10 @@
 // Cuts hang: whoever has met one does not wait for it again with every report, be it on the way to
 // the leader or on a detour. A machine without power on the detour cost workers their leases: their
 // report had no answer in time, and the node that they tried next was the dead one.
-std::optional<wire::Reply> Relay::by_way_of(const std::string& node, const char* path,
-                                            const wire::Json& report, double limit_s,
-                                            double until) {
-  const double now = state::steady_now();
+std::optional<wire::Reply> HeartbeatForwarder::by_way_of(const std::string& node, const char* path,
+                                                         const wire::Json& report, double limit_s,
+                                                         double until) {
+  const double now = kv::steady_now();
   const double limit = std::min(limit_s, until - now);
   if (limit <= 0 || cut_off(node, now)) return std::nullopt;
   const wire::Answer answer = clients_.at(node)->call(
@@ -85,8 +85,9 @@
   return std::nullopt;
 }
 
-std::optional<wire::Reply> Relay::carry(const std::string& leader, const wire::Json& report,
-                                        bool detour, double until) {
+std::optional<wire::Reply> HeartbeatForwarder::forward(const std::string& leader,
+                                                       const wire::Json& report, bool detour,
+                                                       double until) {
   const bool known = clients_.contains(leader);
   if (!known && !detour) return std::nullopt;
   const Slot slot(*this);
--- a/src/peers/relay.h
+++ b/src/peers/heartbeat_forwarder.h
@@ -20,15 +20,15 @@
 // The status of an answer that whoever carries a report passes on as it is.
 inline constexpr int kMisdirected = 421;
 
-class Relay {
+class HeartbeatForwarder {
  public:
-  explicit Relay(const settings::Platform& platform);
+  explicit HeartbeatForwarder(const settings::Platform& platform);
 
   // The leader's response, or nothing if it cannot be had before `until` (steady seconds): straight
   // from the leader or, if that fails and `detour` is allowed, through another node. Without the
   // leader's name: through whoever knows it.
-  std::optional<wire::Reply> carry(const std::string& leader, const wire::Json& report, bool detour,
-                                   double until);
+  std::optional<wire::Reply> forward(const std::string& leader, const wire::Json& report,
+                                     bool detour, double until);
 
  private:
   class Slot;
--- a/src/peers/members.cpp
+++ b/src/peers/members.cpp
@@ -5,17 +5,17 @@
 #include <algorithm>
 #include <thread>
 
-#include "state/clock.h"
+#include "kv/steady_clock.h"
 
 namespace reachramp::peers {
 
 namespace {
 
-using state::Outcome;
+using kv::Outcome;
 
 constexpr double kLookEvery_s = 1;
 
-bool reads(const state::Json& record) {
+bool reads(const kv::Json& record) {
   const wire::Json* format = record.is_object() ? wire::find(record, "format") : nullptr;
   return format != nullptr && format->is_number_unsigned() &&
          format->get<std::uint64_t>() >= kRecordFormat;
@@ -25,37 +25,37 @@
 
 std::string member_key(const std::string& node) { return "member/" + node; }
 
-state::Json encode_member(std::uint64_t format) { return {{"format", format}}; }
+kv::Json encode_member(std::uint64_t format) { return {{"format", format}}; }
 
-bool all_read(const std::vector<std::string>& nodes, const std::vector<state::Entry>& entries) {
+bool all_read(const std::vector<std::string>& nodes, const std::vector<kv::Entry>& entries) {
   return std::all_of(nodes.begin(), nodes.end(), [&](const std::string& node) {
-    return std::any_of(entries.begin(), entries.end(), [&](const state::Entry& entry) {
+    return std::any_of(entries.begin(), entries.end(), [&](const kv::Entry& entry) {
       return entry.key == member_key(node) && reads(entry.value);
     });
   });
 }
 
-Members::Members(state::Client& state, const settings::Platform& platform)
+Members::Members(kv::Client& state, const settings::Platform& platform)
     : state_(state), own_(platform.node_name) {
   nodes_.push_back(own_);
   for (const settings::Member& member : platform.members) nodes_.push_back(member.name);
 }
 
 bool Members::announce() {
-  const state::Found found = state_.get(member_key(own_));
+  const kv::ReadResult found = state_.get(member_key(own_));
   if (found.outcome == Outcome::ok && reads(found.entry.value)) return true;
   if (found.outcome != Outcome::ok && found.outcome != Outcome::absent) return false;
-  state::Transaction announcement;
-  announcement.conditions = {{member_key(own_), found.entry.stamp}};
+  kv::Transaction announcement;
+  announcement.preconditions = {{member_key(own_), found.entry.revision}};
   announcement.writes.push_back({member_key(own_), encode_member(kRecordFormat), std::nullopt});
   return state_.commit(announcement).outcome == Outcome::ok;
 }
 
 std::optional<bool> Members::look() {
   if (all_upgraded_) return true;
-  std::vector<state::Entry> entries;
+  std::vector<kv::Entry> entries;
   for (;;) {
-    state::Page page = state_.list("member/", entries.empty() ? "" : entries.back().key);
+    kv::ListResult page = state_.list("member/", entries.empty() ? "" : entries.back().key);
     if (page.outcome != Outcome::ok) return std::nullopt;
     const bool more = page.more && !page.entries.empty();
     for (auto& entry : page.entries) entries.push_back(std::move(entry));
@@ -72,7 +72,7 @@
   for (;;) {
     announced = announced || announce();
     if (announced && look() == true) return;
-    std::this_thread::sleep_for(state::jittered(kLookEvery_s));
+    std::this_thread::sleep_for(kv::jittered(kLookEvery_s));
   }
 }
 
--- a/src/peers/members.h
+++ b/src/peers/members.h
@@ -1,12 +1,12 @@
-// Which versions the nodes run: each says in the state service, for good, what it can read.
+// Which versions the nodes run: each says in the key-value store, for good, what it can read.
 #pragma once
 
 #include <atomic>
 #include <string>
 #include <vector>
 
+#include "kv/client.h"
 #include "settings/settings.h"
-#include "state/client.h"
 
 namespace reachramp::peers {
 
@@ -15,25 +15,25 @@
 inline constexpr std::uint64_t kRecordFormat = 2;
 
 std::string member_key(const std::string& node);
-state::Json encode_member(std::uint64_t format);
+kv::Json encode_member(std::uint64_t format);
 // Whether each of the nodes reads what this version writes.
-bool all_read(const std::vector<std::string>& nodes, const std::vector<state::Entry>& entries);
+bool all_read(const std::vector<std::string>& nodes, const std::vector<kv::Entry>& entries);
 
 class Members {
  public:
-  Members(state::Client& state, const settings::Platform& platform);
+  Members(kv::Client& state, const settings::Platform& platform);
 
   // Announces this node and looks out for the others until all are there; for a thread of its own.
   void run();
   // Whether no node runs an old version any more. Once so, always so.
   bool all_upgraded() const { return all_upgraded_; }
-  // The same, by a look at the state service if it is not known yet. Nothing: it does not answer.
+  // The same, by a look at the key-value store if it is not known yet. Nothing: it does not answer.
   std::optional<bool> look();
 
  private:
   bool announce();
 
-  state::Client& state_;
+  kv::Client& state_;
   const std::string own_;
   std::vector<std::string> nodes_;
   std::atomic<bool> all_upgraded_{false};
--- a/src/peers/members_test.cpp
+++ b/src/peers/members_test.cpp
@@ -8,9 +8,9 @@
 TEST(Members, AllMustHaveSaidThatTheyReadTheNewForm) {
   const std::vector<std::string> nodes{"node-0", "node-1"};
   const auto entry = [](const std::string& node, const char* record) {
-    return state::Entry{member_key(node), state::Json::parse(record), 1};
+    return kv::Entry{member_key(node), kv::Json::parse(record), 1};
   };
-  const state::Entry own{member_key("node-0"), encode_member(kRecordFormat), 1};
+  const kv::Entry own{member_key("node-0"), encode_member(kRecordFormat), 1};
   EXPECT_FALSE(all_read(nodes, {}));
   EXPECT_FALSE(all_read(nodes, {own}));
   EXPECT_FALSE(all_read(nodes, {own, entry("node-7", R"({"format":2})")})) << "another node";
--- a/src/peers/readiness.cpp
+++ b/src/peers/readiness.cpp
@@ -6,7 +6,7 @@
 #include <tuple>
 
 #include "jobs/spec.h"
-#include "state/clock.h"
+#include "kv/steady_clock.h"
 
 namespace reachramp::peers {
 
@@ -21,7 +21,7 @@
 // Probes wait a second for their answer; a few nodes must fit in.
 constexpr auto kAskLimit = 250ms;
 constexpr std::size_t kMostAsked = 3;
-constexpr double kPermitOver_s = 1;
+constexpr double kLeaseOver_s = 1;
 
 }  // namespace
 
@@ -41,32 +41,34 @@
   return ready_;
 }
 
-Health::Health(const state::Client& state, const settings::Platform& platform, Told& told)
-    : state_(state), told_(told), since_(state::steady_now()) {
+NodeHealth::NodeHealth(const kv::Client& state, const settings::Platform& platform,
+                       RecentCancellations& told)
+    : state_(state), told_(told), since_(kv::steady_now()) {
   for (const settings::Member& member : platform.members) {
     others_.push_back(std::make_unique<wire::Client>(member.address, 1, wire::kBodyLimit));
   }
 }
 
-bool must_let_go(const Isolation& isolation, double permit_s) {
-  // A moment more: whoever is refused longer than a permit lasts has lost it, or nobody has.
-  if (isolation.silent_s < permit_s + kPermitOver_s || isolation.peers == 0) return false;
+bool must_step_down(const IsolationEvidence& isolation, double lease_duration_s) {
+  // A moment more: whoever is refused longer than a lease lasts has lost it, or nobody has.
+  if (isolation.silent_s < lease_duration_s + kLeaseOver_s || isolation.peers == 0) return false;
   if (isolation.succeeded) return true;
   if (isolation.answered > 0) return false;
   return !isolation.refused;
 }
 
-wire::Json encode_told(const Told::Since& told) {
+wire::Json encode_recent_cancellations(const RecentCancellations::Since& told) {
   return {{"complete_s", told.complete_s}, {"cancelled", told.jobs}};
 }
 
-std::optional<leadership::Word> decode_word(const wire::Answer& answer) {
+std::optional<leadership::CancellationDigest> decode_cancellation_digest(
+    const wire::Answer& answer) {
   if (answer.status != 200 || !answer.body.is_object()) return std::nullopt;
   try {
     const wire::Json* told = wire::find(answer.body, "told");  // older versions tell nothing
     if (told == nullptr) return std::nullopt;
-    leadership::Word word;
-    word.complete_s = wire::amount(*told, "complete_s");
+    leadership::CancellationDigest word;
+    word.covered_s = wire::amount(*told, "complete_s");
     for (const wire::Json& item : wire::list(*told, "cancelled")) {
       if (!item.is_string() || !jobs::is_job_id(item.get_ref<const std::string&>())) {
         throw wire::BadMessage("cancelled: not a job id");
@@ -80,7 +82,7 @@
   }
 }
 
-std::pair<std::size_t, bool> Health::ask_others(std::size_t most, const Sign& sign) {
+std::pair<std::size_t, bool> NodeHealth::poll_others(std::size_t most, const Sign& sign) {
   std::size_t answered = 0;
   for (std::size_t i = 0; i < std::min(others_.size(), most); ++i) {
     const wire::Answer answer = others_[i]->call("GET", kServedPath, nullptr, kAskLimit);
@@ -92,77 +94,83 @@
   return {answered, false};
 }
 
-bool Health::cut_off(double silent_s, double permit_s, std::uint64_t baton) {
-  Isolation isolation;
+bool NodeHealth::cut_off(double silent_s, double lease_duration_s, std::uint64_t fencing_token) {
+  IsolationEvidence isolation;
   isolation.silent_s = silent_s;
   isolation.peers = others_.size();
-  if (silent_s < permit_s + kPermitOver_s) return false;
-  isolation.refused = state_.refused_for(state::steady_now()) > 0;
-  // The key's stamp only grows, so whoever has seen a larger one has seen a later leader. That
+  if (silent_s < lease_duration_s + kLeaseOver_s) return false;
+  isolation.refused = state_.refused_duration_s(kv::steady_now()) > 0;
+  // The key's revision only grows, so whoever has seen a larger one has seen a later leader. That
   // others were served after us showed none: where a refusal of the leader went over into an outage
   // for all, it let go, and all leases were lost.
-  std::tie(isolation.answered,
-           isolation.succeeded) = ask_others(others_.size(), [&](const wire::Json& answer) {
-    const wire::Json* stamp = wire::find(answer, "leader_stamp");
-    return stamp != nullptr && stamp->is_number_unsigned() && stamp->get<std::uint64_t>() > baton;
-  });
-  return must_let_go(isolation, permit_s);
+  std::tie(isolation.answered, isolation.succeeded) =
+      poll_others(others_.size(), [&](const wire::Json& answer) {
+        const wire::Json* revision = wire::find(answer, "leader_stamp");
+        return revision != nullptr && revision->is_number_unsigned() &&
+               revision->get<std::uint64_t>() > fencing_token;
+      });
+  return must_step_down(isolation, lease_duration_s);
 }
 
 // One that has just been started has not been left without an answer yet.
-double Health::unserved(double now) const {
-  return unserved_for(state_.refused_for(now), std::min(state_.served_ago(now), now - since_));
+double NodeHealth::unserved(double now) const {
+  return unserved_for(state_.refused_duration_s(now),
+                      std::min(state_.seconds_since_served(now), now - since_));
 }
 
-bool Health::ready() {
+bool NodeHealth::ready() {
   std::lock_guard lock(mutex_);
-  const double now = state::steady_now();
+  const double now = kv::steady_now();
   return readiness_.judge(
       unserved(now),
       [this] {
-        return ask_others(kMostAsked,
-                          [](const wire::Json& answer) {
-                            const wire::Json* served = wire::find(answer, "served");
-                            return served != nullptr && served->is_boolean() && served->get<bool>();
-                          })
+        return poll_others(kMostAsked,
+                           [](const wire::Json& answer) {
+                             const wire::Json* served = wire::find(answer, "served");
+                             return served != nullptr && served->is_boolean() &&
+                                    served->get<bool>();
+                           })
             .second;
       },
       now);
 }
 
-std::vector<leadership::Word> Health::ask_told(const std::vector<double>& windows) {
-  std::vector<leadership::Word> words;
+std::vector<leadership::CancellationDigest> NodeHealth::poll_cancellations(
+    const std::vector<double>& windows) {
+  std::vector<leadership::CancellationDigest> words;
   for (std::size_t member = 0; member < windows.size(); ++member) {
-    std::optional<leadership::Word> word;
-    const double asked_at = state::steady_now();
+    std::optional<leadership::CancellationDigest> word;
+    const double asked_at = kv::steady_now();
     if (member < others_.size()) {
       const wire::Json body{{"told_within_s", windows[member]}};
-      word = decode_word(others_[member]->call("GET", kServedPath, &body, kAskLimit));
+      word =
+          decode_cancellation_digest(others_[member]->call("GET", kServedPath, &body, kAskLimit));
     } else {
-      Told::Since own = told_.since(windows[member], asked_at);
+      RecentCancellations::Since own = told_.since(windows[member], asked_at);
       word.emplace();
-      word->complete_s = own.complete_s;
+      word->covered_s = own.complete_s;
       word->cancelled = std::move(own.jobs);
     }
     if (!word) continue;
     word->member = member;
     word->window_s = windows[member];
     word->asked_at = asked_at;
-    word->received_at = state::steady_now();
+    word->received_at = kv::steady_now();
     words.push_back(std::move(*word));
   }
   return words;
 }
 
 // `ago_s` is for versions that know nothing of `leader_stamp`.
-wire::Reply Health::served(const std::string& body, std::uint64_t leader_stamp) {
-  const double now = state::steady_now();
+wire::Reply NodeHealth::served(const std::string& body, std::uint64_t leader_revision) {
+  const double now = kv::steady_now();
   wire::Json answer{{"served", unserved(now) == 0},
-                    {"ago_s", state_.served_ago(now)},
-                    {"leader_stamp", leader_stamp}};
+                    {"ago_s", state_.seconds_since_served(now)},
+                    {"leader_stamp", leader_revision}};
   if (!body.empty()) {
     const wire::Json asked = wire::decode_map(body);
-    answer["told"] = encode_told(told_.since(wire::amount(asked, "told_within_s"), now));
+    answer["told"] =
+        encode_recent_cancellations(told_.since(wire::amount(asked, "told_within_s"), now));
   }
   return {200, std::move(answer)};
 }
--- a/src/peers/readiness.h
+++ b/src/peers/readiness.h
@@ -1,4 +1,4 @@
-// Whether users should be sent here: not while the state service refuses this node alone, or does
+// Whether users should be sent here: not while the key-value store refuses this node alone, or does
 // not answer it.
 #pragma once
 
@@ -7,18 +7,18 @@
 #include <mutex>
 #include <vector>
 
-#include "leadership/staleness.h"
-#include "peers/told.h"
+#include "kv/client.h"
+#include "leadership/read_freshness.h"
+#include "peers/recent_cancellations.h"
 #include "settings/settings.h"
-#include "state/client.h"
 #include "wire/http.h"
 
 namespace reachramp::peers {
 
 inline constexpr const char* kServedPath = "/served";
 
-// For how long the state service has not served a node, in seconds: it has refused all for so long,
-// or not answered for longer than a node is ever quiet. 0: it serves.
+// For how long the key-value store has not served a node, in seconds: it has refused all for so
+// long, or not answered for longer than a node is ever quiet. 0: it serves.
 double unserved_for(double refused_s, double served_ago_s);
 
 // With hysteresis, since each change costs users their connections.
@@ -33,49 +33,52 @@
   double unserved_at_ = 0;
 };
 
-// Why a leader that the state service does not answer may have to let its workers go: it can no
+// Why a leader that the key-value store does not answer may have to let its workers go: it can no
 // longer be the leader, but they would stay with it, and whoever leads now would not hear them.
-struct Isolation {
-  double silent_s = 0;       // since its permit was last renewed
-  bool refused = false;      // the state service answers, with refusals
+struct IsolationEvidence {
+  double silent_s = 0;       // since its lease was last renewed
+  bool refused = false;      // the key-value store answers, with refusals
   std::size_t peers = 0;     // that were asked
   std::size_t answered = 0;  // of them
   bool succeeded = false;    // one of them has seen a later leader's key
 };
-// It lets go where another certainly leads, or where all is silent: in an outage the state service
-// refuses. Else it may be an outage, in which workers that are sent away lose their leases; it
-// answers them for as long as its staleness allows.
-bool must_let_go(const Isolation& isolation, double permit_s);
+// It lets go where another certainly leads, or where all is silent: in an outage the key-value
+// store refuses. Else it may be an outage, in which workers that are sent away lose their leases;
+// it answers them for as long as its staleness allows.
+bool must_step_down(const IsolationEvidence& isolation, double lease_duration_s);
 
 // The answer to `kServedPath`, of a member that was asked for what it told within `window_s`; the
 // times are the caller's. Nothing of it counts if any of it makes no sense.
-wire::Json encode_told(const Told::Since& told);
-std::optional<leadership::Word> decode_word(const wire::Answer& answer);
+wire::Json encode_recent_cancellations(const RecentCancellations::Since& told);
+std::optional<leadership::CancellationDigest> decode_cancellation_digest(
+    const wire::Answer& answer);
 
 // Asks the other nodes.
-class Health {
+class NodeHealth {
  public:
-  Health(const state::Client& state, const settings::Platform& platform, Told& told);
+  NodeHealth(const kv::Client& state, const settings::Platform& platform,
+             RecentCancellations& told);
 
   bool ready();
-  // Whether the leader here, whose permit of so many seconds was last renewed so long ago, must let
+  // Whether the leader here, whose lease of so many seconds was last renewed so long ago, must let
   // its workers go. Asks the others where that matters.
-  bool cut_off(double silent_s, double permit_s, std::uint64_t baton);
+  bool cut_off(double silent_s, double lease_duration_s, std::uint64_t fencing_token);
   // What each member has told as cancelled, asked one after another; this node is the last. One
   // window for each.
-  std::vector<leadership::Word> ask_told(const std::vector<double>& windows);
+  std::vector<leadership::CancellationDigest> poll_cancellations(
+      const std::vector<double>& windows);
   // What other nodes are told. `leader_stamp`: of the newest leader's key that this node has seen.
-  wire::Reply served(const std::string& body, std::uint64_t leader_stamp);
+  wire::Reply served(const std::string& body, std::uint64_t leader_revision);
 
  private:
   double unserved(double now) const;
 
   using Sign = std::function<bool(const wire::Json&)>;
   // How many of those asked answered, and whether the answer of one, who is the last, is the sign.
-  std::pair<std::size_t, bool> ask_others(std::size_t most, const Sign& sign);
+  std::pair<std::size_t, bool> poll_others(std::size_t most, const Sign& sign);
 
-  const state::Client& state_;
-  Told& told_;
+  const kv::Client& state_;
+  RecentCancellations& told_;
   const double since_;
   std::vector<std::unique_ptr<wire::Client>> others_;
   std::mutex mutex_;
--- a/src/peers/readiness_bytes_test.cpp
+++ b/src/peers/readiness_bytes_test.cpp
@@ -1,8 +1,8 @@
 // The literal form of what nodes ask and answer each other.
+#include "kv/steady_clock.h"
+#include "peers/heartbeat_forwarder.h"
 #include "peers/readiness.h"
-#include "peers/relay.h"
 #include "recorder.h"
-#include "state/clock.h"
 
 namespace reachramp::peers {
 namespace {
@@ -11,17 +11,17 @@
 using test::received;
 
 TEST(PeerBytes, ToldCancellationsAreWrittenAsLiteral) {
-  EXPECT_TRUE(is_written_as(encode_told({12.5, {"j-1", "j-2"}}),
+  EXPECT_TRUE(is_written_as(encode_recent_cancellations({12.5, {"j-1", "j-2"}}),
                             R"({"complete_s":12.5,"cancelled":["j-1","j-2"]})"));
 }
 
 TEST(PeerBytes, ToldCancellationsAreReadFromLiteral) {
-  const auto word =
-      decode_word({true, true, 200, received(R"({"served":true,"ago_s":0.5,"leader_stamp":40,
+  const auto word = decode_cancellation_digest(
+      {true, true, 200, received(R"({"served":true,"ago_s":0.5,"leader_stamp":40,
                     "told":{"complete_s":12.5,"cancelled":["j-1","j-2"]}})"),
-                   0});
+       0});
   ASSERT_TRUE(word);
-  EXPECT_EQ(word->complete_s, 12.5);
+  EXPECT_EQ(word->covered_s, 12.5);
   EXPECT_EQ(word->cancelled, (std::vector<std::string>{"j-1", "j-2"}));
 }
 
@@ -33,10 +33,10 @@
 }
 
 TEST(PeerBytes, ServedIsAnsweredWithLiteralFields) {
-  state::Client state({"127.0.0.1", 1}, 10);
-  Told told(1e9, state::steady_now());
-  told.note("j-1", state::steady_now());
-  Health health(state, platform({"127.0.0.1", 1}), told);
+  kv::Client state({"127.0.0.1", 1}, 10);
+  RecentCancellations told(1e9, kv::steady_now());
+  told.note("j-1", kv::steady_now());
+  NodeHealth health(state, platform({"127.0.0.1", 1}), told);
   wire::Json plain = health.served("", 40).body;
   EXPECT_TRUE(plain.at("ago_s").is_number_float());
   plain["ago_s"] = 0.5;
@@ -56,10 +56,10 @@
                          "told":{"complete_s":12.5,"cancelled":["j-7"]}})"),
             0};
   });
-  state::Client state({"127.0.0.1", 1}, 10);
-  Told told(1e9, state::steady_now());
-  Health health(state, platform(other.at()), told);
-  const auto words = health.ask_told({60.5});
+  kv::Client state({"127.0.0.1", 1}, 10);
+  RecentCancellations told(1e9, kv::steady_now());
+  NodeHealth health(state, platform(other.at()), told);
+  const auto words = health.poll_cancellations({60.5});
   ASSERT_EQ(words.size(), 1u);
   EXPECT_EQ(words[0].cancelled, std::vector<std::string>{"j-7"});
   EXPECT_TRUE(health.cut_off(100, 5, 40)) << "leader_stamp is later";
@@ -77,12 +77,12 @@
   test::Recorder leader([](const wire::Request&) -> wire::Reply {
     return {200, received(R"({"baton":40,"orders":[]})"), 0};
   });
-  Relay relay(platform(leader.at()));
-  const double until = state::steady_now() + 5;
-  const auto straight = relay.carry("node-1", received(kReport), false, until);
+  HeartbeatForwarder relay(platform(leader.at()));
+  const double until = kv::steady_now() + 5;
+  const auto straight = relay.forward("node-1", received(kReport), false, until);
   ASSERT_TRUE(straight);
   EXPECT_TRUE(is_written_as(straight->body, R"({"baton":40,"orders":[]})"));
-  ASSERT_TRUE(relay.carry("", received(kReport), true, until));
+  ASSERT_TRUE(relay.forward("", received(kReport), true, until));
   const std::vector<test::Asked> asked = leader.asked();
   ASSERT_EQ(asked.size(), 2u);
   EXPECT_EQ(asked[0].line, "POST /relay/report");
--- a/src/peers/readiness_test.cpp
+++ b/src/peers/readiness_test.cpp
@@ -37,11 +37,13 @@
   EXPECT_TRUE(readiness.judge(40, nobody, 40)) << "now they are refused too";
 }
 
-// The users' trouble: a controller loses the state service and the others, but not its workers, who
-// would stay with it. In an outage for all they must stay.
+// The users' trouble: a controller loses the key-value store and the others, but not its workers,
+// who would stay with it. In an outage for all they must stay.
 TEST(LettingGo, TellsACutFromAnOutage) {
-  const double permit_s = 3;
-  const auto lets_go = [&](Isolation isolation) { return must_let_go(isolation, permit_s); };
+  const double lease_duration_s = 3;
+  const auto lets_go = [&](IsolationEvidence isolation) {
+    return must_step_down(isolation, lease_duration_s);
+  };
   EXPECT_FALSE(lets_go({3.5, false, 2, 0, false})) << "its permit may still stand";
   EXPECT_TRUE(lets_go({5, false, 2, 0, false})) << "cut off from all";
   EXPECT_FALSE(lets_go({50, true, 2, 2, false})) << "an outage";
@@ -59,11 +61,11 @@
     answer.answered = true;
     answer.status = status;
     answer.body = std::move(body);
-    return decode_word(answer);
+    return decode_cancellation_digest(answer);
   };
-  const wire::Json good = {{"told", encode_told({7.5, {"j-1", "j-2"}})}};
+  const wire::Json good = {{"told", encode_recent_cancellations({7.5, {"j-1", "j-2"}})}};
   ASSERT_TRUE(word(good));
-  EXPECT_EQ(word(good)->complete_s, 7.5);
+  EXPECT_EQ(word(good)->covered_s, 7.5);
   EXPECT_EQ(word(good)->cancelled, (std::vector<std::string>{"j-1", "j-2"}));
   EXPECT_FALSE(word(good, 503));
   EXPECT_FALSE(word({{"served", true}, {"ago_s", 0.1}})) << "an older version";
@@ -77,7 +79,7 @@
 }
 
 TEST(Told, ListsWhatWasToldSinceAndHowFarBackThatIsAll) {
-  Told told(30, 100);
+  RecentCancellations told(30, 100);
   told.note("j-1", 101);
   told.note("j-2", 105);
   told.note("j-1", 108);  // again: whoever heard of it needs it no more
--- a/src/peers/told.cpp
+++ b/src/peers/recent_cancellations.cpp
@@ -1,12 +1,13 @@
-#include "peers/told.h"
+#include "peers/recent_cancellations.h"
 
 #include <algorithm>
 
 namespace reachramp::peers {
 
-Told::Told(double keep_s, double now) : keep_s_(keep_s), complete_from_(now), looked_at_(now) {}
+RecentCancellations::RecentCancellations(double keep_s, double now)
+    : keep_s_(keep_s), complete_from_(now), looked_at_(now) {}
 
-void Told::forget(double now) {
+void RecentCancellations::forget(double now) {
   while (!entries_.empty() && (entries_.size() > kMost || now - entries_.front().at > keep_s_)) {
     complete_from_ = entries_.front().at;
     jobs_.erase(entries_.front().job);
@@ -16,7 +17,7 @@
 
 // Told again it keeps its first moment: whoever has heard this process up to then knows of it. A
 // thread that took the time before a look at the list, and comes after it, counts as after it.
-bool Told::note(const std::string& job, double now) {
+bool RecentCancellations::note(const std::string& job, double now) {
   const std::lock_guard lock(mutex_);
   if (!jobs_.insert(job).second) return false;
   looked_at_ = std::max(looked_at_, now);
@@ -25,7 +26,7 @@
   return true;
 }
 
-Told::Since Told::since(double window_s, double now) {
+RecentCancellations::Since RecentCancellations::since(double window_s, double now) {
   const std::lock_guard lock(mutex_);
   forget(now);
   looked_at_ = std::max(looked_at_, now);
--- a/src/peers/told.h
+++ b/src/peers/recent_cancellations.h
@@ -1,5 +1,5 @@
-// Which jobs this process has told users are cancelled. A leader that the state service does not
-// answer asks all nodes for it, and takes those jobs as cancelled (leadership/staleness.h).
+// Which jobs this process has told users are cancelled. A leader that the key-value store does not
+// answer asks all nodes for it, and takes those jobs as cancelled (leadership/read_freshness.h).
 #pragma once
 
 #include <deque>
@@ -10,7 +10,7 @@
 
 namespace reachramp::peers {
 
-class Told {
+class RecentCancellations {
  public:
   struct Since {
     double complete_s = 0;  // so far back all that was told is known
@@ -19,7 +19,7 @@
 
   // Nobody is told anything before `now` (steady seconds). Kept for `keep_s`: whoever asks for more
   // may answer no worker any longer.
-  Told(double keep_s, double now);
+  RecentCancellations(double keep_s, double now);
 
   // Before the user is answered. Whether it is the first time that this process says so.
   bool note(const std::string& job, double now);
--- a/src/pipelines/needs.cpp
+++ b/src/pipelines/dependencies.cpp
@@ -1,4 +1,4 @@
-#include "pipelines/needs.h"
+#include "pipelines/dependencies.h"
 
 #include <spdlog/spdlog.h>
 
@@ -6,8 +6,8 @@
 
 namespace reachramp::pipelines {
 
+using placement::Dependency;
 using placement::Job;
-using placement::Need;
 
 namespace {
 
@@ -18,8 +18,8 @@
 constexpr std::size_t kMostDues = 8;
 
 std::vector<Index> dependents(const Cluster& cluster, const std::string& id) {
-  const auto at = cluster.needed_by.find(id);
-  if (at == cluster.needed_by.end()) return {};
+  const auto at = cluster.dependents.find(id);
+  if (at == cluster.dependents.end()) return {};
   return {at->second.begin(), at->second.end()};
 }
 
@@ -29,13 +29,14 @@
   for (Index index = 0; index < cluster.jobs.size(); ++index) {
     if (cluster.jobs[index]) order.push_back(index);
   }
-  std::sort(order.begin(), order.end(),
-            [&](Index a, Index b) { return cluster.jobs[a]->born < cluster.jobs[b]->born; });
+  std::sort(order.begin(), order.end(), [&](Index a, Index b) {
+    return cluster.jobs[a]->accepted_revision < cluster.jobs[b]->accepted_revision;
+  });
   return order;
 }
 
 double expected_end(const Job& job, double now) {
-  if (job.waits()) return job.free_by + job.spec.estimate_s;
+  if (job.waits()) return job.expected_unblocked_at + job.spec.estimate_s;
   double begun = now;
   if (job.attempts.size() + job.done_count == job.spec.tasks) {
     begun = -placement::kNever;
@@ -48,47 +49,48 @@
 
 }  // namespace
 
-void enter(Cluster& cluster, Index index, double now) {
+void track_dependencies(Cluster& cluster, Index index, double now) {
   Job& job = *cluster.jobs[index];
   // Nothing of it was ever placed before all that it needs was done.
   const bool begun = job.done_count > 0 || job.last_attempt > 0 || !job.attempts.empty();
   bool doomed = false;
-  if (begun && !job.needs.empty()) {
+  if (begun && !job.dependencies.empty()) {
     for (const auto& [task, attempt] : job.attempts) {
-      job.freed_at = std::max(job.seen_at, std::min(attempt.placed_at, now));
+      job.unblocked_at = std::max(job.accepted_at, std::min(attempt.placed_at, now));
     }
   }
-  for (Need& need : job.needs) {
+  for (Dependency& need : job.dependencies) {
     const Job* other = cluster.job(need.id);
-    need.fate = begun              ? Fate::done
-                : other == nullptr ? Fate::unknown
-                : other->cancelled ? Fate::cancelled
-                                   : Fate::live;
-    doomed = doomed || need.fate == Fate::cancelled;
+    need.state = begun              ? DependencyState::done
+                 : other == nullptr ? DependencyState::unknown
+                 : other->cancelled ? DependencyState::cancelled
+                                    : DependencyState::live;
+    doomed = doomed || need.state == DependencyState::cancelled;
   }
   cluster.expect(job, {});
   if (doomed && !job.cancelled) cluster.cancel(index, {.latest = now});
-  settle(cluster, job.spec.id, job.cancelled ? Fate::cancelled : Fate::live, now);
+  resolve_dependents(cluster, job.spec.id,
+                     job.cancelled ? DependencyState::cancelled : DependencyState::live, now);
 }
 
-void settle(Cluster& cluster, const std::string& id, Fate fate, double now) {
-  std::vector<std::pair<std::string, Fate>> news{{id, fate}};
+void resolve_dependents(Cluster& cluster, const std::string& id, DependencyState fate, double now) {
+  std::vector<std::pair<std::string, DependencyState>> news{{id, fate}};
   while (!news.empty()) {
     const auto [name, became] = std::move(news.back());
     news.pop_back();
     for (const Index index : dependents(cluster, name)) {
       Job& job = *cluster.jobs[index];
       const bool waited = job.waits();
-      for (Need& need : job.needs) {
-        if (need.id == name && need.fate != Fate::done) need.fate = became;
+      for (Dependency& need : job.dependencies) {
+        if (need.id == name && need.state != DependencyState::done) need.state = became;
       }
-      if (became == Fate::cancelled && waited && !job.cancelled) {
+      if (became == DependencyState::cancelled && waited && !job.cancelled) {
         spdlog::info("job {} is cancelled with {}", job.spec.id, name);
         cluster.cancel(index, {.latest = now});
-        news.emplace_back(job.spec.id, Fate::cancelled);
+        news.emplace_back(job.spec.id, DependencyState::cancelled);
       } else if (waited && !job.waits()) {
         spdlog::info("job {} may begin", job.spec.id);
-        job.freed_at = std::max(job.freed_at, now);
+        job.unblocked_at = std::max(job.unblocked_at, now);
       }
     }
   }
@@ -98,8 +100,8 @@
   std::vector<std::string> ids;
   for (const auto& job : cluster.jobs) {
     if (!job || job->cancelled) continue;
-    for (const Need& need : job->needs) {
-      if (need.fate == Fate::unknown) ids.push_back(need.id);
+    for (const Dependency& need : job->dependencies) {
+      if (need.state == DependencyState::unknown) ids.push_back(need.id);
     }
   }
   std::sort(ids.begin(), ids.end());
@@ -107,7 +109,7 @@
   return ids;
 }
 
-void urge(Cluster& cluster) {
+void inherit_priority(Cluster& cluster) {
   const double between = kReportsBetween * cluster.platform.workers.report_s;
   std::vector<std::vector<double>> inherited(cluster.jobs.size());
   for (const auto& job : cluster.jobs) {
@@ -121,7 +123,7 @@
     dues.resize(std::min(dues.size(), kMostDues));
     cluster.expect(job, dues);
     if (job.cancelled || !job.waits()) continue;
-    for (const Need& need : job.needs) {
+    for (const Dependency& need : job.dependencies) {
       const auto earlier = cluster.job_index.find(need.id);
       if (earlier == cluster.job_index.end()) continue;
       Job& needed = *cluster.jobs[earlier->second];
@@ -133,17 +135,17 @@
   }
 }
 
-void foresee(Cluster& cluster, double now) {
+void estimate_unblock_times(Cluster& cluster, double now) {
   const double between = kReportsBetween * cluster.platform.workers.report_s;
   for (const Index index : by_age(cluster)) {
     Job& job = *cluster.jobs[index];
     if (!job.waits()) continue;
-    job.free_by = now;
-    for (const Need& need : job.needs) {
-      if (need.fate == Fate::done) continue;
+    job.expected_unblocked_at = now;
+    for (const Dependency& need : job.dependencies) {
+      if (need.state == DependencyState::done) continue;
       const Job* needed = cluster.job(need.id);
       const double end = needed == nullptr ? placement::kNever : expected_end(*needed, now);
-      job.free_by = std::max(job.free_by, end + between);
+      job.expected_unblocked_at = std::max(job.expected_unblocked_at, end + between);
     }
   }
 }
--- a/src/pipelines/needs.h
+++ b/src/pipelines/dependencies.h
@@ -9,25 +9,25 @@
 namespace reachramp::pipelines {
 
 using placement::Cluster;
-using placement::Fate;
+using placement::DependencyState;
 using placement::Index;
 
 // A job has come: what is known of those that it needs, and what it means for those that need it.
-void enter(Cluster& cluster, Index job, double now);
+void track_dependencies(Cluster& cluster, Index job, double now);
 
 // What has become of a job, for those that need it. Done and cancelled must be durable: its user
 // may be told the one until the other is. A cancelled job takes all with it that need it, directly
 // or through others; none of them can have begun.
-void settle(Cluster& cluster, const std::string& id, Fate fate, double now);
+void resolve_dependents(Cluster& cluster, const std::string& id, DependencyState fate, double now);
 
 // Jobs that live ones need and of which nothing is known here: their ends are to be read.
 std::vector<std::string> unknown(const Cluster& cluster);
 
 // A job is as important as the most important one that needs it, and must start early enough for
 // all that comes after it. To be called when jobs have come, gone or been freed.
-void urge(Cluster& cluster);
+void inherit_priority(Cluster& cluster);
 
 // When waiting jobs can be expected to be freed.
-void foresee(Cluster& cluster, double now);
+void estimate_unblock_times(Cluster& cluster, double now);
 
 }  // namespace reachramp::pipelines
