--- a/src/pipelines/needs_test.cpp
+++ b/src/pipelines/dependencies_test.cpp
@@ -1,4 +1,4 @@
-#include "pipelines/needs.h"
+#include "pipelines/dependencies.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -12,8 +12,8 @@
   settings::Platform p;
   p.teams = {{"red", 4, 0, 0, 0}, {"blue", 0, 0, 0, 0}};
   p.workers = {1, 10, 15, 4, 30};
-  p.objectives = {{settings::Objective::Kind::wait, "swept", 40, 1},
-                  {settings::Objective::Kind::deadline, "pushed", 0, 1.5}};
+  p.objectives = {{settings::ServiceLevelObjective::Kind::wait, "swept", 40, 1},
+                  {settings::ServiceLevelObjective::Kind::deadline, "pushed", 0, 1.5}};
   return p;
 }
 
@@ -28,19 +28,19 @@
     header.spec.image = "img";
     header.spec.cpus = 1;
     header.spec.estimate_s = 10;
-    header.spec.needs = std::move(needs);
+    header.spec.depends_on = std::move(needs);
     header.cancelled = cancelled;
     return add(header, now);
   }
   Index add(const jobs::Header& header, double now) {
-    const Index index = cluster_.add_job(header, ++stamp_, now);
-    enter(cluster_, index, now);
+    const Index index = cluster_.add_job(header, ++revision_, now);
+    track_dependencies(cluster_, index, now);
     return index;
   }
   // As when its end is durable.
-  void end(const std::string& id, Fate fate, double now = 1) {
+  void end(const std::string& id, DependencyState fate, double now = 1) {
     cluster_.remove_job(cluster_.job_index.at(id));
-    settle(cluster_, id, fate, now);
+    resolve_dependents(cluster_, id, fate, now);
   }
   bool served(Index job) {
     const auto order = placement::service_order(cluster_, 1).order;
@@ -50,7 +50,7 @@
 
   settings::Platform platform_ = platform();
   Cluster cluster_{platform_, 1, jobs::Format::compact};
-  std::uint64_t stamp_ = 0;
+  std::uint64_t revision_ = 0;
 };
 
 TEST_F(Needs, AJobIsServedOnceAllThatItNeedsHaveEndedAsDone) {
@@ -59,11 +59,11 @@
   EXPECT_EQ(unknown(cluster_), (std::vector<std::string>{"j-9"}));
   cluster_.mark_done(0, 0, 1);
   EXPECT_FALSE(served(two)) << "all its tasks are done, but its user may still be told otherwise";
-  end("j-1", Fate::done);
+  end("j-1", DependencyState::done);
   EXPECT_FALSE(served(two)) << "nothing is known of j-9";
-  settle(cluster_, "j-9", Fate::done, 5);
+  resolve_dependents(cluster_, "j-9", DependencyState::done, 5);
   EXPECT_TRUE(served(two));
-  EXPECT_EQ(job(two).freed_at, 5);
+  EXPECT_EQ(job(two).unblocked_at, 5);
   EXPECT_TRUE(unknown(cluster_).empty());
 }
 
@@ -73,19 +73,19 @@
   large.spec = job(0).spec;
   large.spec.id = "j-2";
   large.spec.tasks = 4;
-  large.spec.needs = {"j-1"};
+  large.spec.depends_on = {"j-1"};
   add(large, 0);
   const Index last = add("j-3", {});
   EXPECT_TRUE(placement::service_order(cluster_, 1).guaranteed[last]);
-  end("j-1", Fate::done);
+  end("j-1", DependencyState::done);
   EXPECT_FALSE(placement::service_order(cluster_, 1).guaranteed[last]);
 }
 
 TEST_F(Needs, TheOrderInWhichRecordsAreReadDoesNotMatter) {
   const Index late = add("j-1", {"j-2"});
-  EXPECT_EQ(job(late).needs[0].fate, Fate::unknown);
+  EXPECT_EQ(job(late).dependencies[0].state, DependencyState::unknown);
   add("j-2", {});
-  EXPECT_EQ(job(late).needs[0].fate, Fate::live);
+  EXPECT_EQ(job(late).dependencies[0].state, DependencyState::live);
   const Index doomed = add("j-3", {"j-4"});
   add("j-4", {}, 0, true);
   EXPECT_TRUE(job(doomed).cancelled);
@@ -95,14 +95,14 @@
   jobs::Header header;
   header.spec.id = "j-2";
   header.spec.team = "red";
-  header.spec.needs = {"j-1"};
+  header.spec.depends_on = {"j-1"};
   const Index index = cluster_.add_job(header, 5, 0);
   placement::StoredRecord stored;
   stored.name = jobs::compact_key("j-2", 0, 1);
   stored.key = *jobs::parse_chunk_key(stored.name);
   stored.record.last_attempt = 1;
-  cluster_.inherit(index, {stored}, 0);
-  enter(cluster_, index, 0);
+  cluster_.restore(index, {stored}, 0);
+  track_dependencies(cluster_, index, 0);
   EXPECT_FALSE(job(index).waits());
 }
 
@@ -110,7 +110,7 @@
   add("j-1", {});
   const Index sweep = add("j-2", {"j-1"});
   add("j-3", {"j-1"});
-  urge(cluster_);
+  inherit_priority(cluster_);
   EXPECT_TRUE(job(0).start_by.empty());
   jobs::Header last;
   last.spec = job(sweep).spec;
@@ -118,16 +118,16 @@
   last.spec.job_class = "pushed";
   last.spec.priority = jobs::Priority::high;
   last.spec.deadline_s = 100;
-  last.spec.needs = {"j-2", "j-3"};
+  last.spec.depends_on = {"j-2", "j-3"};
   const Index push = add(last, 2);
-  urge(cluster_);
+  inherit_priority(cluster_);
   // Ends of 10 s runs with two reports between: 92, then 80, then 68; half as long again as well.
   EXPECT_EQ(job(push).start_by, (std::vector<double>{92, 142}));
   EXPECT_EQ(job(sweep).start_by, (std::vector<double>{80, 130}));
   EXPECT_EQ(job(0).start_by.front(), 68);
   EXPECT_EQ(job(0).priority, jobs::Priority::high);
   cluster_.cancel(push, {.latest = 3});
-  urge(cluster_);
+  inherit_priority(cluster_);
   EXPECT_EQ(job(0).priority, jobs::Priority::normal);
   EXPECT_TRUE(job(0).start_by.empty());
 }
@@ -138,11 +138,11 @@
   header.spec = job(0).spec;
   header.spec.id = "j-2";
   header.spec.job_class = "swept";
-  header.spec.needs = {"j-1"};
+  header.spec.depends_on = {"j-1"};
   const Index sweep = add(header, 0);
   EXPECT_TRUE(job(sweep).start_by.empty());
-  end("j-1", Fate::done, 30);
-  urge(cluster_);
+  end("j-1", DependencyState::done, 30);
+  inherit_priority(cluster_);
   EXPECT_EQ(job(sweep).start_by, (std::vector<double>{70}));
 }
 
@@ -151,16 +151,16 @@
   const Index second = add("j-2", {"j-1"});
   const Index third = add("j-3", {"j-1", "j-2"});
   const Index strange = add("j-4", {"j-9"});
-  foresee(cluster_, 5);
-  EXPECT_EQ(job(second).free_by, 17) << "a run of 10 s and two reports";
-  EXPECT_EQ(job(third).free_by, 29);
-  EXPECT_EQ(job(strange).free_by, placement::kNever);
+  estimate_unblock_times(cluster_, 5);
+  EXPECT_EQ(job(second).expected_unblocked_at, 17) << "a run of 10 s and two reports";
+  EXPECT_EQ(job(third).expected_unblocked_at, 29);
+  EXPECT_EQ(job(strange).expected_unblocked_at, placement::kNever);
   cluster_.place(first, 0, 1, cluster_.add_host("n-1", 0), 5);
   job(first).attempts.at(0).running_since = 6;
-  foresee(cluster_, 12);
-  EXPECT_EQ(job(second).free_by, 18);
-  foresee(cluster_, 40);
-  EXPECT_EQ(job(second).free_by, 42) << "late, and due at any moment";
+  estimate_unblock_times(cluster_, 12);
+  EXPECT_EQ(job(second).expected_unblocked_at, 18);
+  estimate_unblock_times(cluster_, 40);
+  EXPECT_EQ(job(second).expected_unblocked_at, 42) << "late, and due at any moment";
 }
 
 // Random pipelines whose jobs end or are cancelled in any order, against a plain model.
@@ -186,10 +186,11 @@
     header.spec.team = i % 2 == 0 ? "red" : "blue";
     needs.emplace_back();
     for (const std::uint8_t need : shape[i]) {
-      if (i > 0 && needs[i].insert(need % i).second) header.spec.needs.push_back(name(need % i));
+      if (i > 0 && needs[i].insert(need % i).second)
+        header.spec.depends_on.push_back(name(need % i));
     }
     states.push_back(State::live);
-    enter(cluster, cluster.add_job(header, i + 1, 0), 0);
+    track_dependencies(cluster, cluster.add_job(header, i + 1, 0), 0);
   }
   for (const auto& [number, cancels] : events) {
     if (shape.empty()) break;
@@ -199,17 +200,17 @@
     const Index index = at->second;
     if (cluster.jobs[index]->cancelled) {
       cluster.remove_job(index);
-      settle(cluster, name(i), Fate::cancelled, 1);
+      resolve_dependents(cluster, name(i), DependencyState::cancelled, 1);
     } else if (cancels) {
       cluster.cancel(index, {.latest = 1});
-      settle(cluster, name(i), Fate::cancelled, 1);
+      resolve_dependents(cluster, name(i), DependencyState::cancelled, 1);
       cancel(i, cancel);
     } else if (!cluster.jobs[index]->waits()) {
       cluster.remove_job(index);
-      settle(cluster, name(i), Fate::done, 1);
+      resolve_dependents(cluster, name(i), DependencyState::done, 1);
       states[i] = State::done;
     }
-    urge(cluster);
+    inherit_priority(cluster);
     for (std::size_t j = 0; j < shape.size(); ++j) {
       const placement::Job* job = cluster.job(name(j));
       if (job == nullptr) {
--- a/src/placement/cluster.cpp
+++ b/src/placement/cluster.cpp
@@ -13,7 +13,7 @@
 
 Cluster::Cluster(const settings::Platform& p, std::uint64_t b, jobs::Format format)
     : platform(p),
-      baton(b),
+      fencing_token(b),
       used(p.teams.size()),
       format_(format),
       limits_(format == jobs::Format::whole ? p.state_limits : p.lasting()) {}
@@ -44,7 +44,7 @@
   }
 }
 
-Index Cluster::add_job(const jobs::Header& header, std::uint64_t stamp, double seen_at,
+Index Cluster::add_job(const jobs::Header& header, std::uint64_t revision, double seen_at,
                        CancellationTime cancelled_at) {
   Index index;
   if (free_jobs_.empty()) {
@@ -57,19 +57,19 @@
   auto made = std::make_unique<Job>();
   Job& job = *made;
   job.spec = header.spec;
-  job.need = {job.spec.cpus, job.spec.gpus, job.spec.ram_gb};
-  job.stamp = stamp;
-  job.born = header.born != 0 ? header.born : stamp;
+  job.resources_per_task = {job.spec.cpus, job.spec.gpus, job.spec.ram_gb};
+  job.revision = revision;
+  job.accepted_revision = header.born != 0 ? header.born : revision;
   job.done.resize(job.spec.tasks);
   cut(job);
-  job.seen_at = job.freed_at = job.still_since = seen_at;
+  job.accepted_at = job.unblocked_at = job.idle_since = seen_at;
   job.priority = job.spec.priority;
-  for (const std::string& need : job.spec.needs) {
-    job.needs.push_back({need, Fate::unknown});
-    needed_by[need].insert(index);
+  for (const std::string& need : job.spec.depends_on) {
+    job.dependencies.push_back({need, DependencyState::unknown});
+    dependents[need].insert(index);
   }
-  job.told_done = header.done;
-  job.told_running = header.running;
+  job.reported_done = header.done;
+  job.reported_running = header.running;
   for (Index i = 0; i < platform.teams.size(); ++i) {
     if (platform.teams[i].name == job.spec.team) job.team = i;
   }
@@ -78,7 +78,7 @@
   measure(job);
   job_index[job.spec.id] = index;
   jobs[index] = std::move(made);
-  news.insert(index);
+  jobs_with_changed_counts.insert(index);
   if (header.cancelled) cancel(index, cancelled_at);
   return index;
 }
@@ -87,21 +87,22 @@
   const double estimate = job.spec.estimate_s;
   job.due_starts = inherited;
   if (job.spec.deadline_s) {
-    job.due_starts.push_back(job.seen_at + *job.spec.deadline_s - estimate);
+    job.due_starts.push_back(job.accepted_at + *job.spec.deadline_s - estimate);
   }
   std::vector<double> others;
-  for (const settings::Objective& objective : platform.objectives) {
+  for (const settings::ServiceLevelObjective& objective : platform.objectives) {
     if (objective.job_class != job.spec.job_class) continue;
     switch (objective.kind) {
-      case settings::Objective::Kind::wait:
-        others.push_back(job.freed_at + objective.within_s);
+      case settings::ServiceLevelObjective::Kind::wait:
+        others.push_back(job.unblocked_at + objective.within_s);
         break;
-      case settings::Objective::Kind::finished:
-        others.push_back(job.freed_at + objective.within_s - estimate);
+      case settings::ServiceLevelObjective::Kind::finished:
+        others.push_back(job.unblocked_at + objective.within_s - estimate);
         break;
-      case settings::Objective::Kind::deadline:
+      case settings::ServiceLevelObjective::Kind::deadline:
         if (job.spec.deadline_s && objective.times != 1) {
-          job.due_starts.push_back(job.seen_at + *job.spec.deadline_s * objective.times - estimate);
+          job.due_starts.push_back(job.accepted_at + *job.spec.deadline_s * objective.times -
+                                   estimate);
         }
         break;
     }
@@ -124,15 +125,15 @@
     charge(job, -1);
     Host& host = *hosts[attempt.host];
     host.attempts.erase({index, task});
-    host.free += job.need;
+    host.free += job.resources_per_task;
   }
-  for (std::size_t chunk = 0; chunk < job.chunks.size(); ++chunk) dirty.erase({index, chunk});
-  over.erase(index);
-  news.erase(index);
-  for (const Need& need : job.needs) {
-    const auto at = needed_by.find(need.id);
-    if (at != needed_by.end() && at->second.erase(index) > 0 && at->second.empty()) {
-      needed_by.erase(at);
+  for (std::size_t chunk = 0; chunk < job.task_ranges.size(); ++chunk) dirty.erase({index, chunk});
+  finished_jobs.erase(index);
+  jobs_with_changed_counts.erase(index);
+  for (const Dependency& need : job.dependencies) {
+    const auto at = dependents.find(need.id);
+    if (at != dependents.end() && at->second.erase(index) > 0 && at->second.empty()) {
+      dependents.erase(at);
     }
   }
   job_index.erase(job.spec.id);
@@ -192,8 +193,8 @@
 
 void Cluster::charge(const Job& job, double sign) {
   if (job.team == kNone) return;
-  used[job.team].cpus += sign * job.need.cpus;
-  used[job.team].gpus += sign * job.need.gpus;
+  used[job.team].cpus += sign * job.resources_per_task.cpus;
+  used[job.team].gpus += sign * job.resources_per_task.gpus;
 }
 
 void Cluster::place(Index index, std::uint32_t task, std::uint64_t number, Index host, double now) {
@@ -205,11 +206,11 @@
   job.attempts[task] = attempt;
   if (job.spec.shape == jobs::Shape::gang) job.last_attempt = std::max(job.last_attempt, number);
   const std::size_t chunk = job.chunk_of(task);
-  ++job.chunks[chunk].waiting;
-  job.chunks[chunk].bytes += bytes_for(index, task, number, *hosts[host]);
+  ++job.task_ranges[chunk].waiting;
+  job.task_ranges[chunk].bytes += bytes_for(index, task, number, *hosts[host]);
   hosts[host]->attempts.insert({index, task});
-  hosts[host]->was_lent = false;
-  hosts[host]->free -= job.need;
+  hosts[host]->was_backfilled = false;
+  hosts[host]->free -= job.resources_per_task;
   charge(job, 1);
   touch(index, task, now);
 }
@@ -220,15 +221,16 @@
   if (at == job.attempts.end()) return;
   Host& host = *hosts[at->second.host];
   host.attempts.erase({index, task});
-  host.free += job.need;
+  host.free += job.resources_per_task;
   if (host.attempts.empty()) host.idle_since = now;
   charge(job, -1);
-  make_durable(job, task);
-  job.chunks[job.chunk_of(task)].bytes -= bytes_for(index, task, at->second.number, host);
-  const bool ran = at->second.running_since >= 0 || at->second.inherited;
-  if (ran && !job.done[task] && !job.cancelled) job.down[task] = {now, at->second.voluntary};
+  mark_persisted(job, task);
+  job.task_ranges[job.chunk_of(task)].bytes -= bytes_for(index, task, at->second.number, host);
+  const bool ran = at->second.running_since >= 0 || at->second.from_previous_leader;
+  if (ran && !job.done[task] && !job.cancelled)
+    job.interruptions[task] = {now, at->second.voluntary};
   if (!job.done[task]) job.last_attempt = std::max(job.last_attempt, at->second.number);
-  job.still_since = std::max(job.still_since, std::min(now, may_run_until(host)));
+  job.idle_since = std::max(job.idle_since, std::min(now, may_run_until(host)));
   job.attempts.erase(at);
   job.hint = std::min(job.hint, task);
   if (job.attempts.empty()) job.gang_started = false;
@@ -237,14 +239,14 @@
 }
 
 double Cluster::may_run_until(const Host& host) const {
-  return std::max(host.heard_at, host.known_at) + platform.workers.lease_s;
+  return std::max(host.last_heartbeat_at, host.known_at) + platform.workers.lease_s;
 }
 
 void Cluster::mark_done(Index index, std::uint32_t task, double now) {
   Job& job = *jobs[index];
   if (job.done[task]) return;
   job.done[task] = true;
-  job.down.erase(task);
+  job.interruptions.erase(task);
   ++job.done_count;
   const auto twin = job.attempts.find(task);
   if (twin != job.attempts.end()) twin->second.stopping = true;
@@ -255,7 +257,7 @@
 void Cluster::note_running(Job& job, std::uint32_t task, double since) {
   Attempt& attempt = job.attempts.at(task);
   if (attempt.running_since < 0) attempt.running_since = since;
-  job.down.erase(task);
+  job.interruptions.erase(task);
 }
 
 void Cluster::stop(Index index, std::uint32_t task, double wind_down_s, bool voluntary) {
@@ -263,17 +265,17 @@
   if (attempt.stopping) return;
   attempt.stopping = true;
   attempt.voluntary = voluntary;
-  attempt.wind_down_s = wind_down_s;
+  attempt.grace_period_s = wind_down_s;
 }
 
 void Cluster::cancel(Index index, CancellationTime at) {
   Job& job = *jobs[index];
   job.cancelled = true;
   job.cancelled_at = at;
-  job.down.clear();
+  job.interruptions.clear();
   for (auto& [task, attempt] : job.attempts) {
     attempt.stopping = true;
-    attempt.wind_down_s = 0;
+    attempt.grace_period_s = 0;
   }
   release_unsent(index, at.latest);
   notice_over(index);
@@ -281,31 +283,32 @@
 
 bool Cluster::fills(const Job& job, Index index) const {
   const cloud::MachineType& type = *kinds_[index];
-  return job.need.cpus > type.cpus / 2 || job.need.ram_gb > type.ram_gb / 2 ||
-         (type.gpus > 0 && job.need.gpus > type.gpus / 2);
+  return job.resources_per_task.cpus > type.cpus / 2 ||
+         job.resources_per_task.ram_gb > type.ram_gb / 2 ||
+         (type.gpus > 0 && job.resources_per_task.gpus > type.gpus / 2);
 }
 
 void Cluster::keep_for_large(double now) {
-  std::erase_if(kept_for_large, [&](const auto& kept) { return kept.second < now; });
+  std::erase_if(reserved_for_large, [&](const auto& kept) { return kept.second < now; });
   for (const auto& job : jobs) {
-    if (!job || job->cancelled || job->waits() || job->suspect() || job->smallest == kNone ||
-        !fills(*job, job->smallest))
+    if (!job || job->cancelled || job->waits() || job->fails_everywhere() ||
+        job->smallest == kNone || !fills(*job, job->smallest))
       continue;
-    kept_for_large[{job->smallest, false}] = now + kKeepForLarge_s;
-    if (job->spec.spot) kept_for_large[{job->smallest, true}] = now + kKeepForLarge_s;
+    reserved_for_large[{job->smallest, false}] = now + kKeepForLarge_s;
+    if (job->spec.spot) reserved_for_large[{job->smallest, true}] = now + kKeepForLarge_s;
     if (job->attempts.size() + job->done_count == job->spec.tasks || !within_limit(*job, 1))
       continue;
     for (const auto& host : hosts) {
-      if (host && host->lent && job->fits[host->type] && (job->spec.spot || !host->spot) &&
+      if (host && host->backfilled && job->fits[host->type] && (job->spec.spot || !host->spot) &&
           (job->zone == kNone || job->zone == host->zone)) {
-        host->lent = false;
+        host->backfilled = false;
       }
     }
   }
 }
 
 bool Cluster::is_kept_from(const Job& job, Index type, bool spot) const {
-  if (!kept_for_large.contains({type, spot}) || fills(job, type)) return false;
+  if (!reserved_for_large.contains({type, spot}) || fills(job, type)) return false;
   return job.smallest != kNone && kinds_[job.smallest]->cpus < kinds_[type]->cpus;
 }
 
@@ -313,7 +316,8 @@
   Job& job = *jobs[index];
   std::vector<std::uint32_t> unsent;
   for (const auto& [task, attempt] : job.attempts) {
-    const bool elsewhere = attempt.inherited || attempt.sent || attempt.seen != Seen::nowhere;
+    const bool elsewhere = attempt.from_previous_leader || attempt.start_sent ||
+                           attempt.observed != ObservedState::unobserved;
     if (attempt.stopping && !elsewhere) unsent.push_back(task);
   }
   for (const std::uint32_t task : unsent) end_attempt(index, task, now);
@@ -321,10 +325,10 @@
 
 void Cluster::notice_over(Index index) {
   // A cancelled job looks over until the attempts that an earlier leader recorded are loaded.
-  if (jobs[index]->over()) {
-    over.insert(index);
+  if (jobs[index]->finished()) {
+    finished_jobs.insert(index);
   } else {
-    over.erase(index);
+    finished_jobs.erase(index);
   }
 }
 
@@ -332,8 +336,10 @@
   if (job.team == kNone) return false;
   const settings::Team& team = platform.teams[job.team];
   const Usage use{used[job.team].cpus + kept.cpus, used[job.team].gpus + kept.gpus};
-  return (team.cpus_max <= 0 || use.cpus + job.need.cpus * tasks <= team.cpus_max + kSlack) &&
-         (team.gpus_max <= 0 || use.gpus + job.need.gpus * tasks <= team.gpus_max + kSlack);
+  return (team.cpus_max <= 0 ||
+          use.cpus + job.resources_per_task.cpus * tasks <= team.cpus_max + kSlack) &&
+         (team.gpus_max <= 0 ||
+          use.gpus + job.resources_per_task.gpus * tasks <= team.gpus_max + kSlack);
 }
 
 std::uint32_t Cluster::next_pending(Job& job, std::uint32_t from) const {
--- a/src/placement/cluster.h
+++ b/src/placement/cluster.h
@@ -21,40 +21,40 @@
 
 namespace reachramp::placement {
 
-enum class Seen { nowhere, fetching, waiting, running, saving };
+enum class ObservedState { unobserved, fetching, waiting, running, saving };
 
 // One attempt at one task. From the moment it is intended until it is proven to be over it counts
 // for everything: limits, zones, resources, and against any other attempt at the task.
 struct Attempt {
   std::uint64_t number = 0;
   Index host = kNone;
-  Seen seen = Seen::nowhere;
+  ObservedState observed = ObservedState::unobserved;
   // Placed by an earlier leader, whose order may still be on its way: only a report that carries
-  // our baton can prove that it never arrived.
-  bool inherited = false;
-  bool adopted = false;  // found running without having been placed
-  bool durable = false;
-  bool sent = false;
-  std::uint64_t sent_tick = 0;  // the report whose answer carried the start
+  // our fencing token can prove that it never arrived.
+  bool from_previous_leader = false;
+  bool reconciled = false;  // found running without having been placed
+  bool persisted = false;
+  bool start_sent = false;
+  std::uint64_t start_sent_sequence_number = 0;  // the report whose answer carried the start
   bool stopping = false;
   bool voluntary = false;  // stopped for the sake of other work or of its machine
-  double wind_down_s = 0;
+  double grace_period_s = 0;
   // When it was intended; of one that an earlier leader placed, at the latest.
   double placed_at = 0;
   double running_since = -1;
 };
 
 // A task that ran, and does not: it is not done, and its next attempt does not run yet.
-struct Down {
+struct Interruption {
   double since = 0;
   bool voluntary = false;
 };
 
 // One record of a job's tasks. It is dirty while `changed` is ahead of `stored`.
-struct Chunk {
+struct TaskRange {
   std::uint32_t first = 0;
   std::uint32_t end = 0;
-  std::uint64_t stamp = 0;  // 0: not stored under its key
+  std::uint64_t revision = 0;  // 0: not stored under its key
   std::uint32_t changed = 0;
   std::uint32_t stored = 0;
   double dirty_since = 0;
@@ -63,17 +63,17 @@
 };
 
 // A stored record that is not one of the job's chunks as they are cut now.
-struct Stray {
+struct ObsoleteRecord {
   std::string key;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
 };
 
 // What is known of a job that another needs. Done and cancelled are durable when they stand here.
-enum class Fate { unknown, live, done, cancelled };
+enum class DependencyState { unknown, live, done, cancelled };
 
-struct Need {
+struct Dependency {
   std::string id;
-  Fate fate = Fate::unknown;
+  DependencyState state = DependencyState::unknown;
 };
 
 // When a user was first told that a job is cancelled, by the leader's steady clock: not before
@@ -88,32 +88,33 @@
   jobs::Spec spec;
   Index team = kNone;
   Index zone = kNone;  // kNone: any
-  Resources need;
-  std::uint64_t stamp = 0;
-  std::uint64_t born = 0;
+  Resources resources_per_task;
+  std::uint64_t revision = 0;
+  std::uint64_t accepted_revision = 0;
   bool cancelled = false;
   CancellationTime cancelled_at;
   // Cancelled by a member's word; its header is yet to be seen, and nothing conditional on the one
   // that is known can be stored.
-  bool hearsay = false;
+  bool unconfirmed = false;
   std::vector<bool> done;
   std::uint32_t done_count = 0;
   std::map<std::uint32_t, Attempt> attempts;
-  std::map<std::uint32_t, Down> down;  // under this leader
+  std::map<std::uint32_t, Interruption> interruptions;  // under this leader
   // Gangs: the newest attempt. Else the highest number that ended without its task being done, so
   // that no task gets a number twice.
   std::uint64_t last_attempt = 0;
   std::size_t chunk_tasks = 1;
   std::uint32_t hint = 0;  // no task below is pending
-  std::vector<Chunk> chunks;
-  std::vector<Stray> strays;
-  double seen_at = 0;  // when it was accepted, as well as its stamp tells
-  std::vector<Need> needs;
-  double freed_at = 0;  // when it was accepted, or the last job that it needs was done
+  std::vector<TaskRange> task_ranges;
+  std::vector<ObsoleteRecord> obsolete_records;
+  double accepted_at = 0;  // when it was accepted, as well as its revision tells
+  std::vector<Dependency> dependencies;
+  double unblocked_at = 0;  // when it was accepted, or the last job that it needs was done
   // Until when an attempt that has ended may have run, as far as this leader knows; at first, when
   // it took the job up.
-  double still_since = 0;
-  double free_by = 0;  // while it waits: when that is expected; kNever: nothing is known
+  double idle_since = 0;
+  double expected_unblocked_at =
+      0;  // while it waits: when that is expected; kNever: nothing is known
   // The highest of its own and of all that need it.
   jobs::Priority priority = jobs::Priority::normal;
   // By when its last task must have started for each of the things expected of the job, or of one
@@ -125,9 +126,9 @@
   std::vector<bool> fits;
   Index smallest = kNone;
   // Display counts as last written.
-  std::uint32_t told_done = 0;
-  std::uint32_t told_running = 0;
-  double told_at = -1e9;
+  std::uint32_t reported_done = 0;
+  std::uint32_t reported_running = 0;
+  double reported_at = -1e9;
   bool gang_started = false;
   // Faults: machines on which it failed, each with the time until which they are avoided (not for
   // ever: where all have failed it once, it would never run again), and when to try next.
@@ -142,20 +143,20 @@
   bool complete() const { return done_count == spec.tasks; }
   // Not all jobs that it needs are known to be done.
   bool waits() const {
-    return std::any_of(needs.begin(), needs.end(),
-                       [](const Need& need) { return need.fate != Fate::done; });
+    return std::any_of(dependencies.begin(), dependencies.end(),
+                       [](const Dependency& need) { return need.state != DependencyState::done; });
   }
   // It has failed on several machines, of which none is known to be faulty, and done well nowhere:
   // as far as can be told it fails everywhere. It is tried task by task, and holds up nobody.
-  bool suspect() const { return done_count == 0 && failed_on.size() >= 2; }
+  bool fails_everywhere() const { return done_count == 0 && failed_on.size() >= 2; }
   // A finished gang may still list tasks: they ended together with the one that said so.
-  bool over() const {
+  bool finished() const {
     return (attempts.empty() && (complete() || cancelled)) ||
            (complete() && spec.shape == jobs::Shape::gang);
   }
 };
 
-enum class HostPhase { booting, up, leaving };
+enum class HostPhase { booting, up, terminating };
 
 struct TaskRef {
   Index job = kNone;
@@ -180,46 +181,46 @@
   bool draining = false;
   // For the slice `drains`: takes nothing new and is being emptied; is to be replaced, and counts
   // as gone where machines are rented; has room kept for so many tasks that move.
-  bool going = false;
+  bool cordoned = false;
   // For the slice `zones`: silent in a zone that is doubtful or lost, takes nothing new; in a lost
   // one it counts as gone where machines are rented.
-  bool cut = false;
-  bool lost = false;
-  bool outgoing = false;
+  bool zone_suspected = false;
+  bool zone_lost = false;
+  bool to_be_replaced = false;
   std::uint32_t reserved = 0;
   // Kept for large tasks, of which none needs it now: instead of going back it serves small ones.
-  bool lent = false;
-  bool was_lent = false;       // since it last had work
-  bool urgent_return = false;  // its return has been requested ahead of all other calls
+  bool backfilled = false;
+  bool was_backfilled = false;  // since it last had work
+  bool urgent_return = false;   // its return has been requested ahead of all other calls
   bool runs = false;     // the cloud lists it as running, whether or not we have heard from it
   double known_at = 0;   // when it was certainly rented
   double rented_at = 0;  // when its charge began, as well as we know
-  double heard_at = -1;  // the last report
-  std::uint64_t tenure = 0;
-  std::uint64_t tick = 0;
-  bool ours = false;  // the worker has seen our baton
+  double last_heartbeat_at = -1;  // the last report
+  std::uint64_t incarnation = 0;
+  std::uint64_t sequence_number = 0;
+  bool acknowledged_token = false;  // the worker has seen our fencing token
   double reclaim_at = kNever;
   Resources free;
   std::set<TaskRef> attempts;
   std::set<std::string> images;
   std::vector<Exited> exited;
-  std::vector<Exited> strangers;  // run there without an attempt of ours
+  std::vector<Exited> orphaned_tasks;  // run there without an attempt of ours
   double idle_since = 0;
   // For the slice `quarantine`: failures since its last success, by job; whether they are its own
   // fault.
   std::map<std::string, std::uint32_t> failed;
-  bool faulty = false;
+  bool quarantined = false;
   // Of its newest session: when we first heard of it, and when we last answered a report of it.
-  double session_at = 0;
-  double answered_at = -1e9;
+  double incarnation_started_at = 0;
+  double last_response_at = -1e9;
   // Answers of ours in a row that its reports show no trace of, and since when it counts as one
   // that does not hear us.
-  std::uint32_t unheeded = 0;
+  std::uint32_t ignored_responses = 0;
   bool dropped = false;  // its newest report lacks a start that an answer before it carried
-  double deaf_since = -1;
-  // Known from a report alone that does not carry our baton: perhaps an old copy, of a machine that
-  // is gone.
-  bool hearsay = false;
+  double unreachable_since = -1;
+  // Known from a report alone that does not carry our fencing token: perhaps an old copy, of a
+  // machine that is gone.
+  bool unconfirmed = false;
 };
 
 struct Pool {
@@ -237,27 +238,29 @@
   double gpus = 0;
 };
 
-struct ChunkRef {
+struct TaskRangeRef {
   Index job = kNone;
-  std::size_t chunk = 0;
-  bool operator<(const ChunkRef& o) const { return job != o.job ? job < o.job : chunk < o.chunk; }
+  std::size_t range = 0;
+  bool operator<(const TaskRangeRef& o) const {
+    return job != o.job ? job < o.job : range < o.range;
+  }
 };
 
 // A task record as it was read.
 struct StoredRecord {
   std::string name;
   jobs::ChunkKey key;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
   jobs::ChunkRecord record;
   double stored_at = 0;  // at the latest
 };
 
 class Cluster {
  public:
-  Cluster(const settings::Platform& platform, std::uint64_t baton, jobs::Format format);
+  Cluster(const settings::Platform& platform, std::uint64_t fencing_token, jobs::Format format);
 
   const settings::Platform& platform;
-  const std::uint64_t baton;
+  const std::uint64_t fencing_token;
   cloud::Catalog catalog;
   Names types;
   Names zones;
@@ -266,20 +269,20 @@
   std::vector<std::unique_ptr<Host>> hosts;
   std::unordered_map<std::string, Index> job_index;
   std::unordered_map<std::string, Index> host_index;
-  std::unordered_map<std::string, std::set<Index>> needed_by;  // live jobs, by what they need
-  std::set<ChunkRef> dirty;
-  std::set<Index> over;  // jobs to be moved to their end
-  std::set<Index> news;  // jobs whose counts for display may have changed
+  std::unordered_map<std::string, std::set<Index>> dependents;  // live jobs, by what they need
+  std::set<TaskRangeRef> dirty;
+  std::set<Index> finished_jobs;             // jobs to be moved to their end
+  std::set<Index> jobs_with_changed_counts;  // jobs whose counts for display may have changed
   // Types, spot or ordinary, that tasks too large for any smaller machine have lately asked for,
   // and until when they are kept for such tasks.
-  std::map<std::pair<Index, bool>, double> kept_for_large;
+  std::map<std::pair<Index, bool>, double> reserved_for_large;
 
   void set_catalog(const cloud::Catalog& fresh);
   // The catalog's entry, or nothing for a type that it does not list.
-  const cloud::MachineType* kind(Index type) const {
+  const cloud::MachineType* machine_type(Index type) const {
     return type < kinds_.size() ? kinds_[type] : nullptr;
   }
-  const cloud::MachineType* type_of(const Host& host) const { return kind(host.type); }
+  const cloud::MachineType* type_of(const Host& host) const { return machine_type(host.type); }
 
   jobs::Format format() const { return format_; }
   // From now on records are written in the compact form. What is stored stays valid: a record is
@@ -293,9 +296,9 @@
   jobs::Json encode_chunk(const jobs::ChunkRecord& record) const;
   bool has_room(Index job, std::uint32_t task, std::uint64_t attempt, Index host) const;
   // What was intended is stored: the task may start.
-  void make_durable(Job& job, std::uint32_t task);
+  void mark_persisted(Job& job, std::uint32_t task);
   // `cancelled_at`: if the header says so.
-  Index add_job(const jobs::Header& header, std::uint64_t stamp, double seen_at,
+  Index add_job(const jobs::Header& header, std::uint64_t revision, double seen_at,
                 CancellationTime cancelled_at = {});
   void remove_job(Index index);
   Job* job(const std::string& id);
@@ -308,7 +311,7 @@
 
   void place(Index job, std::uint32_t task, std::uint64_t attempt, Index host, double now);
   // Loads what earlier leaders recorded of a job's tasks: all its records, in whatever cuts.
-  void inherit(Index job, std::vector<StoredRecord> records, double now);
+  void restore(Index job, std::vector<StoredRecord> records, double now);
   // Until when tasks may run on a machine that is not heard again: a worker that is not answered
   // ends them with its lease.
   double may_run_until(const Host& host) const;
@@ -326,7 +329,7 @@
   // Whether the type is kept for larger tasks than the job's.
   bool is_kept_from(const Job& job, Index type, bool spot) const;
   bool is_kept_from(const Job& job, const Host& host) const {
-    return !host.lent && is_kept_from(job, host.type, host.spot);
+    return !host.backfilled && is_kept_from(job, host.type, host.spot);
   }
   void touch(Index job, std::uint32_t task, double now);
   bool chunk_is_stored(const Job& job, std::uint32_t task) const;
@@ -336,8 +339,8 @@
   std::uint32_t next_pending(Job& job, std::uint32_t from) const;
   // Ends attempts that were never sent and need not be.
   void release_unsent(Index job, double now);
-  // Has all of the job's records that are older than the stamp written anew; true if none is.
-  bool renew_older(Index job, std::uint64_t stamp, double now);
+  // Has all of the job's records that are older than the revision written anew; true if none is.
+  bool renew_older(Index job, std::uint64_t revision, double now);
   // Ends attempts of the chunk that no record holds yet.
   void release_unstored(Index job, std::size_t chunk, double now);
   // Works out by when the job must start; `inherited` comes from jobs that need it.
--- a/src/placement/cluster_records.cpp
+++ b/src/placement/cluster_records.cpp
@@ -1,4 +1,4 @@
-// How the cluster's jobs are cut into records of the state service, and what fits them.
+// How the cluster's jobs are cut into records of the key-value store, and what fits them.
 #include <algorithm>
 
 #include "placement/cluster.h"
@@ -27,10 +27,10 @@
 
 void Cluster::cut(Job& job) const {
   job.chunk_tasks = chunk_tasks(job.spec.shape);
-  job.chunks.assign((job.spec.tasks + job.chunk_tasks - 1) / job.chunk_tasks, {});
-  for (std::size_t i = 0; i < job.chunks.size(); ++i) {
-    job.chunks[i].first = static_cast<std::uint32_t>(i * job.chunk_tasks);
-    job.chunks[i].end = static_cast<std::uint32_t>(
+  job.task_ranges.assign((job.spec.tasks + job.chunk_tasks - 1) / job.chunk_tasks, {});
+  for (std::size_t i = 0; i < job.task_ranges.size(); ++i) {
+    job.task_ranges[i].first = static_cast<std::uint32_t>(i * job.chunk_tasks);
+    job.task_ranges[i].end = static_cast<std::uint32_t>(
         std::min<std::size_t>(job.spec.tasks, (i + 1) * job.chunk_tasks));
   }
 }
@@ -38,7 +38,8 @@
 std::string Cluster::chunk_key(const Job& job, std::size_t chunk) const {
   return format_ == jobs::Format::whole
              ? jobs::chunk_key(job.spec.id, chunk)
-             : jobs::compact_key(job.spec.id, job.chunks[chunk].first, job.chunks[chunk].end);
+             : jobs::compact_key(job.spec.id, job.task_ranges[chunk].first,
+                                 job.task_ranges[chunk].end);
 }
 
 jobs::Json Cluster::encode_chunk(const jobs::ChunkRecord& record) const {
@@ -53,21 +54,21 @@
   for (Index index = 0; index < jobs.size(); ++index) {
     if (!jobs[index]) continue;
     Job& job = *jobs[index];
-    const std::vector<Chunk> before = std::move(job.chunks);
+    const std::vector<TaskRange> before = std::move(job.task_ranges);
     for (std::size_t i = 0; i < before.size(); ++i) {
-      if (before[i].stamp != 0) {
-        job.strays.push_back({jobs::chunk_key(job.spec.id, i), before[i].stamp});
+      if (before[i].revision != 0) {
+        job.obsolete_records.push_back({jobs::chunk_key(job.spec.id, i), before[i].revision});
       }
     }
     cut(job);
     for (const auto& [task, attempt] : job.attempts) {
-      if (!attempt.durable) ++job.chunks[job.chunk_of(task)].waiting;
+      if (!attempt.persisted) ++job.task_ranges[job.chunk_of(task)].waiting;
     }
-    for (const Chunk& chunk : before) {
+    for (const TaskRange& chunk : before) {
       if (chunk.changed == chunk.stored) continue;
       for (std::uint32_t task = chunk.first; task < chunk.end;) {
         touch(index, task, now);
-        task = job.chunks[job.chunk_of(task)].end;
+        task = job.task_ranges[job.chunk_of(task)].end;
       }
     }
     count_bytes(index);
@@ -92,11 +93,11 @@
 
 void Cluster::count_bytes(Index index) {
   Job& job = *jobs[index];
-  for (Chunk& chunk : job.chunks) chunk.bytes = 0;
+  for (TaskRange& chunk : job.task_ranges) chunk.bytes = 0;
   std::set<std::tuple<std::size_t, Index, std::uint64_t>> named;
   for (const auto& [task, attempt] : job.attempts) {
     const std::size_t number = job.chunk_of(task);
-    Chunk& chunk = job.chunks[number];
+    TaskRange& chunk = job.task_ranges[number];
     chunk.bytes += jobs::placement_bytes(format_, task, chunk.first, attempt.number);
     const std::uint64_t same = format_ == jobs::Format::whole ? 0 : attempt.number;
     if (named.insert({number, attempt.host, same}).second) {
@@ -109,7 +110,7 @@
 std::size_t Cluster::bytes_for(Index index, std::uint32_t task, std::uint64_t attempt,
                                const Host& host) const {
   const Job& job = *jobs[index];
-  const Chunk& chunk = job.chunks[job.chunk_of(task)];
+  const TaskRange& chunk = job.task_ranges[job.chunk_of(task)];
   const bool whole = format_ == jobs::Format::whole;
   bool named = false;
   for (auto other = host.attempts.lower_bound({index, chunk.first});
@@ -123,7 +124,7 @@
 
 bool Cluster::fits_value(const Job& job, std::size_t chunk, std::size_t more) const {
   return static_cast<double>(jobs::empty_chunk_bytes(format_, job.chunk_tasks, shared_.size()) +
-                             job.chunks[chunk].bytes + more) <= value_bytes();
+                             job.task_ranges[chunk].bytes + more) <= value_bytes();
 }
 
 bool Cluster::has_room(Index index, std::uint32_t task, std::uint64_t attempt, Index host) const {
@@ -131,20 +132,20 @@
   return fits_value(job, job.chunk_of(task), bytes_for(index, task, attempt, *hosts[host]));
 }
 
-void Cluster::make_durable(Job& job, std::uint32_t task) {
+void Cluster::mark_persisted(Job& job, std::uint32_t task) {
   Attempt& attempt = job.attempts.at(task);
-  if (attempt.durable) return;
-  attempt.durable = true;
-  --job.chunks[job.chunk_of(task)].waiting;
+  if (attempt.persisted) return;
+  attempt.persisted = true;
+  --job.task_ranges[job.chunk_of(task)].waiting;
 }
 
 // The newest record that covers a task tells of it. So records may be cut anew, one at a time and
 // each in a transaction of its own, while the older ones still stand: at every moment each task has
 // its placement and its done mark, whoever takes over and however it cuts.
-void Cluster::inherit(Index index, std::vector<StoredRecord> records, double now) {
+void Cluster::restore(Index index, std::vector<StoredRecord> records, double now) {
   Job& job = *jobs[index];
   std::sort(records.begin(), records.end(),
-            [](const StoredRecord& a, const StoredRecord& b) { return a.stamp > b.stamp; });
+            [](const StoredRecord& a, const StoredRecord& b) { return a.revision > b.revision; });
   std::vector<bool> covered(job.spec.tasks);
   for (const StoredRecord& stored : records) {
     const jobs::ChunkRecord& record = stored.record;
@@ -160,9 +161,9 @@
       if (task >= job.spec.tasks || covered[task] || job.attempts.contains(task)) continue;
       place(index, task, placement.attempt, add_host(placement.host, now), now);
       Attempt& attempt = job.attempts[task];
-      attempt.inherited = true;
+      attempt.from_previous_leader = true;
       attempt.placed_at = stored.stored_at;
-      make_durable(job, task);
+      mark_persisted(job, task);
       attempt.stopping = job.cancelled;
       told.push_back(task);
     }
@@ -175,16 +176,16 @@
       }
     }
     const std::size_t number = compact ? record.first / job.chunk_tasks : stored.key.first;
-    if (stored.key.format == format_ && number < job.chunks.size() &&
-        job.chunks[number].first == record.first &&
-        (!compact || job.chunks[number].end == stored.key.end)) {
-      job.chunks[number].stamp = stored.stamp;
+    if (stored.key.format == format_ && number < job.task_ranges.size() &&
+        job.task_ranges[number].first == record.first &&
+        (!compact || job.task_ranges[number].end == stored.key.end)) {
+      job.task_ranges[number].revision = stored.revision;
     } else {
-      job.strays.push_back({stored.name, stored.stamp});
+      job.obsolete_records.push_back({stored.name, stored.revision});
     }
   }
-  for (std::size_t i = 0; i < job.chunks.size(); ++i) {
-    job.chunks[i].stored = job.chunks[i].changed;
+  for (std::size_t i = 0; i < job.task_ranges.size(); ++i) {
+    job.task_ranges[i].stored = job.task_ranges[i].changed;
     dirty.erase({index, i});
   }
   notice_over(index);
@@ -193,20 +194,21 @@
 void Cluster::release_unstored(Index index, std::size_t chunk, double now) {
   Job& job = *jobs[index];
   std::vector<std::uint32_t> unstored;
-  for (std::uint32_t task = job.chunks[chunk].first; task < job.chunks[chunk].end; ++task) {
+  for (std::uint32_t task = job.task_ranges[chunk].first; task < job.task_ranges[chunk].end;
+       ++task) {
     const auto at = job.attempts.find(task);
-    if (at != job.attempts.end() && !at->second.durable && !at->second.sent) {
+    if (at != job.attempts.end() && !at->second.persisted && !at->second.start_sent) {
       unstored.push_back(task);
     }
   }
   for (const std::uint32_t task : unstored) end_attempt(index, task, now);
 }
 
-bool Cluster::renew_older(Index index, std::uint64_t stamp, double now) {
+bool Cluster::renew_older(Index index, std::uint64_t revision, double now) {
   Job& job = *jobs[index];
   bool none = true;
-  for (const Chunk& chunk : job.chunks) {
-    if (chunk.stamp > stamp) continue;
+  for (const TaskRange& chunk : job.task_ranges) {
+    if (chunk.revision > revision) continue;
     none = false;
     if (chunk.changed == chunk.stored) touch(index, chunk.first, now);
   }
@@ -214,23 +216,23 @@
 }
 
 void Cluster::touch(Index index, std::uint32_t task, double now) {
-  news.insert(index);
+  jobs_with_changed_counts.insert(index);
   const std::size_t number = jobs[index]->chunk_of(task);
-  Chunk& chunk = jobs[index]->chunks[number];
+  TaskRange& chunk = jobs[index]->task_ranges[number];
   if (chunk.changed++ == chunk.stored) chunk.dirty_since = now;
   dirty.insert({index, number});
 }
 
 bool Cluster::chunk_is_stored(const Job& job, std::uint32_t task) const {
-  const Chunk& chunk = job.chunks[job.chunk_of(task)];
+  const TaskRange& chunk = job.task_ranges[job.chunk_of(task)];
   return chunk.changed == chunk.stored;
 }
 
 jobs::ChunkRecord Cluster::chunk_record(const Job& job, std::size_t chunk) const {
   jobs::ChunkRecord record;
   record.last_attempt = job.last_attempt;
-  record.first = job.chunks[chunk].first;
-  const std::uint32_t end = job.chunks[chunk].end;
+  record.first = job.task_ranges[chunk].first;
+  const std::uint32_t end = job.task_ranges[chunk].end;
   for (std::uint32_t task = record.first; task < end; ++task) {
     if (job.done[task]) record.done.push_back(task);
   }
@@ -239,7 +241,7 @@
   const bool full = !fits_value(job, chunk, 0);
   for (auto at = job.attempts.lower_bound(record.first);
        at != job.attempts.end() && at->first < end; ++at) {
-    if (full && at->second.adopted) continue;
+    if (full && at->second.reconciled) continue;
     record.placements.push_back({at->first, at->second.number, hosts[at->second.host]->name});
   }
   return record;
--- a/src/placement/openings.cpp
+++ b/src/placement/openings.cpp
@@ -28,7 +28,7 @@
     if (!host || !usable(cluster, *host, now)) continue;
     const auto* type = cluster.type_of(*host);
     if (type == nullptr) continue;
-    by_kind[{!host->spot, type->cpus, host->type, host->lent}].push_back(i);
+    by_kind[{!host->spot, type->cpus, host->type, host->backfilled}].push_back(i);
     ++up_[{host->type, host->zone, host->spot}];
   }
   for (auto& [kind, hosts] : by_kind) {
@@ -70,10 +70,11 @@
   std::vector<Index> found;
   std::vector<Index> without_image;
   for (Shelf& shelf : shelves_) {
-    if (!shelf.most.holds(job.need) || !open_to(job, shelf)) continue;
+    if (!shelf.most.holds(job.resources_per_task) || !open_to(job, shelf)) continue;
     look(shelf, [&](Index i) {
       const Host& host = *cluster_.hosts[i];
-      if (!host.free.holds(job.need) || !in_zone(job, host.zone) || avoided(job, i)) return;
+      if (!host.free.holds(job.resources_per_task) || !in_zone(job, host.zone) || avoided(job, i))
+        return;
       (host.images.contains(job.spec.image) ? found : without_image).push_back(i);
     });
     found.insert(found.end(), without_image.begin(), without_image.end());
@@ -90,8 +91,8 @@
     }
     look(shelf, [&](Index i) {
       const Host& host = *cluster_.hosts[i];
-      if (host.free.cpus > kCrumb && host.free.ram_gb > kCrumb && !host.free.holds(job.need) &&
-          in_zone(job, host.zone) && !avoided(job, i)) {
+      if (host.free.cpus > kCrumb && host.free.ram_gb > kCrumb &&
+          !host.free.holds(job.resources_per_task) && in_zone(job, host.zone) && !avoided(job, i)) {
         found.push_back(i);
       }
     });
@@ -114,7 +115,8 @@
       continue;
     }
     copies[job.spec.one_zone ? pool.zone : kNone] +=
-        std::uint64_t{machines} * whole(*cluster_.kind(pool.type)).copies(job.need);
+        std::uint64_t{machines} *
+        whole(*cluster_.machine_type(pool.type)).copies(job.resources_per_task);
   }
   return std::any_of(copies.begin(), copies.end(),
                      [&](const auto& entry) { return entry.second >= tasks; });
--- a/src/placement/openings_test.cpp
+++ b/src/placement/openings_test.cpp
@@ -45,7 +45,7 @@
   for (Index i = 0; i < cluster.hosts.size(); ++i) {
     const Host& host = *cluster.hosts[i];
     if (kept[i] || !usable(cluster, host, 1) || !allows(cluster, job, host) ||
-        !host.free.holds(job.need)) {
+        !host.free.holds(job.resources_per_task)) {
       continue;
     }
     found.emplace_back(!host.spot, cluster.type_of(host)->cpus, host.type,
--- a/src/placement/order.cpp
+++ b/src/placement/order.cpp
@@ -17,8 +17,8 @@
 double urgency(const Job& job, double now) {
   const double next = job.next_start_by(now);
   if (next != kNever || job.start_by.empty()) return next;
-  const double expected = job.start_by.back() - job.freed_at;
-  return now - job.freed_at > kPatience * std::max(expected, 1.0) ? -kNever : kNever;
+  const double expected = job.start_by.back() - job.unblocked_at;
+  return now - job.unblocked_at > kPatience * std::max(expected, 1.0) ? -kNever : kNever;
 }
 
 // Cores that arrays can count on: machines that are kept for larger tasks are not theirs.
@@ -27,7 +27,7 @@
   for (const auto& host : cluster.hosts) {
     if (!host || !usable(cluster, *host, now)) continue;
     const auto* type = cluster.type_of(*host);
-    if (type != nullptr && !cluster.kept_for_large.contains({host->type, host->spot})) {
+    if (type != nullptr && !cluster.reserved_for_large.contains({host->type, host->spot})) {
       cores += type->cpus;
     }
   }
@@ -41,7 +41,7 @@
   std::vector<double> beside(cluster.used.size());
   for (const auto& job : cluster.jobs) {
     if (!job || job->team == kNone || job->spec.shape == jobs::Shape::array) continue;
-    beside[job->team] += job->need.cpus * static_cast<double>(job->attempts.size());
+    beside[job->team] += job->resources_per_task.cpus * static_cast<double>(job->attempts.size());
   }
   std::vector<double> cores(beside.size(), common);
   for (Index team = 0; team < cores.size(); ++team) {
@@ -60,7 +60,7 @@
   const std::vector<double> by_team = cores_by_team(cluster, cores);
   const auto rank = [&](Index i) {
     const Job& job = *cluster.jobs[i];
-    return std::tuple(job.suspect(), !guaranteed[i], -static_cast<int>(job.priority));
+    return std::tuple(job.fails_everywhere(), !guaranteed[i], -static_cast<int>(job.priority));
   };
   for (auto begin = order.begin(); begin != order.end();) {
     const auto end =
@@ -82,7 +82,8 @@
         if (later[i] || (team && job.team != *team)) continue;
         const double tasks = job.spec.tasks - job.done_count;
         of_these.push_back(i);
-        claims.push_back({tasks * job.need.cpus * job.spec.estimate_s / of, urgency(job, now)});
+        claims.push_back(
+            {tasks * job.resources_per_task.cpus * job.spec.estimate_s / of, urgency(job, now)});
       }
       const std::vector<bool> dropped = dropped_for_the_rest(claims, now);
       for (std::size_t i = 0; i < of_these.size(); ++i) later[of_these[i]] = dropped[i];
@@ -124,25 +125,26 @@
       order.push_back(i);
     }
   }
-  std::sort(order.begin(), order.end(),
-            [&](Index a, Index b) { return cluster.jobs[a]->born < cluster.jobs[b]->born; });
+  std::sort(order.begin(), order.end(), [&](Index a, Index b) {
+    return cluster.jobs[a]->accepted_revision < cluster.jobs[b]->accepted_revision;
+  });
   std::vector<Usage> claimed(cluster.used.size());
   std::vector<bool> guaranteed(cluster.jobs.size());
   for (const Index i : order) {
     const Job& job = *cluster.jobs[i];
-    if (job.suspect()) continue;
+    if (job.fails_everywhere()) continue;
     const settings::Team& team = cluster.platform.teams[job.team];
     Usage& sum = claimed[job.team];
     const double left = job.spec.tasks - job.done_count;
-    sum.cpus += left * job.need.cpus;
-    sum.gpus += left * job.need.gpus;
+    sum.cpus += left * job.resources_per_task.cpus;
+    sum.gpus += left * job.resources_per_task.gpus;
     guaranteed[i] = (team.cpus > 0 || team.gpus > 0) && sum.cpus <= team.cpus + 1e-6 &&
-                    (job.need.gpus <= 0 || sum.gpus <= team.gpus + 1e-6);
+                    (job.resources_per_task.gpus <= 0 || sum.gpus <= team.gpus + 1e-6);
   }
   std::stable_sort(order.begin(), order.end(), [&](Index a, Index b) {
     const Job& x = *cluster.jobs[a];
     const Job& y = *cluster.jobs[b];
-    if (x.suspect() != y.suspect()) return y.suspect();
+    if (x.fails_everywhere() != y.fails_everywhere()) return y.fails_everywhere();
     if (guaranteed[a] != guaranteed[b]) return bool(guaranteed[a]);
     if (x.priority != y.priority) return x.priority > y.priority;
     return urgency(x, now) < urgency(y, now);
--- a/src/placement/plan.cpp
+++ b/src/placement/plan.cpp
@@ -26,7 +26,7 @@
 constexpr double kBeginWithin_s = 120;
 // Room that is kept for others is not kept from a job that has had no task for so long. The users
 // allow 90 s. Its record, the next report and the fetch of its image come after, and an outage of
-// the state service of some twenty seconds may lie between, in which nothing starts.
+// the key-value store of some twenty seconds may lie between, in which nothing starts.
 constexpr double kStandStill_s = 30;
 // Work that has waited so long is served whether or not it can still be in time.
 constexpr double kServeWithin_s = 240;
@@ -35,7 +35,7 @@
 Index best_zone(const Cluster& cluster, const Job& job, const std::vector<Index>& hosts) {
   std::map<Index, std::uint32_t> room;
   for (const Index i : hosts) {
-    room[cluster.hosts[i]->zone] += cluster.hosts[i]->free.copies(job.need);
+    room[cluster.hosts[i]->zone] += cluster.hosts[i]->free.copies(job.resources_per_task);
   }
   Index best = kNone;
   for (const auto& [zone, copies] : room) {
@@ -73,19 +73,21 @@
   std::vector<Kept> kept(cluster.used.size());
   for (const Index index : service.order) {
     const Job& job = *cluster.jobs[index];
-    if (job.spec.shape != jobs::Shape::gang || !job.attempts.empty() || job.suspect() ||
-        now < job.not_before || now - job.freed_at < kGiveWayAfter_s) {
+    if (job.spec.shape != jobs::Shape::gang || !job.attempts.empty() || job.fails_everywhere() ||
+        now < job.not_before || now - job.unblocked_at < kGiveWayAfter_s) {
       continue;
     }
     Index& oldest = kept[job.team].gang;
-    if (oldest != kNone && cluster.jobs[oldest]->freed_at <= job.freed_at) continue;
+    if (oldest != kNone && cluster.jobs[oldest]->unblocked_at <= job.unblocked_at) continue;
     if (open.could_hold(job, job.zone, job.spec.tasks)) oldest = index;
   }
   std::vector<Usage> beside(cluster.used.size());  // what others than arrays use
   for (const auto& job : cluster.jobs) {
     if (!job || job->team == kNone || job->spec.shape == jobs::Shape::array) continue;
-    beside[job->team].cpus += job->need.cpus * static_cast<double>(job->attempts.size());
-    beside[job->team].gpus += job->need.gpus * static_cast<double>(job->attempts.size());
+    beside[job->team].cpus +=
+        job->resources_per_task.cpus * static_cast<double>(job->attempts.size());
+    beside[job->team].gpus +=
+        job->resources_per_task.gpus * static_cast<double>(job->attempts.size());
   }
   const auto fits = [](double limit, double used, double more) {
     return limit <= 0 || used + more <= limit + 1e-6;
@@ -95,7 +97,7 @@
     const settings::Team& limits = cluster.platform.teams[team];
     const Job& gang = *cluster.jobs[kept[team].gang];
     const double tasks = gang.spec.tasks;
-    const Usage need{gang.need.cpus * tasks, gang.need.gpus * tasks};
+    const Usage need{gang.resources_per_task.cpus * tasks, gang.resources_per_task.gpus * tasks};
     // While gangs of its own team are in the way, giving way would help nobody.
     if (fits(limits.cpus_max, beside[team].cpus, need.cpus) &&
         fits(limits.gpus_max, beside[team].gpus, need.gpus)) {
@@ -111,7 +113,7 @@
   std::uint32_t task = cluster.next_pending(job, 0);
   if (task == job.spec.tasks) return 0;
   // What fails everywhere is tried one by one: a broken array of hundreds took all room each time.
-  if (job.suspect()) {
+  if (job.fails_everywhere()) {
     if (!job.attempts.empty()) return 0;
     most = std::min(most, 1);
   }
@@ -132,7 +134,8 @@
   const std::uint64_t attempt = job.last_attempt + 1;
   const auto fill = [&] {
     for (const Index host : hosts) {
-      while (task < job.spec.tasks && placed < most && cluster.hosts[host]->free.holds(job.need) &&
+      while (task < job.spec.tasks && placed < most &&
+             cluster.hosts[host]->free.holds(job.resources_per_task) &&
              rules.allow(cluster.hosts[host]->zone) && cluster.within_limit(job, 1, kept) &&
              cluster.has_room(index, task, attempt, host)) {
         rules.take(cluster.hosts[host]->zone);
@@ -183,7 +186,7 @@
   ZoneRules rules(job, std::move(*in_use));
   std::vector<Index> chosen;
   for (const Index host : hosts) {
-    std::uint32_t copies = cluster.hosts[host]->free.copies(job.need);
+    std::uint32_t copies = cluster.hosts[host]->free.copies(job.resources_per_task);
     while (copies-- > 0 && chosen.size() < wanted && rules.allow(cluster.hosts[host]->zone)) {
       rules.take(cluster.hosts[host]->zone);
       chosen.push_back(host);
@@ -192,7 +195,7 @@
   if (chosen.size() < wanted) {
     const Index zone =
         job.spec.one_zone && !chosen.empty() ? cluster.hosts[chosen.front()]->zone : kNone;
-    if (!job.suspect() && open.could_hold(job, zone, wanted)) open.keep(chosen);
+    if (!job.fails_everywhere() && open.could_hold(job, zone, wanted)) open.keep(chosen);
     return 0;
   }
   const std::uint64_t attempt = gathering ? job.last_attempt : job.last_attempt + 1;
@@ -216,11 +219,11 @@
   std::vector<Index> found;
   std::copy_if(begin, end, std::back_inserter(found), [&](Index index) {
     const Job& job = *cluster.jobs[index];
-    return !job.suspect() && now >= job.not_before && now - job.freed_at > longer_than_s &&
-           (begun || !has_begun(job));
+    return !job.fails_everywhere() && now >= job.not_before &&
+           now - job.unblocked_at > longer_than_s && (begun || !has_begun(job));
   });
   std::stable_sort(found.begin(), found.end(), [&](Index a, Index b) {
-    return cluster.jobs[a]->freed_at < cluster.jobs[b]->freed_at;
+    return cluster.jobs[a]->unblocked_at < cluster.jobs[b]->unblocked_at;
   });
   return found;
 }
@@ -238,7 +241,7 @@
                          : place_array(cluster, index, open, kNothing, now, 1);
     if (more > 0) {
       spdlog::info("job {}: begins after {:.1f} s, before its turn", job.spec.id,
-                   now - job.freed_at);
+                   now - job.unblocked_at);
     } else if (job.spec.shape != jobs::Shape::gang) {
       keep_growing_room(cluster, job, 1, open);
     }
@@ -267,13 +270,14 @@
   }
   for (const Index index : waiting) {
     const Job& job = *cluster.jobs[index];
-    left[job.team] -= job.need.cpus * static_cast<double>(job.attempts.size());
+    left[job.team] -= job.resources_per_task.cpus * static_cast<double>(job.attempts.size());
   }
   int placed = 0;
   for (const Index index : waiting) {
     const Job& job = *cluster.jobs[index];
     double& cores = left[job.team];
-    const double tasks = job.need.cpus > 0 ? cores / job.need.cpus : job.spec.tasks;
+    const double tasks =
+        job.resources_per_task.cpus > 0 ? cores / job.resources_per_task.cpus : job.spec.tasks;
     int more = 0;
     if (job.spec.shape == jobs::Shape::gang) {
       if (tasks >= job.spec.tasks) more = place_gang(cluster, index, open, kNothing, now);
@@ -281,7 +285,7 @@
       more = place_array(cluster, index, open, kNothing, now,
                          static_cast<int>(std::min<double>(tasks, job.spec.tasks)));
     }
-    cores -= job.need.cpus * more;
+    cores -= job.resources_per_task.cpus * more;
     placed += more;
   }
   return placed;
@@ -289,7 +293,7 @@
 
 // How long none of its tasks can have run, what is placed on machines that are silent included.
 double still_for(const Cluster& cluster, const Job& job, double now) {
-  double ran_until = std::max(job.still_since, job.freed_at);
+  double ran_until = std::max(job.idle_since, job.unblocked_at);
   for (const auto& [task, attempt] : job.attempts) {
     ran_until = std::max(ran_until, cluster.may_run_until(*cluster.hosts[attempt.host]));
     if (now < ran_until) return 0;
@@ -305,7 +309,7 @@
   std::vector<Index> still;
   for (const Index index : service.order) {
     Job& job = *cluster.jobs[index];
-    if (!job.suspect() && now >= job.not_before && job.spec.shape != jobs::Shape::gang &&
+    if (!job.fails_everywhere() && now >= job.not_before && job.spec.shape != jobs::Shape::gang &&
         still_for(cluster, job, now) >= kStandStill_s &&
         cluster.next_pending(job, 0) < job.spec.tasks) {
       still.push_back(index);
@@ -337,13 +341,14 @@
       if (cluster.is_kept_from(job, one) && one.free.cpus > cluster.type_of(one)->cpus / 2) {
         return false;
       }
-      return one.free.holds(job.need) && in_zone(job, one.zone) && (job.spec.spot || !one.spot) &&
-             job.fits[one.type] && (avoided == job.failed_on.end() || now >= avoided->second) &&
+      return one.free.holds(job.resources_per_task) && in_zone(job, one.zone) &&
+             (job.spec.spot || !one.spot) && job.fits[one.type] &&
+             (avoided == job.failed_on.end() || now >= avoided->second) &&
              cluster.has_room(index, task, attempt, i);
     });
     if (host == roomy.end()) continue;
     if (!has_begun(job)) {
-      spdlog::info("job {}: begins after {:.1f} s", job.spec.id, now - job.freed_at);
+      spdlog::info("job {}: begins after {:.1f} s", job.spec.id, now - job.unblocked_at);
     }
     spdlog::info("job {}: has stood still for {:.0f} s: a task in room that is kept for others",
                  job.spec.id, still_for(cluster, job, now));
@@ -376,18 +381,18 @@
   for (const auto& host : cluster.hosts) {
     if (!host) continue;
     const bool reclaimed = host->reclaim_at != kNever;
-    if (reclaimed || host->faulty) host->draining = true;
-    if (!host->draining && host->deaf_since < 0) continue;
+    if (reclaimed || host->quarantined) host->draining = true;
+    if (!host->draining && host->unreachable_since < 0) continue;
     const std::set<TaskRef> attempts = host->attempts;
     for (const TaskRef& ref : attempts) {
       Job& job = *cluster.jobs[ref.job];
       Attempt& attempt = job.attempts.at(ref.task);
-      const bool started = attempt.sent || attempt.inherited;
+      const bool started = attempt.start_sent || attempt.from_previous_leader;
       // To what runs on a machine that does not hear us nothing can be said.
       if (started && !host->draining) continue;
       const bool saves = job.spec.checkpoint_s > 0;
-      if (!started || (saves && attempt.seen == Seen::running) ||
-          (reclaimed && attempt.seen == Seen::fetching)) {
+      if (!started || (saves && attempt.observed == ObservedState::running) ||
+          (reclaimed && attempt.observed == ObservedState::fetching)) {
         cluster.stop(ref.job, ref.task,
                      reclaimed ? std::max(job.spec.save_s, host->reclaim_at - now - kLeastNotice)
                                : job.spec.save_s + 1);
@@ -400,9 +405,9 @@
 }  // namespace
 
 bool usable(const Cluster& cluster, const Host& host, double now) {
-  return host.phase == HostPhase::up && !host.draining && !host.going && !host.cut &&
-         host.type != kNone && !host.faulty && host.deaf_since < 0 && !host.hearsay &&
-         now - host.heard_at < cluster.platform.workers.lease_s;
+  return host.phase == HostPhase::up && !host.draining && !host.cordoned && !host.zone_suspected &&
+         host.type != kNone && !host.quarantined && host.unreachable_since < 0 &&
+         !host.unconfirmed && now - host.last_heartbeat_at < cluster.platform.workers.lease_s;
 }
 
 bool should_be_heard(const Cluster& cluster, const Host& host, double now) {
@@ -422,17 +427,17 @@
          (job.spec.spot || !host.spot) && job.fits[host.type] && !cluster.is_kept_from(job, host);
 }
 
-bool lend(Cluster& cluster, Index index) {
+bool backfill(Cluster& cluster, Index index) {
   Host& host = *cluster.hosts[index];
-  if (host.lent || host.was_lent || cluster.type_of(host) == nullptr) return false;
-  host.lent = std::any_of(cluster.jobs.begin(), cluster.jobs.end(), [&](const auto& job) {
+  if (host.backfilled || host.was_backfilled || cluster.type_of(host) == nullptr) return false;
+  host.backfilled = std::any_of(cluster.jobs.begin(), cluster.jobs.end(), [&](const auto& job) {
     return job && !job->cancelled && !job->waits() && job->spec.shape == jobs::Shape::array &&
            job->attempts.size() + job->done_count < job->spec.tasks &&
            cluster.is_kept_from(*job, host) && (job->spec.spot || !host.spot) &&
            job->fits[host.type] && in_zone(*job, host.zone) && cluster.within_limit(*job, 1);
   });
-  host.was_lent = host.lent;
-  return host.lent;
+  host.was_backfilled = host.backfilled;
+  return host.backfilled;
 }
 
 int plan(Cluster& cluster, double now, const Gate& gate, double share_of_waiting) {
@@ -465,13 +470,13 @@
                           : place_array(cluster, index, open, left, now);
     placed += more;
     if (more > 0 && !begun) {
-      spdlog::info("job {}: begins after {:.1f} s", job.spec.id, now - job.freed_at);
+      spdlog::info("job {}: begins after {:.1f} s", job.spec.id, now - job.unblocked_at);
     }
-    if (!gang && !job.suspect() && cluster.next_pending(job, 0) < job.spec.tasks) {
+    if (!gang && !job.fails_everywhere() && cluster.next_pending(job, 0) < job.spec.tasks) {
       keep_growing_room(cluster, job, job.spec.tasks, open);
     }
     if (more > 0 && cluster.next_pending(job, 0) == job.spec.tasks) {
-      spdlog::info("job {}: all tasks placed after {:.1f} s", job.spec.id, now - job.freed_at);
+      spdlog::info("job {}: all tasks placed after {:.1f} s", job.spec.id, now - job.unblocked_at);
     }
   }
   placed += place_one_beside(cluster, service, now);
--- a/src/placement/plan.h
+++ b/src/placement/plan.h
@@ -19,7 +19,7 @@
 
 // Lends an idle machine that large tasks do not need, and that would go back, to small ones that
 // wait. Once: if none takes it, or when they are through, it does go back.
-bool lend(Cluster& cluster, Index host);
+bool backfill(Cluster& cluster, Index host);
 
 // Of the cores that a team can use, what those of its jobs that have waited longest get before
 // others of their rank.
--- a/src/placement/plan_test.cpp
+++ b/src/placement/plan_test.cpp
@@ -102,7 +102,7 @@
   EXPECT_EQ(cluster_.jobs[two]->attempts.size(), 2u);
 }
 
-// A record that is longer than a value may be is refused by the state service again and again.
+// A record that is longer than a value may be is refused by the key-value store again and again.
 class RecordRoom : public Plan, public ::testing::WithParamInterface<jobs::Format> {};
 INSTANTIATE_TEST_SUITE_P(Formats, RecordRoom,
                          ::testing::Values(jobs::Format::whole, jobs::Format::compact));
@@ -122,7 +122,7 @@
   std::uint32_t rounds = 0;
   for (double now = 1; !cluster.jobs[job]->complete(); ++now) {
     ASSERT_GT(plan(cluster, now), 0);
-    for (std::size_t chunk = 0; chunk < cluster.jobs[job]->chunks.size(); ++chunk) {
+    for (std::size_t chunk = 0; chunk < cluster.jobs[job]->task_ranges.size(); ++chunk) {
       const auto record = cluster.chunk_record(*cluster.jobs[job], chunk);
       EXPECT_LE(wire::json_size(cluster.encode_chunk(record)), 1024u);
     }
@@ -226,7 +226,7 @@
   const Index job = cluster_.add_job(small, 2, 2);
   EXPECT_EQ(plan(cluster_, 3), 0);
   cluster_.remove_job(0);
-  cluster_.hosts[0]->heard_at = 400;
+  cluster_.hosts[0]->last_heartbeat_at = 400;
   EXPECT_EQ(plan(cluster_, 400), 4) << "none has asked for long";
   EXPECT_EQ(cluster_.jobs[job]->attempts.size(), 4u);
 }
@@ -242,14 +242,14 @@
   const Index small = cluster_.add_job(header(4, 1), 2, 2);
   const Index other = cluster_.add_job(header(4, 1), 3, 2);
   const auto at = [&](double now) {
-    cluster_.hosts[0]->heard_at = now;
+    cluster_.hosts[0]->last_heartbeat_at = now;
     return plan(cluster_, now);
   };
   EXPECT_EQ(at(31), 0) << "it is kept for large tasks";
   EXPECT_EQ(at(33), 2) << "one task of each";
   EXPECT_EQ(at(34), 0);
   EXPECT_EQ(cluster_.jobs[small]->attempts.size(), 1u);
-  cluster_.hosts[0]->heard_at = 80;  // the report that shows its end
+  cluster_.hosts[0]->last_heartbeat_at = 80;  // the report that shows its end
   cluster_.end_attempt(small, 0, 80);
   EXPECT_EQ(at(109), 0) << "it stands still since 80";
   EXPECT_EQ(at(111), 1);
@@ -265,18 +265,18 @@
 TEST_F(Plan, AJobWhoseMachinesAreSilentStandsStillSinceTheEndOfTheirLeases) {
   const Index silent = machine("small", "a", true);
   const Index job = cluster_.add_job(header(30, 1), 1, 0);
-  cluster_.hosts[silent]->heard_at = 1;
+  cluster_.hosts[silent]->last_heartbeat_at = 1;
   ASSERT_GT(plan(cluster_, 1), 0);
   const auto placed = cluster_.jobs[job]->attempts.size();
   const Index large = machine("large", "b", false);
   jobs::Header big = header(1, 30);
   big.spec.team = "free";
-  cluster_.hosts[large]->heard_at = 2;
+  cluster_.hosts[large]->last_heartbeat_at = 2;
   cluster_.add_job(big, 2, 2);
   ASSERT_EQ(plan(cluster_, 2), 1);
   const double still_from = 1 + cluster_.platform.workers.lease_s;
   const auto at = [&](double now) {
-    cluster_.hosts[large]->heard_at = now;
+    cluster_.hosts[large]->last_heartbeat_at = now;
     return plan(cluster_, now);
   };
   EXPECT_EQ(at(still_from + 29), 0) << "the room is kept for large tasks";
@@ -305,19 +305,19 @@
   small.spec.team = "free";
   small.spec.zone = "a";
   cluster_.add_job(small, 3, 2);
-  ASSERT_TRUE(lend(cluster_, host));
+  ASSERT_TRUE(backfill(cluster_, host));
   cluster_.keep_for_large(3);
-  EXPECT_TRUE(cluster_.hosts[host]->lent) << "the large one that waits may not use spot";
+  EXPECT_TRUE(cluster_.hosts[host]->backfilled) << "the large one that waits may not use spot";
   EXPECT_GT(plan(cluster_, 3), 0);
   const Index idle = machine("large", "a", true);
-  ASSERT_TRUE(lend(cluster_, idle));
+  ASSERT_TRUE(backfill(cluster_, idle));
   jobs::Header fitting = big;
   fitting.spec.id = "j-10";
   fitting.spec.zone = "a";
   cluster_.add_job(fitting, 4, 3);
   cluster_.keep_for_large(3.5);
-  EXPECT_FALSE(cluster_.hosts[idle]->lent) << "taken back";
-  EXPECT_FALSE(lend(cluster_, idle)) << "and, if it is not needed after all, given back";
+  EXPECT_FALSE(cluster_.hosts[idle]->backfilled) << "taken back";
+  EXPECT_FALSE(backfill(cluster_, idle)) << "and, if it is not needed after all, given back";
 }
 
 // hunt-7b89-3: three machines that large tasks had needed before went back as "not needed" while
@@ -330,16 +330,16 @@
   EXPECT_EQ(plan(cluster_, 1), 1);
   cluster_.end_attempt(large, 0, 2);
   cluster_.mark_done(large, 0, 2);
-  EXPECT_FALSE(lend(cluster_, host)) << "nobody waits";
+  EXPECT_FALSE(backfill(cluster_, host)) << "nobody waits";
   jobs::Header small = header(4, 1);
   const Index job = cluster_.add_job(small, 2, 2);
   cluster_.jobs[job]->cancelled = true;
-  EXPECT_FALSE(lend(cluster_, host)) << "cancelled";
+  EXPECT_FALSE(backfill(cluster_, host)) << "cancelled";
   cluster_.jobs[job]->cancelled = false;
   EXPECT_EQ(plan(cluster_, 3), 0);
-  EXPECT_TRUE(lend(cluster_, host));
+  EXPECT_TRUE(backfill(cluster_, host));
   EXPECT_EQ(plan(cluster_, 3.5), 4);
-  EXPECT_FALSE(lend(cluster_, host)) << "once, or it would never go back";
+  EXPECT_FALSE(backfill(cluster_, host)) << "once, or it would never go back";
 
   // A large task that waits has it back as soon as it is free.
   big.spec.id = "j-9";
@@ -374,7 +374,7 @@
     cluster_.end_attempt(crowd, task, now);
     cluster_.mark_done(crowd, task, now);
   };
-  for (const auto& host : cluster_.hosts) host->heard_at = 40;
+  for (const auto& host : cluster_.hosts) host->last_heartbeat_at = 40;
   end_one(20);
   EXPECT_EQ(plan(cluster_, 20), 1) << "it has not waited for long";
   for (int i = 0; i < 3; ++i) {
@@ -400,7 +400,7 @@
   pair.spec.shape = jobs::Shape::gang;
   pair.spec.one_zone = true;
   const Index gang = cluster_.add_job(pair, 2, 0);
-  for (const auto& host : cluster_.hosts) host->heard_at = 40;
+  for (const auto& host : cluster_.hosts) host->last_heartbeat_at = 40;
   EXPECT_EQ(plan(cluster_, 40), 2);
   EXPECT_EQ(cluster_.jobs[array]->attempts.size(), 2u);
   EXPECT_TRUE(cluster_.jobs[gang]->attempts.empty());
@@ -410,8 +410,8 @@
 // none.
 TEST_F(Plan, WhatATeamsLimitCannotBringInTimeWaits) {
   platform_.teams[0].cpus_max = 4;
-  settings::Objective soon;
-  soon.kind = settings::Objective::Kind::finished;
+  settings::ServiceLevelObjective soon;
+  soon.kind = settings::ServiceLevelObjective::Kind::finished;
   soon.within_s = 30;
   platform_.objectives = {soon};
   Cluster cluster(platform_, 1, jobs::Format::compact);
--- a/src/placement/preempt.cpp
+++ b/src/placement/preempt.cpp
@@ -24,7 +24,7 @@
   if (!claims_guarantee || victim.team == claimant.team || victim.team == kNone) return false;
   const double guarantee = cluster.platform.teams[victim.team].cpus;
   const double left = cluster.used[victim.team].cpus - yielded[victim.team] -
-                      victim.need.cpus * static_cast<double>(victim.attempts.size());
+                      victim.resources_per_task.cpus * static_cast<double>(victim.attempts.size());
   return left + 1e-6 >= guarantee;
 }
 
@@ -36,7 +36,7 @@
   }
   return std::all_of(job.attempts.begin(), job.attempts.end(), [&](const auto& entry) {
     const Attempt& attempt = entry.second;
-    return attempt.seen == Seen::running && !attempt.stopping &&
+    return attempt.observed == ObservedState::running && !attempt.stopping &&
            now - attempt.running_since >= kRunAtLeast_s;
   });
 }
@@ -53,7 +53,7 @@
       rooms_[i] = host->free;
       for (const TaskRef& ref : host->attempts) {
         const Job& job = *cluster.jobs[ref.job];
-        if (job.attempts.at(ref.task).stopping) rooms_[i] += job.need;
+        if (job.attempts.at(ref.task).stopping) rooms_[i] += job.resources_per_task;
       }
     }
     sort_out();
@@ -61,7 +61,7 @@
 
   // The job's tasks are being stopped as well.
   void add(const Job& job) {
-    for (const auto& [task, attempt] : job.attempts) rooms_[attempt.host] += job.need;
+    for (const auto& [task, attempt] : job.attempts) rooms_[attempt.host] += job.resources_per_task;
     sort_out();
   }
 
@@ -72,8 +72,8 @@
       if (!in_zone(job, pool.zone) || !allows(cluster_, job, pool.type, pool.spot)) continue;
       std::uint32_t& copies = found[pool.zone];
       for (const Index i : machines) {
-        if (rooms_[i].cpus + kCrumb < job.need.cpus) break;
-        copies += rooms_[i].copies(job.need);
+        if (rooms_[i].cpus + kCrumb < job.resources_per_task.cpus) break;
+        copies += rooms_[i].copies(job.resources_per_task);
       }
     }
     return found;
@@ -116,8 +116,11 @@
         continue;
       }
       Resources room = host.free;
-      room += job->need;
-      freed += room.copies(claimant.need) > host.free.copies(claimant.need) ? 1 : 0;
+      room += job->resources_per_task;
+      freed +=
+          room.copies(claimant.resources_per_task) > host.free.copies(claimant.resources_per_task)
+              ? 1
+              : 0;
     }
     if (freed > 0) found.emplace_back(freed, i);
   }
@@ -126,7 +129,7 @@
   const auto take = [&](Index victim) {
     const Job& job = *cluster.jobs[victim];
     victims.push_back(victim);
-    yielded[job.team] += job.need.cpus * static_cast<double>(job.attempts.size());
+    yielded[job.team] += job.resources_per_task.cpus * static_cast<double>(job.attempts.size());
   };
   // The one that frees just enough, else several, the largest first.
   const auto enough = std::find_if(found.begin(), found.end(),
@@ -150,8 +153,8 @@
 
 // A gang that has waited and could start as soon as it had room in one zone.
 bool may_claim(const Cluster& cluster, const Job& job, double now) {
-  return job.spec.shape == jobs::Shape::gang && job.attempts.empty() && !job.suspect() &&
-         now >= job.not_before && now - job.freed_at >= kWaitFirst_s &&
+  return job.spec.shape == jobs::Shape::gang && job.attempts.empty() && !job.fails_everywhere() &&
+         now >= job.not_before && now - job.unblocked_at >= kWaitFirst_s &&
          cluster.within_limit(job, job.spec.tasks) && (job.spec.tasks == 1 || job.spec.one_zone);
 }
 
@@ -161,7 +164,7 @@
   for (const auto& job : cluster.jobs) {
     if (!job || job->team == kNone) continue;
     for (const auto& [task, attempt] : job->attempts) {
-      if (attempt.stopping) cores[job->team] += job->need.cpus;
+      if (attempt.stopping) cores[job->team] += job->resources_per_task.cpus;
     }
   }
   return cores;
@@ -185,8 +188,9 @@
   for (const Index index : claimants) {
     const Job& job = *cluster.jobs[index];
     const bool claims_guarantee =
-        service.guaranteed[index] && cluster.used[job.team].cpus + job.need.cpus * job.spec.tasks <=
-                                         cluster.platform.teams[job.team].cpus + 1e-6;
+        service.guaranteed[index] &&
+        cluster.used[job.team].cpus + job.resources_per_task.cpus * job.spec.tasks <=
+            cluster.platform.teams[job.team].cpus + 1e-6;
     std::vector<std::pair<std::uint32_t, Index>> zones;
     for (const auto& [zone, copies] : rooms.copies(job)) {
       zones.emplace_back(copies - std::min(copies, promised[zone]), zone);
--- a/src/placement/preempt_test.cpp
+++ b/src/placement/preempt_test.cpp
@@ -29,8 +29,8 @@
     Job& job = *cluster_.jobs[index];
     job.gang_started = true;
     for (auto& [task, attempt] : job.attempts) {
-      attempt.sent = true;
-      attempt.seen = Seen::running;
+      attempt.start_sent = true;
+      attempt.observed = ObservedState::running;
       attempt.running_since = since;
     }
     return index;
@@ -59,7 +59,7 @@
   plan(cluster_, 145);
   EXPECT_TRUE(stops(borrowed));
   for (const auto& [task, attempt] : cluster_.jobs[borrowed]->attempts) {
-    EXPECT_GE(attempt.wind_down_s, 4) << "all of it, with time to save";
+    EXPECT_GE(attempt.grace_period_s, 4) << "all of it, with time to save";
   }
 }
 
--- a/src/placement/waits.cpp
+++ b/src/placement/waits.cpp
@@ -14,13 +14,15 @@
 
 std::string why_not_running(const Cluster& cluster, const Job& job) {
   for (const auto& [task, attempt] : job.attempts) {
-    if (job.done[task] || attempt.seen == Seen::running) continue;
+    if (job.done[task] || attempt.observed == ObservedState::running) continue;
     const Host& host = *cluster.hosts[attempt.host];
     const std::string where = fmt::format("task {} on {}", task, host.name);
     if (attempt.stopping) return where + " is to stop first";
-    if (attempt.inherited) return where + ": an earlier leader's, its machine is not heard yet";
-    if (!attempt.durable) return where + ": its record is not stored yet";
-    if (attempt.seen == Seen::nowhere) return where + ": the start is not answered yet";
+    if (attempt.from_previous_leader)
+      return where + ": an earlier leader's, its machine is not heard yet";
+    if (!attempt.persisted) return where + ": its record is not stored yet";
+    if (attempt.observed == ObservedState::unobserved)
+      return where + ": the start is not answered yet";
     return where + " fetches its image, waits for its gang or saves";
   }
   return "all of it runs";
@@ -32,13 +34,13 @@
   std::vector<Index> found;
   for (Index i = 0; i < cluster.jobs.size(); ++i) {
     const auto& job = cluster.jobs[i];
-    if (job && !job->cancelled && !job->over() && !is_placed(*job) && job->freed_at < now) {
+    if (job && !job->cancelled && !job->finished() && !is_placed(*job) && job->unblocked_at < now) {
       found.push_back(i);
     }
   }
   const auto end = found.begin() + static_cast<std::ptrdiff_t>(std::min(most, found.size()));
   std::partial_sort(found.begin(), end, found.end(), [&](Index a, Index b) {
-    return cluster.jobs[a]->freed_at < cluster.jobs[b]->freed_at;
+    return cluster.jobs[a]->unblocked_at < cluster.jobs[b]->unblocked_at;
   });
   found.erase(end, found.end());
   return found;
@@ -47,8 +49,8 @@
 std::string why_waits(Cluster& cluster, Index index, double now) {
   Job& job = *cluster.jobs[index];
   if (job.cancelled) return "it is cancelled, and its tasks are to be gone";
-  for (const Need& need : job.needs) {
-    if (need.fate != Fate::done) return "for " + need.id;
+  for (const Dependency& need : job.dependencies) {
+    if (need.state != DependencyState::done) return "for " + need.id;
   }
   if (is_placed(job)) return why_not_running(cluster, job);
   if (job.team == kNone) return "no such team: " + job.spec.team;
@@ -71,7 +73,7 @@
     ++up;
     if (!allows(cluster, job, *host)) continue;
     ++open;
-    room += static_cast<int>(host->free.copies(job.need));
+    room += static_cast<int>(host->free.copies(job.resources_per_task));
   }
   if (up == 0) return "no machine that it may run on is up";
   if (open == 0) return fmt::format("{} machines are kept for larger tasks", up);
--- a/src/placement/waits_test.cpp
+++ b/src/placement/waits_test.cpp
@@ -27,8 +27,8 @@
 Served play(unsigned seed, double share) {
   settings::Platform platform;
   platform.teams = {{"red", 40, 0, 0, 0}, {"blue", 0, 0, 0, 0}};
-  settings::Objective finished;
-  finished.kind = settings::Objective::Kind::finished;
+  settings::ServiceLevelObjective finished;
+  finished.kind = settings::ServiceLevelObjective::Kind::finished;
   finished.job_class = "c";
   finished.within_s = 100;
   platform.objectives = {finished};
@@ -42,7 +42,7 @@
   double owed = 0;
   int made = 0;
   for (double now = 0; now < kDay_s; now += 1) {
-    for (auto& host : cluster.hosts) host->heard_at = now;
+    for (auto& host : cluster.hosts) host->last_heartbeat_at = now;
     // New work while the day has time left to serve it.
     for (owed += 4 * kMachines * 1.25 / 10; now < kDay_s - 250 && owed > 0;) {
       jobs::Header header;
--- a/src/quarantine/blame.cpp
+++ b/src/quarantine/fault_attribution.cpp
@@ -1,4 +1,4 @@
-#include "quarantine/blame.h"
+#include "quarantine/fault_attribution.h"
 
 #include <spdlog/spdlog.h>
 
@@ -25,13 +25,13 @@
 // The machine is emptied and goes back; what failed there is not held against the jobs.
 void judge(Cluster& cluster, Index index) {
   Host& host = *cluster.hosts[index];
-  if (host.faulty || weight_against(cluster, index) < kFaultyFrom) return;
-  host.faulty = true;
+  if (host.quarantined || fault_evidence(cluster, index) < kFaultyFrom) return;
+  host.quarantined = true;
   std::string jobs;
   for (const auto& [id, times] : host.failed) {
     jobs += " " + id + " x" + std::to_string(times);
     Job* job = cluster.job(id);
-    if (job != nullptr && job->failed_on.erase(index) > 0 && !job->suspect()) {
+    if (job != nullptr && job->failed_on.erase(index) > 0 && !job->fails_everywhere()) {
       job->not_before = 0;
       job->pauses = 0;
     }
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-double weight_against(const Cluster& cluster, Index index) {
+double fault_evidence(const Cluster& cluster, Index index) {
   double weight = 0;
   for (const auto& [id, times] : cluster.hosts[index]->failed) {
     const auto at = cluster.job_index.find(id);
@@ -51,7 +51,7 @@
       const double elsewhere = job.failures - std::min(job.failures, times);
       const double rate = (elsewhere + 1) / (elsewhere + job.done_count + kPriorRuns);
       weight += times * (1 - rate) * (1 - rate);
-    } else if (!job.suspect()) {
+    } else if (!job.fails_everywhere()) {
       weight += kUnprovenWeight;
     }
   }
@@ -72,7 +72,7 @@
   avoided_until = now + kAvoidFor_s;
   judge(cluster, host_index);
   // A whole array fails at once: that is one round, not hundreds.
-  if (!job.suspect() || now < job.not_before) return;
+  if (!job.fails_everywhere() || now < job.not_before) return;
   job.pauses = std::min(job.pauses + 1, kLongestPauseLog2);
   job.not_before = now + std::min(kLongestPause_s, std::ldexp(1.0, static_cast<int>(job.pauses)));
   if (job.pauses == 1) {
--- a/src/quarantine/blame.h
+++ b/src/quarantine/fault_attribution.h
@@ -17,7 +17,7 @@
 // What the failures on the machine since its last success weigh. Those of a job that works
 // elsewhere count by how seldom it fails there; one that has failed here alone counts for little,
 // however often; one that fails wherever it goes, for nothing.
-double weight_against(const Cluster& cluster, Index host);
+double fault_evidence(const Cluster& cluster, Index host);
 
 // A task of the job has failed on the machine, or done well there. Seconds of the leader's clock.
 void note_failure(Cluster& cluster, Index job, Index host, double now);
--- a/src/quarantine/blame_test.cpp
+++ b/src/quarantine/fault_attribution_test.cpp
@@ -1,5 +1,5 @@
 // Whose fault a failed task is: worlds with known culprits.
-#include "quarantine/blame.h"
+#include "quarantine/fault_attribution.h"
 
 #include <gtest/gtest.h>
 
@@ -49,7 +49,7 @@
   }
   void pass(const std::function<bool(Index, Index)>& fails) {
     now += 1;
-    for (auto& host : cluster.hosts) host->heard_at = now;
+    for (auto& host : cluster.hosts) host->last_heartbeat_at = now;
     placement::plan(cluster, now);
     end_all(fails);
   }
@@ -86,7 +86,7 @@
     };
     for (int i = 0; i < 200; ++i) world.pass(fails);
     for (Index host = 0; host < 20; ++host) {
-      const bool found = world.cluster.hosts[host]->faulty;
+      const bool found = world.cluster.hosts[host]->quarantined;
       blamed += found && host >= faulty;
       missed += !found && host < faulty;
       if (host < faulty) most = std::max(most, static_cast<int>(world.rounds[host].size()));
@@ -114,7 +114,7 @@
   const auto fails = [&](Index job, Index) { return job == broken; };
   world.pass(fails);
   EXPECT_EQ(world.attempts, 40);
-  EXPECT_TRUE(world.cluster.jobs[broken]->suspect());
+  EXPECT_TRUE(world.cluster.jobs[broken]->fails_everywhere());
   const Index other = world.job(40);
   world.pass(fails);
   EXPECT_TRUE(world.cluster.jobs[other]->complete());
@@ -122,7 +122,7 @@
   for (int i = 0; i < 300; ++i) world.pass(fails);
   EXPECT_LE(world.attempts - before, 12);
   EXPECT_GE(world.attempts - before, 5) << "but it is tried";
-  for (const auto& host : world.cluster.hosts) EXPECT_FALSE(host->faulty);
+  for (const auto& host : world.cluster.hosts) EXPECT_FALSE(host->quarantined);
 }
 
 // Two machines were at fault, and found by others' failures: the job was not.
@@ -131,14 +131,14 @@
   for (int i = 0; i < 2; ++i) world.machine();
   const Index first = world.job(8);
   world.pass([](Index, Index) { return true; });
-  EXPECT_TRUE(world.cluster.jobs[first]->suspect());
+  EXPECT_TRUE(world.cluster.jobs[first]->fails_everywhere());
   world.machine();
   world.now = 100;
   const Index other = world.job(12);
   for (int i = 0; i < 40; ++i) world.pass([](Index, Index host) { return host < 2; });
   EXPECT_TRUE(world.cluster.jobs[other]->complete());
-  EXPECT_TRUE(world.cluster.hosts[0]->faulty && world.cluster.hosts[1]->faulty);
-  EXPECT_FALSE(world.cluster.jobs[first]->suspect());
+  EXPECT_TRUE(world.cluster.hosts[0]->quarantined && world.cluster.hosts[1]->quarantined);
+  EXPECT_FALSE(world.cluster.jobs[first]->fails_everywhere());
   for (int i = 0; i < 3; ++i) world.pass([](Index, Index host) { return host < 2; });
   EXPECT_TRUE(world.cluster.jobs[first]->complete());
 }
--- a/src/levels/levels.cpp
+++ b/src/schema/schema.cpp
@@ -1,17 +1,17 @@
-#include "levels/levels.h"
+#include "schema/schema.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <charconv>
 
-namespace reachramp::levels {
+namespace reachramp::schema {
 
 namespace {
 
 constexpr std::uint64_t kMostLevel = 1000;
 
-std::uint32_t level_in(const state::Json& map, const char* field) {
+std::uint32_t level_in(const kv::Json& map, const char* field) {
   return static_cast<std::uint32_t>(wire::count(map, field, kMostLevel));
 }
 
@@ -33,7 +33,7 @@
 
 std::string claim_key(const std::string& node) { return kClaims + node; }
 
-state::Json encode_claim(const Claim& claim) {
+kv::Json encode_claim(const Claim& claim) {
   return {{"version", claim.version},
           {"oldest", claim.oldest},
           {"newest", claim.newest},
@@ -41,7 +41,7 @@
           {"digest", claim.digest}};
 }
 
-Claim decode_claim(const state::Entry& entry) {
+Claim decode_claim(const kv::Entry& entry) {
   if (!entry.key.starts_with(kClaims) || !entry.value.is_object()) {
     throw wire::BadMessage("not a claim");
   }
@@ -53,23 +53,24 @@
   claim.hold_at = wire::find(entry.value, "hold") != nullptr ? level_in(entry.value, "hold") : 0;
   claim.digest =
       wire::find(entry.value, "digest") != nullptr ? wire::count(entry.value, "digest") : 0;
-  claim.stamp = entry.stamp;
+  claim.revision = entry.revision;
   if (claim.oldest > claim.newest || claim.newest == 0) throw wire::BadMessage("newest: too low");
   return claim;
 }
 
-Heir heir_of(const state::Entry& before, const Claim& own) {
+PredecessorClaim disposition_of(const kv::Entry& before, const Claim& own) {
   try {
     decode_claim(before);
   } catch (const std::exception&) {
-    return Heir::leaves;
+    return PredecessorClaim::leave_alone;
   }
-  return before.permit != 0 && before.value == encode_claim(own) ? Heir::goes_on : Heir::replaces;
+  return before.lease_id != 0 && before.value == encode_claim(own) ? PredecessorClaim::adopt
+                                                                   : PredecessorClaim::replace;
 }
 
-std::vector<Claim> decode_claims(const std::vector<state::Entry>& entries) {
+std::vector<Claim> decode_claims(const std::vector<kv::Entry>& entries) {
   std::vector<Claim> claims;
-  for (const state::Entry& entry : entries) {
+  for (const kv::Entry& entry : entries) {
     try {
       claims.push_back(decode_claim(entry));
     } catch (const std::exception& error) {
@@ -83,14 +84,14 @@
   return numbers(version) > numbers(than);
 }
 
-state::Json encode_stored(const Stored& stored) {
+kv::Json encode_stored(const StoredSchema& stored) {
   return {{"level", stored.level}, {"writes", stored.writes}, {"settled", stored.settled}};
 }
 
-Stored decode_stored(const std::optional<state::Json>& value) {
+StoredSchema decode_stored(const std::optional<kv::Json>& value) {
   if (!value) return {};
   if (!value->is_object()) throw wire::BadMessage("level: not a map");
-  Stored stored;
+  StoredSchema stored;
   stored.level = level_in(*value, "level");
   stored.writes = level_in(*value, "writes");
   stored.settled = wire::flag(*value, "settled");
@@ -101,7 +102,7 @@
   return stored;
 }
 
-std::string locked_out(const Stored& stored, const Speech& speech) {
+std::string incompatibility(const StoredSchema& stored, const SupportedVersions& speech) {
   if (stored.level >= speech.oldest && stored.level <= speech.newest) return {};
   return fmt::format(
       "the stored state is at level {}, version {} speaks {} to {}: start a {} version",
@@ -109,9 +110,10 @@
       stored.level > speech.newest ? "later" : "former");
 }
 
-std::optional<Step> next_step(const Stored& stored, const std::vector<Claim>& claims,
-                              const std::vector<std::string>& nodes) {
-  Step step;
+std::optional<SchemaMigration> next_migration(const StoredSchema& stored,
+                                              const std::vector<Claim>& claims,
+                                              const std::vector<std::string>& nodes) {
+  SchemaMigration step;
   bool all = true;
   std::uint32_t speak = kMostLevel, hold = kMostLevel;
   for (const std::string& node : nodes) {
@@ -121,7 +123,7 @@
       all = false;
       continue;
     }
-    step.given.emplace_back(claim_key(node), claim->stamp);
+    step.preconditions.emplace_back(claim_key(node), claim->revision);
     speak = std::min(speak, claim->newest);
     if (claim->hold_at > 0) hold = std::min(hold, claim->hold_at);
   }
@@ -149,7 +151,9 @@
   return step;
 }
 
-Stored settle(const Stored& stored) { return {stored.writes, stored.writes, true}; }
+StoredSchema settled_form(const StoredSchema& stored) {
+  return {stored.writes, stored.writes, true};
+}
 
 std::vector<std::string> differing(const std::vector<Claim>& claims, std::uint64_t own) {
   std::vector<std::string> nodes;
@@ -159,4 +163,4 @@
   return nodes;
 }
 
-}  // namespace reachramp::levels
+}  // namespace reachramp::schema
--- a/src/levels/levels_bytes_test.cpp
+++ b/src/schema/schema_bytes_test.cpp
@@ -1,9 +1,9 @@
 // The literal form of the records `level` and `claim/`.
 #include "bytes.h"
-#include "levels/book.h"
-#include "levels/levels.h"
+#include "schema/schema.h"
+#include "schema/schema_version_tracker.h"
 
-namespace reachramp::levels {
+namespace reachramp::schema {
 namespace {
 
 using test::is_written_as;
@@ -12,15 +12,15 @@
 TEST(LevelRecordBytes, RecordIsReadAndWrittenAsLiteral) {
   constexpr const char* kRecord = R"({"level":5,"writes":4,"settled":false})";
   EXPECT_TRUE(is_written_as(encode_stored({5, 4, false}), kRecord));
-  EXPECT_EQ(decode_stored(received(kRecord)), (Stored{5, 4, false}));
+  EXPECT_EQ(decode_stored(received(kRecord)), (StoredSchema{5, 4, false}));
   EXPECT_EQ(decode_stored(received(R"({"level":6,"writes":6,"settled":true})")),
-            (Stored{6, 6, true}));
+            (StoredSchema{6, 6, true}));
   EXPECT_STREQ(kLevelKey, "level");
 }
 
 TEST(LevelRecordBytes, RecordOfVersion040IsRead) {
   EXPECT_EQ(decode_stored(received(R"({"level":3,"settled":false,"writes":3})")),
-            (Stored{3, 3, false}));
+            (StoredSchema{3, 3, false}));
 }
 
 TEST(ClaimRecordBytes, RecordIsReadAndWrittenAsLiteral) {
@@ -35,7 +35,7 @@
   EXPECT_EQ(claim.newest, 6u);
   EXPECT_EQ(claim.hold_at, 4u);
   EXPECT_EQ(claim.digest, 18446744073709551615ull);
-  EXPECT_EQ(claim.stamp, 30u);
+  EXPECT_EQ(claim.revision, 30u);
   EXPECT_EQ(claim_key("node-1"), "claim/node-1");
 }
 
@@ -57,11 +57,11 @@
   platform.node_name = "node-1";
   platform.members = {{"node-0", "b", {}}};
   platform.teams = {{"red", 1, 2, 3, 4}};
-  platform.objectives = {{settings::Objective::Kind::finished, "train", 60, 1}};
+  platform.objectives = {{settings::ServiceLevelObjective::Kind::finished, "train", 60, 1}};
   EXPECT_EQ(digest_of(platform), 980543660533034833ull);
 }
 
-// What stands in the state service from each level on.
+// What stands in the key-value store from each level on.
 TEST(LevelTableBytes, NumbersAndVersionsAreFixed) {
   const std::pair<std::uint32_t, const char*> rows[] = {{1, "0.2.0"}, {2, "0.3.0"}, {3, "0.4.0"},
                                                         {4, "0.4.0"}, {5, "0.4.0"}, {6, "0.5.0"}};
@@ -73,4 +73,4 @@
 }
 
 }  // namespace
-}  // namespace reachramp::levels
+}  // namespace reachramp::schema
--- a/src/levels/table.h
+++ b/src/schema/schema_levels.h
@@ -6,7 +6,7 @@
 #include <array>
 #include <cstdint>
 
-namespace reachramp::levels {
+namespace reachramp::schema {
 
 struct Level {
   std::uint32_t number = 0;
@@ -19,7 +19,7 @@
 
 inline constexpr std::uint32_t kWhole = 1;        // records name tasks one by one
 inline constexpr std::uint32_t kCompact = 2;      // member/ says it; see peers/members.h
-inline constexpr std::uint32_t kAges = 3;         // "timeline"; no whole record is left
+inline constexpr std::uint32_t kAges = 3;         // "revision clock"; no whole record is left
 inline constexpr std::uint32_t kClosedPools = 4;  // a pool that is asked for nothing has no record
 inline constexpr std::uint32_t kShares = 5;       // "shares"
 inline constexpr std::uint32_t kDrains = 6;       // "drains", "drains/used", "zones"
@@ -41,4 +41,4 @@
 
 inline const Level& row(std::uint32_t level) { return kTable[level - 1]; }
 
-}  // namespace reachramp::levels
+}  // namespace reachramp::schema
--- a/src/levels/book.cpp
+++ b/src/schema/schema_version_tracker.cpp
@@ -1,4 +1,4 @@
-#include "levels/book.h"
+#include "schema/schema_version_tracker.h"
 
 #define XXH_INLINE_ALL
 #include <spdlog/spdlog.h>
@@ -8,13 +8,13 @@
 #include <thread>
 #include <utility>
 
-#include "state/clock.h"
+#include "kv/steady_clock.h"
 
-namespace reachramp::levels {
+namespace reachramp::schema {
 
 namespace {
 
-using state::Outcome;
+using kv::Outcome;
 
 // A turn renews the claim once; three may fail before it ends.
 constexpr double kTurn_s = kClaimLife_s / 4;
@@ -29,7 +29,7 @@
 
 // Over the JSON form, whose fields are sorted: the same on every node and in every version.
 std::uint64_t digest_of(const settings::Platform& platform) {
-  state::Json shared = state::Json::object();
+  kv::Json shared = kv::Json::object();
   std::vector<std::string> nodes{platform.node_name};
   for (const settings::Member& member : platform.members) nodes.push_back(member.name);
   std::sort(nodes.begin(), nodes.end());
@@ -37,7 +37,7 @@
   for (const settings::Team& team : platform.teams) {
     shared["teams"].push_back({team.name, team.cpus, team.cpus_max, team.gpus, team.gpus_max});
   }
-  for (const settings::Objective& aim : platform.objectives) {
+  for (const settings::ServiceLevelObjective& aim : platform.objectives) {
     shared["objectives"].push_back(
         {static_cast<int>(aim.kind), aim.job_class, aim.within_s, aim.times});
   }
@@ -50,57 +50,59 @@
   return XXH3_64bits(text.data(), text.size());
 }
 
-Book::Book(state::Client& state, const settings::Platform& platform, const Speech& speech)
+SchemaVersionTracker::SchemaVersionTracker(kv::Client& state, const settings::Platform& platform,
+                                           const SupportedVersions& speech)
     : state_(state), speech_(speech), node_(platform.node_name), digest_(digest_of(platform)) {}
 
 // The claim of the process before us on this node may still stand. Where it says what we would say
-// it goes on under the same permit: a process that ends again and again writes nothing and leaves
-// no permits behind, and the claim does not flicker. Else it is replaced.
-bool Book::announce() {
-  const state::Found before = state_.get(claim_key(node_));
+// it goes on under the same lease: a process that ends again and again writes nothing and leaves
+// no leases behind, and the claim does not flicker. Else it is replaced.
+bool SchemaVersionTracker::announce() {
+  const kv::ReadResult before = state_.get(claim_key(node_));
   if (before.outcome != Outcome::ok && before.outcome != Outcome::absent) return false;
   const Claim claim{
       node_, speech_.version, speech_.oldest, speech_.newest, speech_.hold_at, digest_, 0};
-  switch (before.outcome == Outcome::ok ? heir_of(before.entry, claim) : Heir::replaces) {
-    case Heir::leaves:
+  switch (before.outcome == Outcome::ok ? disposition_of(before.entry, claim)
+                                        : PredecessorClaim::replace) {
+    case PredecessorClaim::leave_alone:
       if (!std::exchange(told_unreadable_, true)) {
         spdlog::error("record {}: cannot be read, and is left alone", claim_key(node_));
       }
       return false;
-    case Heir::goes_on:
-      if (state_.renew(before.entry.permit) == Outcome::ok) {
-        permit_ = before.entry.permit;
+    case PredecessorClaim::adopt:
+      if (state_.renew_lease(before.entry.lease_id) == Outcome::ok) {
+        lease_id_ = before.entry.lease_id;
         return true;
       }
       return false;  // it has just ended; the next look shows it
-    case Heir::replaces:
+    case PredecessorClaim::replace:
       break;
   }
-  const state::Permit permit = state_.hold(millis(kClaimLife_s));
-  if (permit.outcome != Outcome::ok) return false;
-  permit_ = permit.id;
-  state::Transaction announcement;
-  announcement.conditions = {
-      {claim_key(node_), before.outcome == Outcome::ok ? before.entry.stamp : 0}};
-  announcement.writes.push_back({claim_key(node_), encode_claim(claim), permit_});
+  const kv::LeaseGrant lease_id = state_.grant_lease(millis(kClaimLife_s));
+  if (lease_id.outcome != Outcome::ok) return false;
+  lease_id_ = lease_id.id;
+  kv::Transaction announcement;
+  announcement.preconditions = {
+      {claim_key(node_), before.outcome == Outcome::ok ? before.entry.revision : 0}};
+  announcement.writes.push_back({claim_key(node_), encode_claim(claim), lease_id_});
   const Outcome outcome = state_.commit(announcement).outcome;
-  if (outcome != Outcome::ok && outcome != Outcome::unknown) permit_ = 0;
+  if (outcome != Outcome::ok && outcome != Outcome::unknown) lease_id_ = 0;
   return outcome == Outcome::ok;
 }
 
-void Book::learn(const std::optional<state::Json>& value, std::uint64_t stamp) {
+void SchemaVersionTracker::learn(const std::optional<kv::Json>& value, std::uint64_t revision) {
   std::string reason;
-  Stored stored;
+  StoredSchema stored;
   try {
     stored = decode_stored(value);
-    reason = locked_out(stored, speech_);
+    reason = incompatibility(stored, speech_);
   } catch (const std::exception& error) {
     reason =
         fmt::format("record {}: {}: nothing is written on its strength", kLevelKey, error.what());
   }
   std::lock_guard lock(mutex_);
-  locked_ = !reason.empty();
-  stamp_ = stamp;
+  incompatible_ = !reason.empty();
+  revision_ = revision;
   stored_ = stored;
   if (reason != told_) {
     if (reason.empty()) {
@@ -112,49 +114,49 @@
   }
 }
 
-// A list, since it tells the epoch too: the record's own stamp may be older than any watch can
-// reach.
-bool Book::read(std::uint64_t* epoch) {
-  const state::Page page = state_.list(kLevelKey, "");
+// A list, since it tells the store revision too: the record's own revision may be older than any
+// watch can reach.
+bool SchemaVersionTracker::read(std::uint64_t* store_revision) {
+  const kv::ListResult page = state_.list(kLevelKey, "");
   if (page.outcome != Outcome::ok) return false;
   const auto entry = std::find_if(page.entries.begin(), page.entries.end(),
-                                  [](const state::Entry& one) { return one.key == kLevelKey; });
+                                  [](const kv::Entry& one) { return one.key == kLevelKey; });
   if (entry == page.entries.end()) {
     learn(std::nullopt, 0);
   } else {
-    learn(entry->value, entry->stamp);
+    learn(entry->value, entry->revision);
   }
-  *epoch = page.epoch;
+  *store_revision = page.store_revision;
   return true;
 }
 
-std::optional<std::uint64_t> Book::look() {
-  std::uint64_t epoch = 0;
-  if (!read(&epoch)) return std::nullopt;
+std::optional<std::uint64_t> SchemaVersionTracker::read_revision() {
+  std::uint64_t store_revision = 0;
+  if (!read(&store_revision)) return std::nullopt;
   std::lock_guard lock(mutex_);
-  return locked_ ? std::nullopt : stamp_;
+  return incompatible_ ? std::nullopt : revision_;
 }
 
-std::optional<View> Book::view() {
-  if (!stamp()) return std::nullopt;
+std::optional<SchemaView> SchemaVersionTracker::view() {
+  if (!revision()) return std::nullopt;
   std::lock_guard lock(mutex_);
-  return locked_ ? std::nullopt : std::optional(View{stored_, stamp_.value_or(0)});
+  return incompatible_ ? std::nullopt : std::optional(SchemaView{stored_, revision_.value_or(0)});
 }
 
-std::optional<std::uint64_t> Book::stamp() {
+std::optional<std::uint64_t> SchemaVersionTracker::revision() {
   {
     std::lock_guard lock(mutex_);
-    if (locked_) return std::nullopt;
-    if (stamp_) return stamp_;
+    if (incompatible_) return std::nullopt;
+    if (revision_) return revision_;
   }
-  return look();
+  return read_revision();
 }
 
-void Book::look_at_others() {
-  const state::Page page = state_.list(kClaims, "");
+void SchemaVersionTracker::look_at_others() {
+  const kv::ListResult page = state_.list(kClaims, "");
   if (page.outcome != Outcome::ok) return;
   const std::vector<Claim> claims = decode_claims(page.entries);
-  yields_ = std::any_of(claims.begin(), claims.end(), [&](const Claim& claim) {
+  defers_leadership_ = std::any_of(claims.begin(), claims.end(), [&](const Claim& claim) {
     return claim.node != node_ && is_later(claim.version, speech_.version);
   });
   std::string differ;
@@ -165,30 +167,30 @@
   differ_ = differ;
 }
 
-void Book::run(const std::function<void(bool)>& locked) {
+void SchemaVersionTracker::run(const std::function<void(bool)>& locked) {
   bool claimed = false;
   for (int turn = 0;; ++turn) {
-    if (claimed && state_.renew(permit_) == Outcome::absent) claimed = false;
+    if (claimed && state_.renew_lease(lease_id_) == Outcome::absent) claimed = false;
     if (!claimed) claimed = announce();
     if (turn % kLookAtOthersEvery == 0) look_at_others();
     if (position_ == 0) read(&position_);
-    locked(locked_);
+    locked(incompatible_);
     if (position_ == 0 || !claimed) {
-      std::this_thread::sleep_for(state::jittered(kRetry_s));
+      std::this_thread::sleep_for(kv::jittered(kRetry_s));
       if (position_ == 0) continue;
     }
-    const state::Changes changes = state_.follow(kLevelKey, position_, millis(kTurn_s));
+    const kv::WatchResult changes = state_.watch(kLevelKey, position_, millis(kTurn_s));
     if (changes.outcome != Outcome::ok) {
       position_ = 0;
-      std::this_thread::sleep_for(state::jittered(kRetry_s));
+      std::this_thread::sleep_for(kv::jittered(kRetry_s));
       continue;
     }
-    position_ = std::max(position_, changes.epoch);
-    for (const state::Change& change : changes.changes) {
-      if (change.key == kLevelKey) learn(change.value, change.value ? change.stamp : 0);
+    position_ = std::max(position_, changes.store_revision);
+    for (const kv::KeyChange& change : changes.changes) {
+      if (change.key == kLevelKey) learn(change.value, change.value ? change.revision : 0);
     }
-    locked(locked_);
+    locked(incompatible_);
   }
 }
 
-}  // namespace reachramp::levels
+}  // namespace reachramp::schema
--- a/src/levels/book.h
+++ b/src/schema/schema_version_tracker.h
@@ -7,54 +7,55 @@
 #include <mutex>
 #include <optional>
 
-#include "levels/levels.h"
+#include "kv/client.h"
+#include "schema/schema.h"
 #include "settings/settings.h"
-#include "state/client.h"
 
-namespace reachramp::levels {
+namespace reachramp::schema {
 
 // Of the settings that nodes must share: teams, limits, objectives, who the nodes are.
 std::uint64_t digest_of(const settings::Platform& platform);
 
-class Book {
+class SchemaVersionTracker {
  public:
-  Book(state::Client& state, const settings::Platform& platform, const Speech& speech);
+  SchemaVersionTracker(kv::Client& state, const settings::Platform& platform,
+                       const SupportedVersions& speech);
 
   // For a thread of its own; never returns. `locked` is told whether this process must serve
   // nobody.
   void run(const std::function<void(bool)>& locked);
 
-  // What a node's write is to be conditional on; a look at the state service if it is not known
+  // What a node's write is to be conditional on; a look at the key-value store if it is not known
   // yet. Nothing: it does not answer, or this process is locked out.
-  std::optional<std::uint64_t> stamp();
+  std::optional<std::uint64_t> revision();
   // The same with the level itself.
-  std::optional<View> view();
-  // The stamp, read anew: the level has changed behind our back.
-  std::optional<std::uint64_t> look();
-  bool locked() const { return locked_; }
+  std::optional<SchemaView> view();
+  // The revision, read anew: the level has changed behind our back.
+  std::optional<std::uint64_t> read_revision();
+  bool incompatible() const { return incompatible_; }
   // Whether another living process is of a later version, and should lead rather than this one.
-  bool another_should_lead() const { return yields_; }
+  bool defers_leadership() const { return defers_leadership_; }
 
  private:
   bool announce();
-  bool read(std::uint64_t* epoch);
-  void learn(const std::optional<state::Json>& value, std::uint64_t stamp);
+  bool read(std::uint64_t* store_revision);
+  void learn(const std::optional<kv::Json>& value, std::uint64_t revision);
   void look_at_others();
 
-  state::Client& state_;
-  const Speech speech_;
+  kv::Client& state_;
+  const SupportedVersions speech_;
   const std::string node_;
   const std::uint64_t digest_;
-  std::uint64_t permit_ = 0;
+  std::uint64_t lease_id_ = 0;
   std::uint64_t position_ = 0;  // of the watch
   std::mutex mutex_;
-  std::optional<std::uint64_t> stamp_;
-  Stored stored_;     // with that stamp
-  std::string told_;  // why it is locked out, as last logged
+  std::optional<std::uint64_t> revision_;
+  StoredSchema stored_;  // with that revision
+  std::string told_;     // why it is locked out, as last logged
   bool told_unreadable_ = false;
   std::string differ_;  // nodes with other settings, as last logged
-  std::atomic<bool> locked_{false};
-  std::atomic<bool> yields_{false};
+  std::atomic<bool> incompatible_{false};
+  std::atomic<bool> defers_leadership_{false};
 };
 
-}  // namespace reachramp::levels
+}  // namespace reachramp::schema
--- a/src/settings/platform.cpp
+++ b/src/settings/platform.cpp
@@ -149,12 +149,12 @@
     // Kinds that we do not know say nothing to us.
     const std::string kind = objective.text("kind");
     if (kind == "deadline") {
-      platform.objectives.push_back({Objective::Kind::deadline, objective.text("class"), 0,
-                                     objective.amount_or("times", 0.01, 1)});
+      platform.objectives.push_back({ServiceLevelObjective::Kind::deadline, objective.text("class"),
+                                     0, objective.amount_or("times", 0.01, 1)});
     } else if (kind == "wait" || kind == "finished") {
-      platform.objectives.push_back(
-          {kind == "wait" ? Objective::Kind::wait : Objective::Kind::finished,
-           objective.text("class"), objective.amount("within_s", 0), 1});
+      platform.objectives.push_back({kind == "wait" ? ServiceLevelObjective::Kind::wait
+                                                    : ServiceLevelObjective::Kind::finished,
+                                     objective.text("class"), objective.amount("within_s", 0), 1});
     }
   }
   platform.workers = read_workers(facts.table("workers"));
--- a/src/settings/policy.cpp
+++ b/src/settings/policy.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <sstream>
 
-#include "levels/table.h"
+#include "schema/schema_levels.h"
 #include "settings/settings.h"
 #include "settings/tree.h"
 
@@ -35,7 +35,7 @@
     const Tree& entry = section.items[i];
     if (entry.name().empty()) refuse(path, entry, "levels", "expected (name value)");
     if (entry.name() != "hold-at") continue;  // a newer version's setting
-    const double level = number_in(entry, levels::kCompact, levels::kNewest, path);
+    const double level = number_in(entry, schema::kCompact, schema::kNewest, path);
     policy.hold_at = static_cast<unsigned>(level);
     if (policy.hold_at != level) refuse(path, entry, "hold-at", "not a whole number");
   }
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -35,7 +35,7 @@
 
 // What is expected for a class of jobs: tasks started, or the job finished, within so long; or the
 // job done within so many times its deadline.
-struct Objective {
+struct ServiceLevelObjective {
   enum class Kind { wait, finished, deadline } kind = Kind::wait;
   std::string job_class;
   double within_s = 0;
@@ -74,7 +74,7 @@
   wire::Address cloud;
   wire::Address state;
   std::vector<Team> teams;
-  std::vector<Objective> objectives;
+  std::vector<ServiceLevelObjective> objectives;
   Workers workers;
   StateLimits state_limits;
   StateLimits state_next;  // from an unannounced moment on; what is not said stays as it is
--- a/src/settings/settings_bytes_test.cpp
+++ b/src/settings/settings_bytes_test.cpp
@@ -86,13 +86,13 @@
   EXPECT_EQ(platform.teams[0].gpus, 1.5);
   EXPECT_EQ(platform.teams[0].gpus_max, 2.5);
   ASSERT_EQ(platform.objectives.size(), 3u);
-  EXPECT_EQ(platform.objectives[0].kind, Objective::Kind::wait);
+  EXPECT_EQ(platform.objectives[0].kind, ServiceLevelObjective::Kind::wait);
   EXPECT_EQ(platform.objectives[0].job_class, "train");
   EXPECT_EQ(platform.objectives[0].within_s, 60.5);
-  EXPECT_EQ(platform.objectives[1].kind, Objective::Kind::finished);
+  EXPECT_EQ(platform.objectives[1].kind, ServiceLevelObjective::Kind::finished);
   EXPECT_EQ(platform.objectives[1].job_class, "batch");
   EXPECT_EQ(platform.objectives[1].within_s, 600.5);
-  EXPECT_EQ(platform.objectives[2].kind, Objective::Kind::deadline);
+  EXPECT_EQ(platform.objectives[2].kind, ServiceLevelObjective::Kind::deadline);
   EXPECT_EQ(platform.objectives[2].job_class, "sweep");
   EXPECT_EQ(platform.objectives[2].times, 1.5);
   EXPECT_EQ(platform.workers.report_s, 1.5);
--- a/src/shares/accounts.cpp
+++ b/src/shares/usage_accounts.cpp
@@ -1,11 +1,11 @@
-#include "shares/accounts.h"
+#include "shares/usage_accounts.h"
 
 #include <spdlog/fmt/fmt.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "levels/table.h"
+#include "schema/schema_levels.h"
 
 namespace reachramp::shares {
 
@@ -23,7 +23,7 @@
 
 bool is_late(const Job& job, double now) {
   if (job.waits()) return false;
-  if (job.start_by.empty()) return !begun(job) && now - job.freed_at > kPatience_s;
+  if (job.start_by.empty()) return !begun(job) && now - job.unblocked_at > kPatience_s;
   // All of it runs: whether it ends in time is no longer a matter of shares.
   const bool placed = job.attempts.size() + job.done_count >= job.spec.tasks;
   return !placed && job.next_start_by(now) == placement::kNever;
@@ -40,11 +40,11 @@
 }
 
 void add(Standing& standing, const Job& job, double now) {
-  standing.cores += job.need.cpus * static_cast<double>(job.attempts.size());
+  standing.cores += job.resources_per_task.cpus * static_cast<double>(job.attempts.size());
   standing.late += is_late(job, now) ? 1 : 0;
   if (begun(job) || job.waits()) return;
   ++standing.waiting;
-  standing.longest_wait_s = std::max(standing.longest_wait_s, now - job.freed_at);
+  standing.longest_wait_s = std::max(standing.longest_wait_s, now - job.unblocked_at);
 }
 
 // `live` counts jobs that are not cancelled: the rest of those that came is done.
@@ -93,17 +93,17 @@
   return done + late == 0 ? 1 : static_cast<double>(done) / static_cast<double>(done + late);
 }
 
-void Accounts::came(const Job& job) {
+void UsageAccounts::came(const Job& job) {
   ++teams_[job.spec.team].came;
   ++classes_[job.spec.job_class].came;
 }
 
-void Accounts::cancelled(const Job& job) {
+void UsageAccounts::cancelled(const Job& job) {
   ++teams_[job.spec.team].cancelled;
   ++classes_[job.spec.job_class].cancelled;
 }
 
-void Accounts::pass(const placement::Cluster& cluster, double now) {
+void UsageAccounts::advance(const placement::Cluster& cluster, double now) {
   const double passed = passed_at_ < 0 ? 0 : std::max(0.0, now - passed_at_);
   passed_at_ = now;
   const double kept = std::exp2(-passed / kHalfLife_s);
@@ -118,13 +118,13 @@
     if (!job || job->attempts.empty()) continue;
     const double use = passed * static_cast<double>(job->attempts.size());
     for (Account* account : {&teams_[job->spec.team], &classes_[job->spec.job_class]}) {
-      account->core_s += use * job->need.cpus;
-      account->gpu_s += use * job->need.gpus;
+      account->core_s += use * job->resources_per_task.cpus;
+      account->gpu_s += use * job->resources_per_task.gpus;
     }
   }
 }
 
-Report Accounts::report(const placement::Cluster& cluster, double now) const {
+Report UsageAccounts::report(const placement::Cluster& cluster, double now) const {
   Report report;
   std::map<std::string, std::uint64_t> live_teams, live_classes;
   for (const auto& job : cluster.jobs) {
@@ -139,11 +139,11 @@
   return report;
 }
 
-wire::Json Accounts::encode() const {
+wire::Json UsageAccounts::encode() const {
   return {{"teams", encode_all(teams_)}, {"classes", encode_all(classes_)}};
 }
 
-void Accounts::inherit(const wire::Json& record) {
+void UsageAccounts::restore(const wire::Json& record) {
   if (!record.is_object()) throw wire::BadMessage("shares: not a map");
   auto teams = decode(record, "teams");
   auto classes = decode(record, "classes");
@@ -151,7 +151,7 @@
   classes_ = std::move(classes);
 }
 
-double Accounts::core_s(const std::string& team) const {
+double UsageAccounts::core_s(const std::string& team) const {
   const auto at = teams_.find(team);
   return at == teams_.end() ? 0 : at->second.core_s;
 }
@@ -179,7 +179,7 @@
 }
 
 bool is_stale(const std::string& key, const wire::Json&, std::uint32_t level) {
-  return key == kSharesKey && level < levels::kShares;
+  return key == kSharesKey && level < schema::kShares;
 }
 
 }  // namespace reachramp::shares
--- a/src/shares/accounts.h
+++ b/src/shares/usage_accounts.h
@@ -42,18 +42,18 @@
   std::vector<Standing> classes;
 };
 
-class Accounts {
+class UsageAccounts {
  public:
   void came(const placement::Job& job);
   void cancelled(const placement::Job& job);
   // Lets time pass; use is that of the moment.
-  void pass(const placement::Cluster& cluster, double now);
+  void advance(const placement::Cluster& cluster, double now);
 
   Report report(const placement::Cluster& cluster, double now) const;
 
   wire::Json encode() const;
   // Takes over what an earlier leader wrote. Throws wire::BadMessage and is as it was.
-  void inherit(const wire::Json& record);
+  void restore(const wire::Json& record);
   double core_s(const std::string& team) const;
 
  private:
--- a/src/shares/accounts_bytes_test.cpp
+++ b/src/shares/usage_accounts_bytes_test.cpp
@@ -1,6 +1,6 @@
 // The literal form of the record `shares`.
 #include "bytes.h"
-#include "shares/accounts.h"
+#include "shares/usage_accounts.h"
 
 namespace reachramp::shares {
 namespace {
@@ -16,7 +16,7 @@
 TEST(SharesRecordBytes, RecordIsWrittenAsLiteral) {
   const settings::Platform settings = platform();
   Cluster cluster(settings, 1, jobs::Format::compact);
-  Accounts accounts;
+  UsageAccounts accounts;
   for (int i = 1; i <= 2; ++i) {
     jobs::Header header;
     header.spec.id = "j-" + std::to_string(i);
@@ -38,8 +38,8 @@
       R"({"teams":[{"name":"blue","came":7,"cancelled":2,"core_s":120.0,"gpu_s":30.0},
                    {"name":"red","came":3,"cancelled":0,"core_s":0.0,"gpu_s":5.0}],
           "classes":[{"name":"train","came":10,"cancelled":2,"core_s":120.0,"gpu_s":35.0}]})";
-  Accounts accounts;
-  accounts.inherit(test::received(kRecord));
+  UsageAccounts accounts;
+  accounts.restore(test::received(kRecord));
   EXPECT_EQ(accounts.core_s("blue"), 120);
   EXPECT_TRUE(test::is_written_as(accounts.encode(), kRecord));
   EXPECT_STREQ(kSharesKey, "shares");
--- a/src/shares/accounts_test.cpp
+++ b/src/shares/usage_accounts_test.cpp
@@ -1,4 +1,4 @@
-#include "shares/accounts.h"
+#include "shares/usage_accounts.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -38,7 +38,7 @@
     return p;
   }();
   placement::Cluster cluster_;
-  Accounts accounts_;
+  UsageAccounts accounts_;
   int made_ = 0;
 };
 
@@ -64,26 +64,26 @@
   const auto index = job("red", "a", 0);
   const auto host = cluster_.add_host("n-1", 0);
   cluster_.place(index, 0, 1, host, 0);
-  accounts_.pass(cluster_, 10);
-  accounts_.pass(cluster_, 30);
+  accounts_.advance(cluster_, 10);
+  accounts_.advance(cluster_, 30);
   EXPECT_NEAR(accounts_.core_s("red"), 60, 1e-6);
   cluster_.end_attempt(index, 0, 30);
-  accounts_.pass(cluster_, 630);
+  accounts_.advance(cluster_, 630);
   EXPECT_NEAR(accounts_.core_s("red"), 30, 1e-6);
 }
 
 TEST_F(AccountsTest, ANewLeaderKnowsThemAndRefusesNonsense) {
   end(job("red", "a", 0), false);
   job("blue", "b", 0);
-  Accounts next;
-  next.inherit(accounts_.encode());
+  UsageAccounts next;
+  next.restore(accounts_.encode());
   EXPECT_EQ(next.encode(), accounts_.encode());
   for (const char* bad :
        {"[]", "{}", R"({"teams":[],"classes":7})", R"({"teams":[7],"classes":[]})",
         R"({"teams":[{"name":"x","came":1,"cancelled":2,"core_s":0,"gpu_s":0}],"classes":[]})",
         R"({"teams":[{"name":"x","came":-1,"cancelled":0,"core_s":0,"gpu_s":0}],"classes":[]})",
         R"({"teams":[{"name":"x","came":1,"cancelled":0,"core_s":"1","gpu_s":0}],"classes":[]})"}) {
-    EXPECT_THROW(next.inherit(wire::Json::parse(bad)), std::exception) << bad;
+    EXPECT_THROW(next.restore(wire::Json::parse(bad)), std::exception) << bad;
     EXPECT_EQ(next.encode(), accounts_.encode()) << bad;
   }
 }
--- a/src/wire/budget.cpp
+++ b/src/wire/connection_limiter.cpp
@@ -1,4 +1,4 @@
-#include "wire/budget.h"
+#include "wire/connection_limiter.h"
 
 #include <spdlog/spdlog.h>
 
@@ -30,17 +30,18 @@
       .count();
 }
 
-std::size_t number(Party party) { return static_cast<std::size_t>(party); }
+std::size_t number(ClientKind party) { return static_cast<std::size_t>(party); }
 
 }  // namespace
 
-std::optional<std::size_t> to_close(const std::vector<Held>& held, Party newcomer) {
+std::optional<std::size_t> to_close(const std::vector<ConnectionStatus>& held,
+                                    ClientKind newcomer) {
   std::size_t count[kParties] = {};
-  for (const Held& one : held) ++count[number(one.party)];
+  for (const ConnectionStatus& one : held) ++count[number(one.party)];
   const std::size_t due = held.size() / kDue;
-  const auto may_go = [&](const Held& one) {
-    return !one.busy &&
-           (one.party == Party::fresh || one.party == newcomer || count[number(one.party)] > due);
+  const auto may_go = [&](const ConnectionStatus& one) {
+    return !one.busy && (one.party == ClientKind::fresh || one.party == newcomer ||
+                         count[number(one.party)] > due);
   };
   std::optional<std::size_t> found;
   for (std::size_t i = 0; i < held.size(); ++i) {
@@ -51,25 +52,25 @@
   return found;
 }
 
-bool may_begin(const Busy& busy, Party party, std::size_t most) {
+bool may_begin(const Busy& busy, ClientKind party, std::size_t most) {
   const std::size_t due = most / kDue;
   if (busy[number(party)] < due) return true;
   std::size_t spoken_for = 0;
-  for (const Party other : {Party::user, Party::worker, Party::peer}) {
+  for (const ClientKind other : {ClientKind::user, ClientKind::worker, ClientKind::peer}) {
     spoken_for += std::max(busy[number(other)], due);
   }
   return spoken_for < most;
 }
 
-std::size_t connections_for(const Means& means) {
+std::size_t connections_for(const ProcessLimits& means) {
   const double most =
       std::min({means.descriptors * kOfDescriptors, means.memory_mb * kOfMemory / kConnectionMb,
                 means.threads * kOfThreads});
   return static_cast<std::size_t>(std::max(most, kLeast));
 }
 
-bool Budget::close_one(Party newcomer) {
-  std::vector<Held> held;
+bool ConnectionLimiter::close_one(ClientKind newcomer) {
+  std::vector<ConnectionStatus> held;
   std::vector<Connection*> which;
   for (const Shared& connection : connections_) {
     if (connection->closing) continue;
@@ -83,9 +84,9 @@
   return true;
 }
 
-Budget::Budget(std::size_t most) : most_(most), crew_(kThreadsStay) {}
+ConnectionLimiter::ConnectionLimiter(std::size_t most) : most_(most), crew_(kThreadsStay) {}
 
-bool Budget::admit(const Shared& connection, std::function<void()> serve) {
+bool ConnectionLimiter::admit(const Shared& connection, std::function<void()> serve) {
   if (!take(connection)) return false;
   try {
     crew_.run([this, connection, serve = std::move(serve)] {
@@ -100,7 +101,7 @@
   return true;
 }
 
-bool Budget::take(const Shared& connection) {
+bool ConnectionLimiter::take(const Shared& connection) {
   connection->held.silent_since_ms = now_ms();
   std::unique_lock lock(mutex_);
   if (connections_.size() >= most_) {
@@ -112,13 +113,13 @@
   return true;
 }
 
-void Budget::leave(const Shared& connection) {
+void ConnectionLimiter::leave(const Shared& connection) {
   std::lock_guard lock(mutex_);
   connections_.erase(connection);
   left_.notify_one();
 }
 
-bool Budget::begin(Connection& connection, Party party) {
+bool ConnectionLimiter::begin(Connection& connection, ClientKind party) {
   std::lock_guard lock(mutex_);
   connection.held.party = party;
   if (!may_begin(busy_, party, most_)) return false;
@@ -127,25 +128,25 @@
   return true;
 }
 
-void Budget::end(Connection& connection) {
+void ConnectionLimiter::end(Connection& connection) {
   std::lock_guard lock(mutex_);
   if (std::exchange(connection.held.busy, false)) --busy_[number(connection.held.party)];
   connection.held.silent_since_ms = now_ms();
 }
 
-void Budget::make_room(Party newcomer) {
+void ConnectionLimiter::make_room(ClientKind newcomer) {
   std::lock_guard lock(mutex_);
   close_one(newcomer);
 }
 
-void Budget::close_all(const void* door) {
+void ConnectionLimiter::close_all(const void* door) {
   std::lock_guard lock(mutex_);
   for (const Shared& connection : connections_) {
     if (connection->door == door) connection->socket.shut();
   }
 }
 
-std::size_t Budget::open() const {
+std::size_t ConnectionLimiter::open() const {
   std::lock_guard lock(mutex_);
   return connections_.size();
 }
--- a/src/wire/budget_test.cpp
+++ b/src/wire/connection_limiter_test.cpp
@@ -1,4 +1,4 @@
-#include "wire/budget.h"
+#include "wire/connection_limiter.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -13,30 +13,31 @@
 
 using namespace std::chrono_literals;
 
-Party party(int i) { return static_cast<Party>(i % 4); }
+ClientKind party(int i) { return static_cast<ClientKind>(i % 4); }
 
 // Whoever floods a door, the two other parties keep what is due to them, and no request that is
 // being answered is cut off.
 RC_GTEST_PROP(Budget, NoPartyStarvesAnother, ()) {
-  std::vector<Held> held;
+  std::vector<ConnectionStatus> held;
   for (int i = 0, size = *rc::gen::inRange(1, 60); i < size; ++i) {
     held.push_back({party(*rc::gen::inRange(0, 4)), *rc::gen::inRange(0, 3) == 0,
                     *rc::gen::inRange<std::int64_t>(0, 50)});
   }
-  const Party newcomer = party(*rc::gen::inRange(0, 4));
-  const auto count = [&](Party of) {
-    return std::count_if(held.begin(), held.end(), [&](const Held& h) { return h.party == of; });
+  const ClientKind newcomer = party(*rc::gen::inRange(0, 4));
+  const auto count = [&](ClientKind of) {
+    return std::count_if(held.begin(), held.end(),
+                         [&](const ConnectionStatus& h) { return h.party == of; });
   };
   const auto due = static_cast<std::ptrdiff_t>(held.size() / 4);
-  const auto may_go = [&](const Held& one) {
+  const auto may_go = [&](const ConnectionStatus& one) {
     return !one.busy &&
-           (one.party == Party::fresh || one.party == newcomer || count(one.party) > due);
+           (one.party == ClientKind::fresh || one.party == newcomer || count(one.party) > due);
   };
   const auto found = to_close(held, newcomer);
   RC_ASSERT(found.has_value() == std::any_of(held.begin(), held.end(), may_go));
   if (!found) return;
   RC_ASSERT(may_go(held[*found]));
-  for (const Held& one : held) {
+  for (const ConnectionStatus& one : held) {
     RC_ASSERT(!may_go(one) || one.silent_since_ms >= held[*found].silent_since_ms);
   }
 }
@@ -50,7 +51,7 @@
     const auto who = static_cast<std::size_t>(1 + step % 3);
     if (step >= 5 && busy[who] > 0) {
       --busy[who];
-    } else if (may_begin(busy, static_cast<Party>(who), most)) {
+    } else if (may_begin(busy, static_cast<ClientKind>(who), most)) {
       ++busy[who];
     } else {
       RC_ASSERT(busy[who] >= most / 4);
@@ -72,12 +73,12 @@
  protected:
   static constexpr std::size_t kMost = 16;
 
-  static Server door(Budget& budget, std::uint16_t port, Party newcomers) {
+  static Server door(ConnectionLimiter& budget, std::uint16_t port, ClientKind newcomers) {
     return Server(
         {"127.0.0.1", port}, budget, newcomers,
         [newcomers](const Request& request) {
-          if (newcomers == Party::peer) return Party::peer;
-          return request.path == "/report" ? Party::worker : Party::user;
+          if (newcomers == ClientKind::peer) return ClientKind::peer;
+          return request.path == "/report" ? ClientKind::worker : ClientKind::user;
         },
         [](const Request& request) {
           if (request.path == "/slow") std::this_thread::sleep_for(1s);
@@ -93,9 +94,9 @@
 };
 
 TEST_F(TwoDoors, ShareOneBudgetAndStayOpenToAll) {
-  Budget budget(kMost);
-  Server users = door(budget, 18391, Party::fresh);
-  Server peers = door(budget, 18392, Party::peer);
+  ConnectionLimiter budget(kMost);
+  Server users = door(budget, 18391, ClientKind::fresh);
+  Server peers = door(budget, 18392, ClientKind::peer);
   std::vector<std::unique_ptr<Client>> clients;
   // Workers and peers come in crowds and stay; every one of them is served.
   for (int i = 0; i < 40; ++i) {
@@ -111,9 +112,9 @@
 }
 
 TEST_F(TwoDoors, RequestsThatHangLeaveRoomForOthers) {
-  Budget budget(kMost);
-  Server users = door(budget, 18393, Party::fresh);
-  Server peers = door(budget, 18394, Party::peer);
+  ConnectionLimiter budget(kMost);
+  Server users = door(budget, 18393, ClientKind::fresh);
+  Server peers = door(budget, 18394, ClientKind::peer);
   std::vector<std::thread> hanging;
   for (int i = 0; i < 30; ++i) {
     hanging.emplace_back([] {
@@ -130,7 +131,7 @@
 
 // Threads that were on their way out came on top of those at work.
 TEST(Crew, HasNoMoreThreadsThanWork) {
-  Crew crew(10ms);
+  ThreadPool crew(10ms);
   std::atomic<int> done{0};
   for (int wave = 0; wave < 50; ++wave) {
     std::atomic<int> here{0};
--- a/src/wire/http.cpp
+++ b/src/wire/http.cpp
@@ -39,7 +39,8 @@
 
 }  // namespace
 
-Server::Server(const Address& on, Budget& budget, Party newcomers, Sender sender, Handler handler)
+Server::Server(const Address& on, ConnectionLimiter& budget, ClientKind newcomers, Sender sender,
+               Handler handler)
     : budget_(budget),
       newcomers_(newcomers),
       sender_(std::move(sender)),
@@ -58,7 +59,7 @@
 
 void Server::accept_loop() {
   while (!stopping_) {
-    auto connection = std::make_shared<Budget::Connection>();
+    auto connection = std::make_shared<ConnectionLimiter::Connection>();
     connection->socket = listener_.accept();
     if (stopping_) return;
     if (!connection->socket.is_open()) {
@@ -79,7 +80,7 @@
   }
 }
 
-Reply Server::answer(Budget::Connection& connection, const Request& request) {
+Reply Server::answer(ConnectionLimiter::Connection& connection, const Request& request) {
   if (!budget_.begin(connection, sender_(request))) return {503, {{"error", "busy"}}, 1};
   try {
     return handler_(request);
@@ -91,7 +92,7 @@
   }
 }
 
-void Server::serve(const Budget::Shared& connection) {
+void Server::serve(const ConnectionLimiter::Shared& connection) {
   Socket& socket = connection->socket;
   Buffer buffer;
   for (;;) {
--- a/src/wire/http.h
+++ b/src/wire/http.h
@@ -11,7 +11,7 @@
 #include <thread>
 #include <vector>
 
-#include "wire/budget.h"
+#include "wire/connection_limiter.h"
 #include "wire/message.h"
 #include "wire/socket.h"
 
@@ -36,19 +36,20 @@
 class Server {
  public:
   // Who sends such a request.
-  using Sender = std::function<Party(const Request&)>;
+  using Sender = std::function<ClientKind(const Request&)>;
 
   // `newcomers`: who comes to this door, as far as that is known before the first request.
-  Server(const Address& on, Budget& budget, Party newcomers, Sender sender, Handler handler);
+  Server(const Address& on, ConnectionLimiter& budget, ClientKind newcomers, Sender sender,
+         Handler handler);
   ~Server();
 
  private:
   void accept_loop();
-  void serve(const Budget::Shared& connection);
-  Reply answer(Budget::Connection& connection, const Request& request);
+  void serve(const ConnectionLimiter::Shared& connection);
+  Reply answer(ConnectionLimiter::Connection& connection, const Request& request);
 
-  Budget& budget_;
-  Party newcomers_;
+  ConnectionLimiter& budget_;
+  ClientKind newcomers_;
   Sender sender_;
   Handler handler_;
   Socket listener_;
--- a/src/wire/crew.cpp
+++ b/src/wire/thread_pool.cpp
@@ -1,17 +1,17 @@
-#include "wire/crew.h"
+#include "wire/thread_pool.h"
 
 #include <thread>
 
 namespace reachramp::wire {
 
-Crew::~Crew() {
+ThreadPool::~ThreadPool() {
   std::unique_lock lock(mutex_);
   stopping_ = true;
   ready_.notify_all();
   gone_.wait(lock, [&] { return threads_ == 0; });
 }
 
-void Crew::run(Work work) {
+void ThreadPool::run(Work work) {
   std::lock_guard lock(mutex_);
   waiting_.push_back(std::move(work));
   if (idle_ >= waiting_.size()) {
@@ -27,17 +27,17 @@
   }
 }
 
-std::size_t Crew::threads() const {
+std::size_t ThreadPool::threads() const {
   std::lock_guard lock(mutex_);
   return threads_;
 }
 
-std::size_t Crew::idle() const {
+std::size_t ThreadPool::idle() const {
   std::lock_guard lock(mutex_);
   return idle_;
 }
 
-void Crew::serve() {
+void ThreadPool::serve() {
   std::unique_lock lock(mutex_);
   for (;;) {
     ++idle_;
--- a/src/wire/crew.h
+++ b/src/wire/thread_pool.h
@@ -11,14 +11,14 @@
 
 namespace reachramp::wire {
 
-class Crew {
+class ThreadPool {
  public:
   using Work = std::function<void()>;
 
-  explicit Crew(std::chrono::milliseconds idle_for) : idle_for_(idle_for) {}
+  explicit ThreadPool(std::chrono::milliseconds idle_for) : idle_for_(idle_for) {}
   // Waits until all work is done and all threads are gone.
-  ~Crew();
-  Crew(const Crew&) = delete;
+  ~ThreadPool();
+  ThreadPool(const ThreadPool&) = delete;
 
   // Never more threads than pieces of work at the same time. Throws std::system_error if there is
   // no thread to be had.
--- a/src/workers/cancelled_tasks.cpp
+++ b/src/workers/cancelled_tasks.cpp
@@ -51,7 +51,7 @@
   for (Index index = 0; index < cluster.hosts.size(); ++index) {
     const Host* host = cluster.hosts[index].get();
     if (host == nullptr || host->urgent_return) continue;
-    const bool silent = now - std::max(host->heard_at, listening_since) > allowance;
+    const bool silent = now - std::max(host->last_heartbeat_at, listening_since) > allowance;
     const double horizon = silent ? now + allowance : now;
     const auto found =
         std::find_if(host->attempts.begin(), host->attempts.end(), [&](const TaskRef& ref) {
--- a/src/workers/cancelled_tasks.h
+++ b/src/workers/cancelled_tasks.h
@@ -2,13 +2,14 @@
 // `cancel_s`.
 //
 // A worker that executes ends such a task when it is told to, or when its lease runs out
-// (leadership/staleness.h bounds how long it may be kept alive). A machine that hangs does neither,
-// and from outside a hang looks like a cut. The machine's return is the one proof that needs no
-// answer from it. So every attempt of a cancelled job that has no proof of its end has a deadline:
-// `cancel_s` after the user may first have been told, less the time that the cloud's call may take.
+// (leadership/read_freshness.h bounds how long it may be kept alive). A machine that hangs does
+// neither, and from outside a hang looks like a cut. The machine's return is the one proof that
+// needs no answer from it. So every attempt of a cancelled job that has no proof of its end has a
+// deadline: `cancel_s` after the user may first have been told, less the time that the cloud's call
+// may take.
 //
 // The deadline does not begin anew with a new leader: the age of a cancellation follows from the
-// stamp of the job's header (state/timeline.h). A leader that begins after the deadline finds
+// revision of the job's header (kv/revision_clock.h). A leader that begins after the deadline finds
 // attempts that have ended long ago and were only not recorded; it listens first.
 #pragma once
 
--- a/src/workers/cancelled_tasks_test.cpp
+++ b/src/workers/cancelled_tasks_test.cpp
@@ -29,8 +29,8 @@
   Index machine_with_task(double heard_at, bool inherited = false) {
     const Index host = test::add_machine(cluster_, "small", "a", false, heard_at);
     cluster_.place(job_, host, 1, host, 0);
-    cluster_.jobs[job_]->attempts.at(host).sent = true;
-    cluster_.jobs[job_]->attempts.at(host).inherited = inherited;
+    cluster_.jobs[job_]->attempts.at(host).start_sent = true;
+    cluster_.jobs[job_]->attempts.at(host).from_previous_leader = inherited;
     return host;
   }
   std::vector<Index> overdue(double listening_since, double now) const {
@@ -55,7 +55,7 @@
   const Index hung = machine_with_task(99);
   const Index reporting = machine_with_task(99);
   cluster_.cancel(job_, {99, 100});
-  cluster_.hosts[reporting]->heard_at = 120;
+  cluster_.hosts[reporting]->last_heartbeat_at = 120;
   const double earliest = 99 + kWorkers.cancel_s - kCloud_s - kAllowance_s;
   EXPECT_EQ(overdue(0, earliest - 0.1), (std::vector<Index>{}));
   EXPECT_EQ(overdue(0, earliest), (std::vector<Index>{hung}));
@@ -97,7 +97,7 @@
     const Index machine = machine_with_task(-1, true);
     EXPECT_TRUE(overdue(200, 200 + kAllowance_s).empty());
     EXPECT_EQ(overdue(200, 200 + kAllowance_s + 0.1), (std::vector<Index>{machine})) << earliest;
-    cluster_.hosts[machine]->heard_at = 205;
+    cluster_.hosts[machine]->last_heartbeat_at = 205;
     EXPECT_TRUE(overdue(200, 211).empty()) << "heard meanwhile";
     cluster_.end_attempt(job_, machine, 206);
   }
--- a/src/workers/report.h
+++ b/src/workers/heartbeat.h
@@ -13,65 +13,76 @@
 using placement::Index;
 using wire::Json;
 
-enum class PieceState { fetching, waiting, running, saving, exited };
-enum class Cause { none, done, halted, mates_gone, incomplete, error, full, in_use, no_such };
+enum class TaskState { fetching, waiting, running, saving, exited };
+enum class ExitReason {
+  none,
+  done,
+  stopped,
+  gang_member_lost,
+  incomplete,
+  error,
+  full,
+  in_use,
+  no_such
+};
 
-struct Piece {
+struct TaskStatus {
   std::string job;
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
-  PieceState state = PieceState::running;
-  Cause cause = Cause::none;
+  TaskState state = TaskState::running;
+  ExitReason cause = ExitReason::none;
 };
 
-struct Report {
+struct Heartbeat {
   std::string host;
   std::string address;
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t tenure = 0;
-  std::uint64_t tick = 0;
-  std::uint64_t baton = 0;
+  std::uint64_t incarnation = 0;
+  std::uint64_t sequence_number = 0;
+  std::uint64_t fencing_token = 0;
   std::optional<double> reclaim_in_s;
-  std::vector<Piece> pieces;
+  std::vector<TaskStatus> tasks;
 };
 
-enum class Verb { start, stop, clear };
+enum class CommandType { start, stop, clear };
 
-struct Order {
-  Verb verb = Verb::start;
+struct Command {
+  CommandType type = CommandType::start;
   std::string job;
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
-  double wind_down_s = 0;
+  double grace_period_s = 0;
 };
 
-Report decode_report(const Json& body);
-Json encode_response(std::uint64_t baton, const std::vector<Order>& orders);
+Heartbeat decode_heartbeat(const Json& body);
+Json encode_response(std::uint64_t fencing_token, const std::vector<Command>& orders);
 
 // Whether the message asked for orders (/v1/report) or only shows the worker's state (the body of
 // /orders or /status). Only the former proves that an earlier answer's start was not taken: the
 // latter may have been written while that answer was still on its way.
-enum class Channel { report, direct };
+enum class Channel { heartbeat, direct };
 
 // Signs in a row from which a machine counts as one that our answers do not reach.
-inline constexpr std::uint32_t kDeafFrom = 2;
+inline constexpr std::uint32_t kUnreachableAfter = 2;
 
 // Takes in what a report proves. Returns the host, or nothing if the report is older than what is
 // known already.
-std::optional<Index> absorb(Cluster& cluster, const Report& report, Channel channel, double now);
+std::optional<Index> reconcile(Cluster& cluster, const Heartbeat& report, Channel channel,
+                               double now);
 
 // The orders that answer the newest report of a host. Starts are included only if `may_start`:
 // the leader has lately confirmed that no job was cancelled behind its back.
-std::vector<Order> orders_for(Cluster& cluster, Index host, bool may_start, double now);
+std::vector<Command> commands_for(Cluster& cluster, Index host, bool may_start, double now);
 
 // The stops alone, for tasks that were started there: may be sent at once, again, and late.
-std::vector<Order> stops_for(const Cluster& cluster, Index host);
+std::vector<Command> stops_for(const Cluster& cluster, Index host);
 
 // The stops that answer a report which is not newer than what is known: those for its machine, and
 // one for each task that it lists and that no attempt of ours is for; of a machine that is gone,
 // for each task that it lists.
-std::vector<Order> stops_for(const Cluster& cluster, const Report& report);
+std::vector<Command> stops_for(const Cluster& cluster, const Heartbeat& report);
 
 }  // namespace reachramp::workers
--- /dev/null
+++ b/src/workers/heartbeat_bytes_test.cpp
@@ -0,0 +1,95 @@
+// The literal form of workers' reports and of the commands that answer them.
+#include "bytes.h"
+#include "workers/heartbeat.h"
+
+namespace reachramp::workers {
+namespace {
+
+using test::is_written_as;
+using test::received;
+
+TEST(WorkerReportBytes, EveryFieldIsReadFromLiteral) {
+  const Heartbeat report = decode_heartbeat(received(
+      R"({"host":"n-1","address":"10.0.0.1:9000","rig":"g8","hall":"a","loaner":true,"tenure":4,
+          "tick":17,"baton":40,"reclaim_in_s":90.5,"pieces":[
+          {"piece":"j-1/3","try":2,"phase":"exited","cause":"done"},
+          {"piece":"j-2/0","try":1,"phase":"running","cause":null}]})"));
+  EXPECT_EQ(report.host, "n-1");
+  EXPECT_EQ(report.address, "10.0.0.1:9000");
+  EXPECT_EQ(report.type, "g8");
+  EXPECT_EQ(report.zone, "a");
+  EXPECT_TRUE(report.spot);
+  EXPECT_EQ(report.incarnation, 4u);
+  EXPECT_EQ(report.sequence_number, 17u);
+  EXPECT_EQ(report.fencing_token, 40u);
+  EXPECT_EQ(report.reclaim_in_s, 90.5);
+  ASSERT_EQ(report.tasks.size(), 2u);
+  EXPECT_EQ(report.tasks[0].job, "j-1");
+  EXPECT_EQ(report.tasks[0].task, 3u);
+  EXPECT_EQ(report.tasks[0].attempt, 2u);
+  EXPECT_EQ(report.tasks[0].state, TaskState::exited);
+  EXPECT_EQ(report.tasks[0].cause, ExitReason::done);
+  EXPECT_EQ(report.tasks[1].job, "j-2");
+  EXPECT_EQ(report.tasks[1].task, 0u);
+  EXPECT_EQ(report.tasks[1].attempt, 1u);
+  EXPECT_EQ(report.tasks[1].state, TaskState::running);
+  EXPECT_EQ(report.tasks[1].cause, ExitReason::none);
+}
+
+TEST(WorkerReportBytes, OptionalFieldsMayBeAbsentOrNull) {
+  for (const char* body :
+       {R"({"host":"n-1","rig":"g8","hall":"a","loaner":false,"tenure":4,"tick":17,"baton":0,
+            "pieces":[]})",
+        R"({"host":"n-1","address":null,"rig":"g8","hall":"a","loaner":false,"tenure":4,"tick":17,
+            "baton":0,"reclaim_in_s":null,"pieces":[]})"}) {
+    const Heartbeat report = decode_heartbeat(received(body));
+    EXPECT_EQ(report.address, "");
+    EXPECT_FALSE(report.spot);
+    EXPECT_FALSE(report.reclaim_in_s);
+    EXPECT_TRUE(report.tasks.empty());
+  }
+}
+
+TaskStatus read_piece(const char* phase, const char* cause) {
+  Json body = received(R"({"host":"n-1","rig":"g8","hall":"a","loaner":false,"tenure":4,"tick":1,
+                           "baton":0,"pieces":[{"piece":"j-1/3","try":2}]})");
+  body["pieces"][0]["phase"] = phase;
+  if (cause != nullptr) body["pieces"][0]["cause"] = cause;
+  return decode_heartbeat(body).tasks.at(0);
+}
+
+TEST(WorkerReportBytes, EveryPhaseAndCauseHasItsWord) {
+  const std::pair<const char*, TaskState> phases[] = {
+      {"fetching", TaskState::fetching}, {"waiting", TaskState::waiting},
+      {"running", TaskState::running},   {"flushing", TaskState::saving},
+      {"exited", TaskState::exited},     {"of a newer version", TaskState::waiting}};
+  for (const auto& [word, state] : phases)
+    EXPECT_EQ(read_piece(word, nullptr).state, state) << word;
+  const std::pair<const char*, ExitReason> causes[] = {{"done", ExitReason::done},
+                                                       {"halted", ExitReason::stopped},
+                                                       {"mates_gone", ExitReason::gang_member_lost},
+                                                       {"incomplete", ExitReason::incomplete},
+                                                       {"error", ExitReason::error},
+                                                       {"full", ExitReason::full},
+                                                       {"in_use", ExitReason::in_use},
+                                                       {"no_such", ExitReason::no_such},
+                                                       {"of a newer version", ExitReason::error}};
+  for (const auto& [word, cause] : causes) {
+    EXPECT_EQ(read_piece("exited", word).cause, cause) << word;
+  }
+}
+
+TEST(WorkerCommandBytes, EveryCommandIsWrittenAsLiteral) {
+  EXPECT_TRUE(is_written_as(encode_response(40, {{CommandType::start, "j-1", 3, 2, 0},
+                                                 {CommandType::stop, "j-2", 0, 1, 4.5},
+                                                 {CommandType::stop, "j-2", 1, 1, 0},
+                                                 {CommandType::clear, "j-3", 7, 5, 0}}),
+                            R"({"baton":40,"orders":[{"verb":"start","piece":"j-1/3","try":2},
+          {"verb":"stop","piece":"j-2/0","try":1,"wind_down_s":4.5},
+          {"verb":"stop","piece":"j-2/1","try":1,"wind_down_s":0.0},
+          {"verb":"clear","piece":"j-3/7","try":5}]})"));
+  EXPECT_TRUE(is_written_as(encode_response(40, {}), R"({"baton":40,"orders":[]})"));
+}
+
+}  // namespace
+}  // namespace reachramp::workers
--- a/src/workers/report_test.cpp
+++ b/src/workers/heartbeat_test.cpp
@@ -1,5 +1,5 @@
 // What reports prove, and what they do not.
-#include "workers/report.h"
+#include "workers/heartbeat.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -9,46 +9,49 @@
 namespace reachramp::workers {
 namespace {
 
-using placement::Seen;
+using placement::ObservedState;
 
-constexpr std::uint64_t kBaton = 40;
+constexpr std::uint64_t kFencingToken = 40;
 
 class Proof : public ::testing::Test {
  protected:
-  Proof() : cluster_(platform_, kBaton, jobs::Format::compact) {
+  Proof() : cluster_(platform_, kFencingToken, jobs::Format::compact) {
     cluster_.set_catalog({{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a"}}});
     jobs::Header header = test::make_array("j-1", 4);
     header.spec.spot = true;
     job_ = cluster_.add_job(header, 7, 0);
   }
 
-  Report report(std::uint64_t tick, std::vector<Piece> pieces = {}, std::uint64_t tenure = 1,
-                std::uint64_t baton = kBaton) {
-    return {"n-1", "", "small", "a", true, tenure, tick, baton, std::nullopt, std::move(pieces)};
+  Heartbeat report(std::uint64_t sequence_number, std::vector<TaskStatus> pieces = {},
+                   std::uint64_t incarnation = 1, std::uint64_t fencing_token = kFencingToken) {
+    return {"n-1",         "",           "small",          "a", true, incarnation, sequence_number,
+            fencing_token, std::nullopt, std::move(pieces)};
   }
-  Index hear(const Report& report, Channel channel = Channel::report) {
-    const auto host = absorb(cluster_, report, channel, report.tick);
+  Index hear(const Heartbeat& report, Channel channel = Channel::heartbeat) {
+    const auto host = reconcile(cluster_, report, channel, report.sequence_number);
     return host ? *host : placement::kNone;
   }
   // Places task 0 durably and sends its start in the answer to report 1.
   Index started() {
     const Index host = hear(report(1));
     cluster_.place(job_, 0, 1, host, 1);
-    attempt().durable = true;
-    EXPECT_EQ(orders_for(cluster_, host, true, 1).size(), 1u);
+    attempt().persisted = true;
+    EXPECT_EQ(commands_for(cluster_, host, true, 1).size(), 1u);
     return host;
   }
   void inherit(const jobs::ChunkRecord& record) {
     placement::StoredRecord stored;
     stored.name = jobs::chunk_key("j-1", 0);
     stored.key = *jobs::parse_chunk_key(stored.name);
-    stored.stamp = 9;
+    stored.revision = 9;
     stored.record = record;
-    cluster_.inherit(job_, {stored}, 0);
+    cluster_.restore(job_, {stored}, 0);
   }
   placement::Attempt& attempt() { return cluster_.jobs[job_]->attempts.at(0); }
   bool held() { return cluster_.jobs[job_]->attempts.contains(0); }
-  Piece piece(PieceState state, Cause cause = Cause::none) { return {"j-1", 0, 1, state, cause}; }
+  TaskStatus piece(TaskState state, ExitReason cause = ExitReason::none) {
+    return {"j-1", 0, 1, state, cause};
+  }
 
   settings::Platform platform_ = [] {
     settings::Platform p;
@@ -63,18 +66,18 @@
 // same, and the answer extends its worker's lease: what must not run there is stopped by it.
 TEST_F(Proof, AReportThatIsNotNewerIsAnsweredWithStops) {
   const Index host = started();
-  EXPECT_TRUE(hear(report(5, {piece(PieceState::running)})) == host);
+  EXPECT_TRUE(hear(report(5, {piece(TaskState::running)})) == host);
   cluster_.cancel(job_, {.latest = 5});
-  const Report late = report(4, {piece(PieceState::running),
-                                 {"j-gone", 2, 3, PieceState::running, Cause::none},
-                                 {"j-gone", 1, 3, PieceState::exited, Cause::done}});
+  const Heartbeat late = report(4, {piece(TaskState::running),
+                                    {"j-gone", 2, 3, TaskState::running, ExitReason::none},
+                                    {"j-gone", 1, 3, TaskState::exited, ExitReason::done}});
   EXPECT_EQ(hear(late), placement::kNone);
-  const std::vector<Order> orders = stops_for(cluster_, late);
+  const std::vector<Command> orders = stops_for(cluster_, late);
   ASSERT_EQ(orders.size(), 2u) << "the cancelled task, and the one of a job that has ended";
-  for (const Order& order : orders) EXPECT_EQ(order.verb, Verb::stop);
+  for (const Command& order : orders) EXPECT_EQ(order.type, CommandType::stop);
   EXPECT_EQ(orders[0].job, "j-1");
   EXPECT_EQ(orders[1].job, "j-gone");
-  Report gone = late;
+  Heartbeat gone = late;
   gone.host = "n-never";
   EXPECT_EQ(stops_for(cluster_, gone).size(), 2u) << "all that it lists as not yet ended";
 }
@@ -82,13 +85,13 @@
 // The first answer of a new leader goes to a report that does not carry its token yet. It extends
 // the lease, so it stops a task whose job's record is gone.
 TEST_F(Proof, TheFirstAnswerOfALeaderStopsWhatIsUnknown) {
-  const Report before =
-      report(3, {{"j-gone", 0, 1, PieceState::running, Cause::none}}, 1, kBaton - 1);
+  const Heartbeat before =
+      report(3, {{"j-gone", 0, 1, TaskState::running, ExitReason::none}}, 1, kFencingToken - 1);
   const Index host = hear(before);
   ASSERT_NE(host, placement::kNone);
-  const std::vector<Order> orders = orders_for(cluster_, host, true, 3);
+  const std::vector<Command> orders = commands_for(cluster_, host, true, 3);
   ASSERT_EQ(orders.size(), 1u);
-  EXPECT_EQ(orders[0].verb, Verb::stop);
+  EXPECT_EQ(orders[0].type, CommandType::stop);
   EXPECT_EQ(orders[0].job, "j-gone");
   EXPECT_TRUE(cluster_.jobs[job_]->attempts.empty()) << "such a report proves nothing";
 }
@@ -96,18 +99,18 @@
 TEST_F(Proof, NothingStartsBeforeItsIntentIsDurable) {
   const Index host = hear(report(1));
   cluster_.place(job_, 0, 1, host, 1);
-  EXPECT_TRUE(orders_for(cluster_, host, true, 1).empty());
-  attempt().durable = true;
-  EXPECT_TRUE(orders_for(cluster_, host, false, 1).empty()) << "cancellations may be unknown";
-  EXPECT_EQ(orders_for(cluster_, host, true, 1).size(), 1u);
-  EXPECT_TRUE(orders_for(cluster_, host, true, 1).empty()) << "sent once until proven lost";
+  EXPECT_TRUE(commands_for(cluster_, host, true, 1).empty());
+  attempt().persisted = true;
+  EXPECT_TRUE(commands_for(cluster_, host, false, 1).empty()) << "cancellations may be unknown";
+  EXPECT_EQ(commands_for(cluster_, host, true, 1).size(), 1u);
+  EXPECT_TRUE(commands_for(cluster_, host, true, 1).empty()) << "sent once until proven lost";
 }
 
 TEST_F(Proof, ADroppedAnswerIsSentAgainOnlyAfterTheNextReport) {
   const Index host = started();
   hear(report(2));
   EXPECT_TRUE(held());
-  EXPECT_EQ(orders_for(cluster_, host, true, 2).size(), 1u);
+  EXPECT_EQ(commands_for(cluster_, host, true, 2).size(), 1u);
 }
 
 // The body of /orders may have been written while the answer with the start was on its way.
@@ -122,24 +125,24 @@
 
 TEST_F(Proof, AnOlderReportProvesNothing) {
   started();
-  hear(report(5, {piece(PieceState::running)}));
+  hear(report(5, {piece(TaskState::running)}));
   EXPECT_EQ(hear(report(4)), placement::kNone);
   EXPECT_TRUE(held());
 }
 
-TEST_F(Proof, AnInheritedAttemptNeedsAReportWithOurBaton) {
+TEST_F(Proof, AnAttemptOfAPreviousLeaderNeedsAHeartbeatWithOurFencingToken) {
   jobs::ChunkRecord record;
   record.placements = {{0, 1, "n-1"}};
   record.last_attempt = 1;
   inherit(record);
-  const Index host = hear(report(1, {}, 1, kBaton - 1));
-  EXPECT_TRUE(attempt().inherited) << "the earlier leader's start may still arrive";
-  EXPECT_TRUE(orders_for(cluster_, host, true, 1).empty());
-  hear(report(2, {}, 2, kBaton - 1));
+  const Index host = hear(report(1, {}, 1, kFencingToken - 1));
+  EXPECT_TRUE(attempt().from_previous_leader) << "the earlier leader's start may still arrive";
+  EXPECT_TRUE(commands_for(cluster_, host, true, 1).empty());
+  hear(report(2, {}, 2, kFencingToken - 1));
   EXPECT_TRUE(held()) << "even in a new session it may be started by the earlier leader";
-  hear(report(3, {}, 2, kBaton));
+  hear(report(3, {}, 2, kFencingToken));
   EXPECT_FALSE(held());
-  EXPECT_TRUE(orders_for(cluster_, host, true, 3).empty()) << "it is placed anew, within limits";
+  EXPECT_TRUE(commands_for(cluster_, host, true, 3).empty()) << "it is placed anew, within limits";
 }
 
 // A report that a cut had held since before we led listed an exit; meanwhile an earlier leader had
@@ -148,38 +151,38 @@
   jobs::ChunkRecord record;
   record.placements = {{0, 1, "n-1"}};
   inherit(record);
-  hear(report(1, {piece(PieceState::exited, Cause::error)}, 1, kBaton - 1));
+  hear(report(1, {piece(TaskState::exited, ExitReason::error)}, 1, kFencingToken - 1));
   EXPECT_TRUE(held());
-  hear(report(2, {piece(PieceState::running)}, 2));
-  EXPECT_EQ(attempt().seen, Seen::running);
+  hear(report(2, {piece(TaskState::running)}, 2));
+  EXPECT_EQ(attempt().observed, ObservedState::running);
 }
 
-TEST_F(Proof, ANewSessionEndsWhatWasSentInTheOld) {
+TEST_F(Proof, ANewIncarnationEndsWhatWasSentInTheOld) {
   started();
-  hear(report(2, {piece(PieceState::running)}));
+  hear(report(2, {piece(TaskState::running)}));
   hear(report(3, {}, 2));
   EXPECT_FALSE(held());
 }
 
 TEST_F(Proof, AnExitIsClearedOnlyOnceItIsDurable) {
   const Index host = started();
-  hear(report(2, {piece(PieceState::exited, Cause::done)}));
+  hear(report(2, {piece(TaskState::exited, ExitReason::done)}));
   EXPECT_FALSE(held());
   EXPECT_TRUE(cluster_.jobs[job_]->done[0]);
-  EXPECT_TRUE(orders_for(cluster_, host, true, 2).empty());
-  auto& chunk = cluster_.jobs[job_]->chunks[0];
+  EXPECT_TRUE(commands_for(cluster_, host, true, 2).empty());
+  auto& chunk = cluster_.jobs[job_]->task_ranges[0];
   chunk.stored = chunk.changed;
-  const auto orders = orders_for(cluster_, host, true, 2);
+  const auto orders = commands_for(cluster_, host, true, 2);
   ASSERT_EQ(orders.size(), 1u);
-  EXPECT_EQ(orders[0].verb, Verb::clear);
+  EXPECT_EQ(orders[0].type, CommandType::clear);
 }
 
 TEST_F(Proof, AStrangerOfALiveJobBlocksItsTaskUntilItIsGone) {
-  const Index host = hear(report(1, {piece(PieceState::running)}));
+  const Index host = hear(report(1, {piece(TaskState::running)}));
   EXPECT_TRUE(held());
-  const auto orders = orders_for(cluster_, host, true, 1);
+  const auto orders = commands_for(cluster_, host, true, 1);
   ASSERT_EQ(orders.size(), 1u);
-  EXPECT_EQ(orders[0].verb, Verb::stop);
+  EXPECT_EQ(orders[0].type, CommandType::stop);
   hear(report(2));
   EXPECT_FALSE(held());
 }
@@ -187,65 +190,66 @@
 TEST_F(Proof, CancellingStopsWhatRunsAndReleasesWhatWasNeverSent) {
   const Index host = started();
   cluster_.place(job_, 1, 1, host, 1);
-  hear(report(2, {piece(PieceState::running)}));
+  hear(report(2, {piece(TaskState::running)}));
   cluster_.cancel(job_, {.latest = 2});
   EXPECT_FALSE(cluster_.jobs[job_]->attempts.contains(1));
-  const auto orders = orders_for(cluster_, host, true, 2);
+  const auto orders = commands_for(cluster_, host, true, 2);
   ASSERT_EQ(orders.size(), 1u);
-  EXPECT_EQ(orders[0].verb, Verb::stop);
-  hear(report(3, {piece(PieceState::exited, Cause::halted)}));
-  EXPECT_TRUE(cluster_.over.contains(job_));
+  EXPECT_EQ(orders[0].type, CommandType::stop);
+  hear(report(3, {piece(TaskState::exited, ExitReason::stopped)}));
+  EXPECT_TRUE(cluster_.finished_jobs.contains(job_));
 }
 
 // The users' trouble: a machine's reports arrive, but answers do not reach it. Its sessions run out
 // although we answered; a start that we sent never appears.
-TEST_F(Proof, SessionsThatRunOutAlthoughWeAnsweredShowADeafMachine) {
+TEST_F(Proof, IncarnationsThatEndAlthoughWeAnsweredShowAnUnreachableMachine) {
   const Index host = started();
-  for (std::uint64_t tick = 2; tick <= 10; ++tick) {  // answered each second, its lease is 10 s
-    hear(report(tick, {piece(PieceState::running)}));
-    orders_for(cluster_, host, true, static_cast<double>(tick));
+  for (std::uint64_t sequence_number = 2; sequence_number <= 10;
+       ++sequence_number) {  // answered each second, its lease is 10 s
+    hear(report(sequence_number, {piece(TaskState::running)}));
+    commands_for(cluster_, host, true, static_cast<double>(sequence_number));
   }
-  EXPECT_EQ(cluster_.hosts[host]->unheeded, 0u);
+  EXPECT_EQ(cluster_.hosts[host]->ignored_responses, 0u);
   hear(report(11, {}, 2));
-  EXPECT_GE(cluster_.hosts[host]->unheeded, kDeafFrom);
+  EXPECT_GE(cluster_.hosts[host]->ignored_responses, kUnreachableAfter);
   EXPECT_FALSE(held()) << "a new session proves that nothing is left";
   // A session that outlasts a lease and the time that an answer may take was renewed.
-  for (std::uint64_t tick = 12; tick <= 26; ++tick) {
-    EXPECT_GE(cluster_.hosts[host]->unheeded, kDeafFrom) << tick;
-    hear(report(tick, {}, 2));
-    orders_for(cluster_, host, true, static_cast<double>(tick));
+  for (std::uint64_t sequence_number = 12; sequence_number <= 26; ++sequence_number) {
+    EXPECT_GE(cluster_.hosts[host]->ignored_responses, kUnreachableAfter) << sequence_number;
+    hear(report(sequence_number, {}, 2));
+    commands_for(cluster_, host, true, static_cast<double>(sequence_number));
   }
-  EXPECT_EQ(cluster_.hosts[host]->unheeded, 0u);
+  EXPECT_EQ(cluster_.hosts[host]->ignored_responses, 0u);
 }
 
 TEST_F(Proof, AMachineThatHangsIsNotTakenForDeaf) {
   const Index host = started();
-  hear(report(2, {piece(PieceState::running)}));
-  orders_for(cluster_, host, true, 2);
+  hear(report(2, {piece(TaskState::running)}));
+  commands_for(cluster_, host, true, 2);
   hear(report(40, {}, 2));  // it stood still for longer than its lease
-  EXPECT_EQ(cluster_.hosts[host]->unheeded, 0u);
+  EXPECT_EQ(cluster_.hosts[host]->ignored_responses, 0u);
 }
 
-TEST_F(Proof, StartsThatNeverAppearAndABatonThatDoesNotMoveShowADeafMachine) {
+TEST_F(Proof, StartsThatNeverAppearAndAFencingTokenThatDoesNotMoveShowAnUnreachableMachine) {
   const Index host = started();
-  for (std::uint64_t tick = 2; tick <= 3; ++tick) {
-    hear(report(tick));
-    orders_for(cluster_, host, true, static_cast<double>(tick));
+  for (std::uint64_t sequence_number = 2; sequence_number <= 3; ++sequence_number) {
+    hear(report(sequence_number));
+    commands_for(cluster_, host, true, static_cast<double>(sequence_number));
   }
-  EXPECT_GE(cluster_.hosts[host]->unheeded, kDeafFrom);
-  Report other = report(1, {}, 1, kBaton - 1);
+  EXPECT_GE(cluster_.hosts[host]->ignored_responses, kUnreachableAfter);
+  Heartbeat other = report(1, {}, 1, kFencingToken - 1);
   other.host = "n-2";
   const Index second = hear(other);
   for (int i = 0; i < 2; ++i) {
-    orders_for(cluster_, second, true, static_cast<double>(other.tick));
-    other.tick += 1;
+    commands_for(cluster_, second, true, static_cast<double>(other.sequence_number));
+    other.sequence_number += 1;
     hear(other);
   }
-  EXPECT_GE(cluster_.hosts[second]->unheeded, kDeafFrom);
-  other.tick += 1;
-  other.baton = kBaton;
+  EXPECT_GE(cluster_.hosts[second]->ignored_responses, kUnreachableAfter);
+  other.sequence_number += 1;
+  other.fencing_token = kFencingToken;
   hear(other);
-  EXPECT_EQ(cluster_.hosts[second]->unheeded, 0u) << "it has heard us";
+  EXPECT_EQ(cluster_.hosts[second]->ignored_responses, 0u) << "it has heard us";
 }
 
 // Copies of reports come late, from seconds to well over a lease, in any order and more than once:
@@ -253,52 +257,55 @@
 RC_GTEST_PROP(ReportCopies, ChangeNothing, ()) {
   settings::Platform platform;
   platform.teams = {{"red", 0, 0, 0, 0}};
-  Cluster cluster(platform, kBaton, jobs::Format::compact);
+  Cluster cluster(platform, kFencingToken, jobs::Format::compact);
   cluster.set_catalog({{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a"}}});
   jobs::Header header = test::make_array("j-1", 6);
   header.spec.spot = true;
   const Index job = cluster.add_job(header, 7, 0);
-  std::vector<Report> sent;
+  std::vector<Heartbeat> sent;
   double now = 0;
   const auto shown = [&] {
     const placement::Host& host = *cluster.hosts.front();
     std::vector<std::tuple<std::uint32_t, bool, bool, int>> attempts;
     for (const auto& [task, attempt] : cluster.jobs[job]->attempts) {
-      attempts.emplace_back(task, attempt.sent, attempt.stopping, static_cast<int>(attempt.seen));
+      attempts.emplace_back(task, attempt.start_sent, attempt.stopping,
+                            static_cast<int>(attempt.observed));
     }
-    return std::tuple(host.tenure, host.tick, host.heard_at, host.ours, host.unheeded,
-                      host.attempts.size(), attempts, cluster.jobs[job]->done,
-                      cluster.hosts.size());
+    return std::tuple(host.incarnation, host.sequence_number, host.last_heartbeat_at,
+                      host.acknowledged_token, host.ignored_responses, host.attempts.size(),
+                      attempts, cluster.jobs[job]->done, cluster.hosts.size());
   };
   const auto steps = *rc::gen::inRange(3, 25);
-  std::uint64_t tenure = 1, tick = 0;
+  std::uint64_t incarnation = 1, sequence_number = 0;
   for (int step = 0; step < steps; ++step) {
     now += 1;
-    if (*rc::gen::inRange(0, 8) == 0) ++tenure;
-    Report report{"n-1", "", "small", "a", true, tenure, ++tick, kBaton, std::nullopt, {}};
+    if (*rc::gen::inRange(0, 8) == 0) ++incarnation;
+    Heartbeat report{"n-1",        "",          "small",           "a",
+                     true,         incarnation, ++sequence_number, kFencingToken,
+                     std::nullopt, {}};
     for (const auto& [task, attempt] : cluster.jobs[job]->attempts) {
-      static constexpr PieceState kAny[] = {PieceState::running, PieceState::fetching,
-                                            PieceState::exited};
-      const PieceState state = kAny[*rc::gen::inRange(0, 3)];
+      static constexpr TaskState kAny[] = {TaskState::running, TaskState::fetching,
+                                           TaskState::exited};
+      const TaskState state = kAny[*rc::gen::inRange(0, 3)];
       if (*rc::gen::inRange(0, 4) != 0) {
-        report.pieces.push_back({"j-1", task, attempt.number, state,
-                                 state == PieceState::exited ? Cause::done : Cause::none});
+        report.tasks.push_back({"j-1", task, attempt.number, state,
+                                state == TaskState::exited ? ExitReason::done : ExitReason::none});
       }
     }
-    const auto host = absorb(cluster, report, Channel::report, now);
+    const auto host = reconcile(cluster, report, Channel::heartbeat, now);
     RC_ASSERT(host.has_value());
     sent.push_back(report);
     for (std::uint32_t task = 0; task < 6; ++task) {
       const placement::Job& one = *cluster.jobs[job];
       if (one.done[task] || one.attempts.contains(task) || *rc::gen::inRange(0, 2) == 0) continue;
       cluster.place(job, task, one.last_attempt + 1, *host, now);
-      cluster.make_durable(*cluster.jobs[job], task);
+      cluster.mark_persisted(*cluster.jobs[job], task);
     }
-    orders_for(cluster, *host, true, now);
+    commands_for(cluster, *host, true, now);
     const auto before = shown();
     for (int copies = *rc::gen::inRange(0, 4); copies > 0; --copies) {
-      const Report& copy = sent[*rc::gen::inRange<std::size_t>(0, sent.size())];
-      RC_ASSERT(!absorb(cluster, copy, Channel::report, now + 30).has_value());
+      const Heartbeat& copy = sent[*rc::gen::inRange<std::size_t>(0, sent.size())];
+      RC_ASSERT(!reconcile(cluster, copy, Channel::heartbeat, now + 30).has_value());
     }
     RC_ASSERT(shown() == before);
   }
@@ -306,26 +313,26 @@
 
 // Of a machine that is gone, under a leader that never knew it.
 TEST_F(Proof, ACopyAloneBringsNoMachineBack) {
-  const Index host = hear(report(5, {}, 1, kBaton - 1));
-  EXPECT_TRUE(cluster_.hosts[host]->hearsay);
-  hear(report(6, {}, 1, kBaton - 1));
-  EXPECT_TRUE(cluster_.hosts[host]->hearsay) << "copies may come one after another";
+  const Index host = hear(report(5, {}, 1, kFencingToken - 1));
+  EXPECT_TRUE(cluster_.hosts[host]->unconfirmed);
+  hear(report(6, {}, 1, kFencingToken - 1));
+  EXPECT_TRUE(cluster_.hosts[host]->unconfirmed) << "copies may come one after another";
   hear(report(7));
-  EXPECT_FALSE(cluster_.hosts[host]->hearsay) << "it has heard this leader";
+  EXPECT_FALSE(cluster_.hosts[host]->unconfirmed) << "it has heard this leader";
 }
 
 TEST_F(Proof, AJobThatFailsEverywhereIsNotBlamedOnMachines) {
   for (std::uint64_t n = 1; n <= 6; ++n) {
-    Report from = report(n);
+    Heartbeat from = report(n);
     from.host = "n-" + std::to_string(n);
     const Index host = hear(from);
     cluster_.place(job_, 0, n, host, 1);
-    attempt().sent = true;
-    from.tick += 10;
-    from.pieces = {{"j-1", 0, n, PieceState::exited, Cause::error}};
+    attempt().start_sent = true;
+    from.sequence_number += 10;
+    from.tasks = {{"j-1", 0, n, TaskState::exited, ExitReason::error}};
     hear(from);
   }
-  for (const auto& host : cluster_.hosts) EXPECT_FALSE(host->faulty) << host->name;
+  for (const auto& host : cluster_.hosts) EXPECT_FALSE(host->quarantined) << host->name;
   EXPECT_GT(cluster_.jobs[job_]->not_before, 0) << "and is tried less and less often";
 }
 
@@ -342,18 +349,18 @@
       {"pieces",
        Json::array(
            {{{"piece", "j-9/7"}, {"try", 1}, {"phase", "brooding"}, {"cause", "weather"}}})}};
-  const Report report = decode_report(good);
-  EXPECT_EQ(report.pieces.at(0).state, PieceState::waiting) << "it is there, and has not ended";
-  EXPECT_EQ(report.pieces.at(0).cause, Cause::error);
+  const Heartbeat report = decode_heartbeat(good);
+  EXPECT_EQ(report.tasks.at(0).state, TaskState::waiting) << "it is there, and has not ended";
+  EXPECT_EQ(report.tasks.at(0).cause, ExitReason::error);
   for (const char* field : {"tenure", "tick", "baton"}) {
     for (const Json& value : {Json(-1), Json(1.5), Json(1e300), Json("x"), Json(true), Json()}) {
       Json bad = good;
       bad[field] = value;
-      EXPECT_THROW(decode_report(bad), wire::BadMessage) << field << value;
+      EXPECT_THROW(decode_heartbeat(bad), wire::BadMessage) << field << value;
     }
     Json bad = good;
     bad.erase(field);
-    EXPECT_THROW(decode_report(bad), wire::BadMessage) << field;
+    EXPECT_THROW(decode_heartbeat(bad), wire::BadMessage) << field;
   }
 }
 
@@ -372,7 +379,7 @@
   const auto wrong = std::vector<std::string>{"-5", "1e99", "\"x\"", "[1]", "null"};
   body[*rc::gen::elementOf(keys)] = Json::parse(*rc::gen::elementOf(wrong));
   try {
-    decode_report(body);
+    decode_heartbeat(body);
   } catch (const wire::BadMessage&) {
   }
 }
--- a/src/zones/what_if.cpp
+++ b/src/zones/zone_loss_estimate.cpp
@@ -1,4 +1,4 @@
-#include "zones/what_if.h"
+#include "zones/zone_loss_estimate.h"
 
 #include <spdlog/fmt/fmt.h>
 
@@ -30,30 +30,32 @@
     std::vector<std::pair<std::size_t, std::uint32_t>> taken;
     for (std::size_t i = 0; i < hosts.size() && found < most; ++i) {
       if (!placement::allows(cluster, job, *hosts[i].first)) continue;
-      const std::uint32_t copies = std::min(hosts[i].second.copies(job.need), most - found);
+      const std::uint32_t copies =
+          std::min(hosts[i].second.copies(job.resources_per_task), most - found);
       if (copies == 0) continue;
       taken.emplace_back(i, copies);
       found += copies;
     }
     if (found < needed) return 0;
-    for (const auto& [i, copies] : taken) hosts[i].second -= job.need.times(copies);
+    for (const auto& [i, copies] : taken) hosts[i].second -= job.resources_per_task.times(copies);
     return found;
   }
 };
 
 }  // namespace
 
-std::vector<Loss> what_if(const Cluster& cluster, const placement::Service& service, double now) {
-  std::map<Index, Loss> losses;
+std::vector<ZoneLossEstimate> estimate_zone_loss(const Cluster& cluster,
+                                                 const placement::Service& service, double now) {
+  std::map<Index, ZoneLossEstimate> losses;
   std::map<Index, Rooms> free;
   for (const auto& host : cluster.hosts) {
     if (!host || host->zone == kNone || !placement::usable(cluster, *host, now)) continue;
-    Loss& loss = losses[host->zone];
+    ZoneLossEstimate& loss = losses[host->zone];
     loss.zone = host->zone;
     ++loss.machines;
     if (host->free.cpus > kCrumb) free[host->zone].hosts.emplace_back(host.get(), host->free);
   }
-  std::vector<Loss> found;
+  std::vector<ZoneLossEstimate> found;
   for (auto& [zone, loss] : losses) {
     std::map<Index, Rooms> rooms = free;
     rooms.erase(zone);
@@ -68,7 +70,7 @@
           }));
       if (there == 0) continue;
       ++loss.jobs;
-      loss.cores += there * job.need.cpus;
+      loss.cores += there * job.resources_per_task.cpus;
       if (job.spec.shape == jobs::Shape::service && there * 2 > job.spec.tasks) ++loss.over_half;
       // A gang that must share a zone begins anew as a whole.
       const std::uint32_t lost =
@@ -90,7 +92,7 @@
   return found;
 }
 
-std::string describe(const Cluster& cluster, const Loss& loss) {
+std::string describe(const Cluster& cluster, const ZoneLossEstimate& loss) {
   return fmt::format(
       "if zone {} went now: {} machines, {} jobs with {:.0f} cores; elsewhere {:.0f} are free; {} "
       "jobs would wait, {} of them within a guarantee, {} bound to it; {} services would lose more "
--- a/src/zones/what_if.h
+++ b/src/zones/zone_loss_estimate.h
@@ -11,7 +11,7 @@
 namespace reachramp::zones {
 
 // Counts of jobs are of those that have tasks in the zone and are neither done nor cancelled.
-struct Loss {
+struct ZoneLossEstimate {
   placement::Index zone = placement::kNone;
   std::size_t machines = 0;    // that work or could
   double cores = 0;            // at work there
@@ -26,9 +26,9 @@
 // For each zone with machines that can be used: its tasks are placed, in the order of service, on
 // what is free in the others. What could be rented there is not reckoned with, nor who could be
 // made to yield; a gang that must share a zone needs room for all of it in one.
-std::vector<Loss> what_if(const placement::Cluster& cluster, const placement::Service& service,
-                          double now);
+std::vector<ZoneLossEstimate> estimate_zone_loss(const placement::Cluster& cluster,
+                                                 const placement::Service& service, double now);
 
-std::string describe(const placement::Cluster& cluster, const Loss& loss);
+std::string describe(const placement::Cluster& cluster, const ZoneLossEstimate& loss);
 
 }  // namespace reachramp::zones
--- a/src/zones/what_if_test.cpp
+++ b/src/zones/zone_loss_estimate_test.cpp
@@ -1,4 +1,4 @@
-#include "zones/what_if.h"
+#include "zones/zone_loss_estimate.h"
 
 #include <gtest/gtest.h>
 
@@ -27,8 +27,9 @@
     return header_.spec;
   }
   void add() { cluster_.add_job(header_, cluster_.jobs.size() + 1, 0); }
-  Loss of(const std::string& zone) {
-    for (const Loss& loss : what_if(cluster_, placement::service_order(cluster_, 1), 1)) {
+  ZoneLossEstimate of(const std::string& zone) {
+    for (const ZoneLossEstimate& loss :
+         estimate_zone_loss(cluster_, placement::service_order(cluster_, 1), 1)) {
       if (cluster_.zones[loss.zone] == zone) return loss;
     }
     return {};
@@ -56,7 +57,7 @@
   EXPECT_EQ(placement::plan(cluster_, 1), 10);
   test::add_machine(cluster_, "small", "b", true);
   cluster_.hosts.back()->free.cpus = 2;
-  const Loss loss = of("a");
+  const ZoneLossEstimate loss = of("a");
   EXPECT_EQ(loss.machines, 3u);
   EXPECT_DOUBLE_EQ(loss.cores, 10);
   EXPECT_DOUBLE_EQ(loss.room, 2);
--- a/src/zones/zones.cpp
+++ b/src/zones/zones.cpp
@@ -6,9 +6,9 @@
 #include <boost/math/distributions/binomial.hpp>
 #include <cmath>
 
-#include "levels/table.h"
 #include "placement/order.h"
 #include "placement/plan.h"
+#include "schema/schema_levels.h"
 
 namespace reachramp::zones {
 
@@ -49,7 +49,7 @@
 }
 
 // How likely as many would be overdue if each were with that chance.
-double by_chance(const Sight& sight, double each) {
+double by_chance(const ZoneObservation& sight, double each) {
   if (sight.overdue == 0) return 1;
   const boost::math::binomial_distribution<double> overdue(static_cast<double>(sight.machines),
                                                            each);
@@ -59,32 +59,32 @@
 }  // namespace
 
 bool is_stale(const std::string& key, const wire::Json&, std::uint32_t level) {
-  return key == kZonesKey && level < levels::kDrains;
+  return key == kZonesKey && level < schema::kDrains;
 }
 
 const char* name_of(State state) {
   switch (state) {
-    case State::well:
+    case State::healthy:
       return "well";
-    case State::doubtful:
+    case State::suspected:
       return "doubtful";
     case State::lost:
       return "lost";
-    case State::returning:
+    case State::recovering:
       return "coming back";
   }
   return "";
 }
 
-std::vector<Sight> Zones::look(const Cluster& cluster, double since, double now) {
-  std::vector<Sight> sights(cluster.zones.size());
+std::vector<ZoneObservation> Zones::look(const Cluster& cluster, double since, double now) {
+  std::vector<ZoneObservation> sights(cluster.zones.size());
   const double late = overdue_after(cluster);
   for (const auto& host : cluster.hosts) {
     if (!host || host->zone == kNone || !should_be_heard(cluster, *host, now)) continue;
-    const bool overdue = now - std::max(host->heard_at, since) > late;
+    const bool overdue = now - std::max(host->last_heartbeat_at, since) > late;
     ++sights[host->zone].machines;
     sights[host->zone].overdue += overdue ? 1 : 0;
-    sights[host->zone].heard += !overdue && host->heard_at >= since ? 1 : 0;
+    sights[host->zone].heard += !overdue && host->last_heartbeat_at >= since ? 1 : 0;
   }
   return sights;
 }
@@ -93,17 +93,17 @@
 // for as long as reports may take.
 double Zones::silence(const Cluster& cluster, const Host& host, double since, double now) const {
   const auto at = zones_.find(host.zone);
-  const bool known = at != zones_.end() && at->second.inherited && host.heard_at < since &&
+  const bool known = at != zones_.end() && at->second.inherited && host.last_heartbeat_at < since &&
                      now - since > overdue_after(cluster);
-  return now - std::max(host.heard_at, known ? at->second.lost_since : since);
+  return now - std::max(host.last_heartbeat_at, known ? at->second.lost_since : since);
 }
 
 State Zones::state(Index zone) const {
   const auto at = zones_.find(zone);
-  return at == zones_.end() ? State::well : at->second.state;
+  return at == zones_.end() ? State::healthy : at->second.state;
 }
 
-double Zones::heard_again_at(Index zone) const {
+double Zones::reachable_since(Index zone) const {
   const auto at = zones_.find(zone);
   return at == zones_.end() ? -1e9 : at->second.heard_again_at;
 }
@@ -117,10 +117,10 @@
   spdlog::info("zone {}: {}: {}", cluster.zones[index], zones::name_of(state), why);
 }
 
-void Zones::judge(const Cluster& cluster, Index index, const Sight& sight, const Sight& others,
-                  double since, double now) {
+void Zones::judge(const Cluster& cluster, Index index, const ZoneObservation& sight,
+                  const ZoneObservation& others, double since, double now) {
   Zone& zone = zones_[index];
-  const auto share = [](const Sight& one) {
+  const auto share = [](const ZoneObservation& one) {
     return one.machines == 0 ? 0
                              : static_cast<double>(one.overdue) / static_cast<double>(one.machines);
   };
@@ -136,13 +136,13 @@
       apart && now - zone.apart_since >= kApartFor * cluster.platform.workers.report_s;
   const double lease = cluster.platform.workers.lease_s;
   switch (zone.state) {
-    case State::well:
+    case State::healthy:
       if (now - zone.since > kFlapsForgotten_s) zone.flaps = 0;
       if (!silent) return;
       zone.lost_since = now;
-      enter(cluster, index, State::doubtful, counts, now);
+      enter(cluster, index, State::suspected, counts, now);
       return;
-    case State::doubtful:
+    case State::suspected:
     case State::lost: {
       const bool heard =
           sight.machines >= kFewest && static_cast<double>(sight.heard) >
@@ -153,33 +153,33 @@
         zone.heard_again_at = now;
         zone.inherited = false;
         zone.flaps = std::min(zone.flaps + 1, kMostFlaps);
-        enter(cluster, index, State::returning,
+        enter(cluster, index, State::recovering,
               heard ? fmt::format("after {:.0f} s", now - zone.lost_since)
                     : "none of its machines is left: tried anew",
               now);
-      } else if (zone.state == State::doubtful && now - zone.since > lease / 2 && silent) {
+      } else if (zone.state == State::suspected && now - zone.since > lease / 2 && silent) {
         enter(cluster, index, State::lost, counts, now);
       }
       return;
     }
-    case State::returning:
+    case State::recovering:
       if (silent) {
-        enter(cluster, index, State::doubtful, counts, now);
+        enter(cluster, index, State::suspected, counts, now);
       } else if (now - zone.since > kSettle_s * (1 << (zone.flaps - 1))) {
-        enter(cluster, index, State::well, counts, now);
+        enter(cluster, index, State::healthy, counts, now);
       }
   }
 }
 
-void Zones::pass(Cluster& cluster, double since, double now) {
-  const std::vector<Sight> sights = look(cluster, since, now);
-  Sight all;
-  for (const Sight& sight : sights) {
+void Zones::advance(Cluster& cluster, double since, double now) {
+  const std::vector<ZoneObservation> sights = look(cluster, since, now);
+  ZoneObservation all;
+  for (const ZoneObservation& sight : sights) {
     all.machines += sight.machines;
     all.overdue += sight.overdue;
   }
   for (Index zone = 0; zone < sights.size(); ++zone) {
-    const Sight& sight = sights[zone];
+    const ZoneObservation& sight = sights[zone];
     judge(cluster, zone, sight, {all.machines - sight.machines, all.overdue - sight.overdue, 0},
           since, now);
   }
@@ -188,10 +188,11 @@
   for (const auto& host : cluster.hosts) {
     if (!host || host->zone == kNone) continue;
     const State state = this->state(host->zone);
-    const bool cut = (state == State::doubtful || state == State::lost) &&
-                     (host->heard_at < since || silence(cluster, *host, since, now) > late);
-    host->lost = cut && state == State::lost;
-    if (!std::exchange(host->cut, cut) && cut) {
+    const bool cut =
+        (state == State::suspected || state == State::lost) &&
+        (host->last_heartbeat_at < since || silence(cluster, *host, since, now) > late);
+    host->zone_lost = cut && state == State::lost;
+    if (!std::exchange(host->zone_suspected, cut) && cut) {
       unsent.insert(unsent.end(), host->attempts.begin(), host->attempts.end());
     }
   }
@@ -199,7 +200,7 @@
   for (const placement::TaskRef& ref : unsent) {
     const auto& attempts = cluster.jobs[ref.job]->attempts;
     const auto at = attempts.find(ref.task);
-    if (at == attempts.end() || at->second.sent || at->second.inherited) continue;
+    if (at == attempts.end() || at->second.start_sent || at->second.from_previous_leader) continue;
     cluster.stop(ref.job, ref.task, 0);
     cluster.release_unsent(ref.job, now);
   }
@@ -208,7 +209,7 @@
 wire::Json Zones::encode(const Cluster& cluster) const {
   wire::Json list = wire::Json::array();
   for (const auto& [index, zone] : zones_) {
-    if (zone.state == State::well && zone.flaps == 0) continue;
+    if (zone.state == State::healthy && zone.flaps == 0) continue;
     list.push_back({{"name", cluster.zones[index]},
                     {"state", static_cast<std::uint64_t>(zone.state)},
                     {"flaps", zone.flaps}});
@@ -216,23 +217,23 @@
   return {{"zones", std::move(list)}};
 }
 
-void Zones::inherit(const wire::Json& record, Cluster& cluster, double at, double now) {
+void Zones::restore(const wire::Json& record, Cluster& cluster, double at, double now) {
   if (!record.is_object()) throw wire::BadMessage("zones: not a map");
   std::map<std::string, Zone> found;
   for (const wire::Json& item : wire::list(record, "zones")) {
     Zone zone;
     zone.state = static_cast<State>(
-        wire::count(item, "state", static_cast<std::uint64_t>(State::returning)));
+        wire::count(item, "state", static_cast<std::uint64_t>(State::recovering)));
     zone.flaps = static_cast<int>(wire::count(item, "flaps", kMostFlaps));
     zone.since = zone.lost_since = std::min(at, now);
-    if (zone.state == State::returning) zone.flaps = std::max(zone.flaps, 1);
-    zone.inherited = zone.state == State::doubtful || zone.state == State::lost;
+    if (zone.state == State::recovering) zone.flaps = std::max(zone.flaps, 1);
+    zone.inherited = zone.state == State::suspected || zone.state == State::lost;
     found[wire::text(item, "name")] = zone;
   }
   if (found.size() > kMostZones) throw wire::BadMessage("zones: too many");
   for (const auto& [name, zone] : found) {
     zones_[cluster.zones.add(name)] = zone;
-    if (zone.state != State::well) {
+    if (zone.state != State::healthy) {
       spdlog::info("zone {}: {}: as an earlier leader found", name, zones::name_of(zone.state));
     }
   }
@@ -241,7 +242,7 @@
 std::set<Pool> Zones::closed(const Cluster& cluster) const {
   std::set<Pool> pools;
   for (const auto& [index, zone] : zones_) {
-    if (zone.state == State::well) continue;
+    if (zone.state == State::healthy) continue;
     for (Index type = 0; type < cluster.types.size(); ++type) {
       for (const bool spot : {false, true}) pools.insert({type, index, spot});
     }
@@ -257,8 +258,8 @@
   double usable_machines = 0, free = 0;
   for (Index i = 0; i < cluster.hosts.size(); ++i) {
     const auto& host = cluster.hosts[i];
-    if (!host || host->phase == HostPhase::leaving) continue;
-    if (host->lost) lost.push_back(i);
+    if (!host || host->phase == HostPhase::terminating) continue;
+    if (host->zone_lost) lost.push_back(i);
     if (usable(cluster, *host, now)) {
       ++usable_machines;
       free += host->free.cpus;
@@ -282,7 +283,7 @@
                         static_cast<double>(job.attempts.size());
     if (left <= 0 || !cluster.within_limit(job, 1)) continue;
     first_waiting = std::min(first_waiting, i);
-    waiting += left * job.need.cpus;
+    waiting += left * job.resources_per_task.cpus;
   }
   struct Candidate {
     std::size_t rank = 0;
@@ -294,7 +295,7 @@
     Candidate one{service.order.size(), 0, i};
     for (const placement::TaskRef& ref : cluster.hosts[i]->attempts) {
       one.rank = std::min(one.rank, rank[ref.job]);
-      one.cores += cluster.jobs[ref.job]->need.cpus;
+      one.cores += cluster.jobs[ref.job]->resources_per_task.cpus;
     }
     candidates.push_back(one);
   }
--- a/src/zones/zones.h
+++ b/src/zones/zones.h
@@ -28,11 +28,11 @@
 // Whether it is a record of this slice that the level does not have, or has in another form.
 bool is_stale(const std::string& key, const wire::Json& value, std::uint32_t level);
 
-enum class State { well, doubtful, lost, returning };
+enum class State { healthy, suspected, lost, recovering };
 const char* name_of(State state);
 
 // How a zone looks at one moment.
-struct Sight {
+struct ZoneObservation {
   std::size_t machines = 0;  // that should be heard
   std::size_t overdue = 0;   // that are silent for longer than reports lie apart
   std::size_t heard = 0;     // by this leader, and not overdue
@@ -41,18 +41,18 @@
 class Zones {
  public:
   // By zone. `since`: when this leader began to listen.
-  static std::vector<Sight> look(const Cluster& cluster, double since, double now);
+  static std::vector<ZoneObservation> look(const Cluster& cluster, double since, double now);
 
   // Lets time pass, twice a second: tells states and marks machines (Host::cut, Host::lost).
-  void pass(Cluster& cluster, double since, double now);
+  void advance(Cluster& cluster, double since, double now);
   State state(Index zone) const;
   // When the zone was last heard again; a machine's silence before it is not its own.
-  double heard_again_at(Index zone) const;
+  double reachable_since(Index zone) const;
   // Machines of lost zones to be returned now.
   std::vector<Index> to_return(const Cluster& cluster, double since, double now);
   wire::Json encode(const Cluster& cluster) const;
   // What an earlier leader wrote, at `at` by our clock. Throws wire::BadMessage and is as it was.
-  void inherit(const wire::Json& record, Cluster& cluster, double at, double now);
+  void restore(const wire::Json& record, Cluster& cluster, double at, double now);
   bool has_changed() const { return changed_; }
   void note_written() { changed_ = false; }
   // Pools in zones that are not well: nothing is rented there.
@@ -60,7 +60,7 @@
 
  private:
   struct Zone {
-    State state = State::well;
+    State state = State::healthy;
     double since = 0;       // of the state
     double lost_since = 0;  // when it was first doubted, this time
     double heard_again_at = -1e9;
@@ -70,8 +70,8 @@
   };
   double silence(const Cluster& cluster, const placement::Host& host, double since,
                  double now) const;
-  void judge(const Cluster& cluster, Index zone, const Sight& sight, const Sight& others,
-             double since, double now);
+  void judge(const Cluster& cluster, Index zone, const ZoneObservation& sight,
+             const ZoneObservation& others, double since, double now);
   void enter(const Cluster& cluster, Index zone, State state, const std::string& why, double now);
 
   std::map<Index, Zone> zones_;
--- a/src/zones/zones_bytes_test.cpp
+++ b/src/zones/zones_bytes_test.cpp
@@ -12,11 +12,11 @@
   const settings::Platform platform;
   Cluster cluster(platform, 1, jobs::Format::compact);
   Zones zones;
-  zones.inherit(test::received(kRecord), cluster, 5, 10);
-  EXPECT_EQ(zones.state(cluster.zones.find("a")), State::well);
-  EXPECT_EQ(zones.state(cluster.zones.find("b")), State::doubtful);
+  zones.restore(test::received(kRecord), cluster, 5, 10);
+  EXPECT_EQ(zones.state(cluster.zones.find("a")), State::healthy);
+  EXPECT_EQ(zones.state(cluster.zones.find("b")), State::suspected);
   EXPECT_EQ(zones.state(cluster.zones.find("c")), State::lost);
-  EXPECT_EQ(zones.state(cluster.zones.find("d")), State::returning);
+  EXPECT_EQ(zones.state(cluster.zones.find("d")), State::recovering);
   EXPECT_TRUE(test::is_written_as(zones.encode(cluster), kRecord));
   EXPECT_TRUE(test::is_written_as(Zones().encode(cluster), R"({"zones":[]})"));
   EXPECT_STREQ(kZonesKey, "zones");
--- a/src/zones/zones_test.cpp
+++ b/src/zones/zones_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using placement::HostPhase;
-using placement::Seen;
+using placement::ObservedState;
 
 settings::Platform make_platform() {
   settings::Platform p;
@@ -57,12 +57,12 @@
         if (host == nullptr || now_ < next_[i]) continue;
         next_[i] = now_ + between(3, 5);
         if (now_ < deaf_until_[i]) continue;
-        host->heard_at = now_;
+        host->last_heartbeat_at = now_;
         host->phase = HostPhase::up;
       }
-      zones_.pass(cluster_, since_, now_);
+      zones_.advance(cluster_, since_, now_);
       for (Index zone = 0; zone < 3; ++zone) {
-        if (zones_.state(zone) == State::well) continue;
+        if (zones_.state(zone) == State::healthy) continue;
         if (!first_.contains(zone)) first_[zone] = now_;
         if (zones_.state(zone) == State::lost && !lost_.contains(zone)) lost_[zone] = now_;
       }
@@ -79,8 +79,8 @@
     for (const auto& host : cluster_.hosts) {
       if (!host) continue;
       host->phase = HostPhase::booting;
-      host->heard_at = -1;
-      host->cut = host->lost = false;
+      host->last_heartbeat_at = -1;
+      host->zone_suspected = host->zone_lost = false;
     }
   }
   double between(double low, double high) {
@@ -110,7 +110,7 @@
   field.run(40);
   field.hang(0.15, 70);  // at random, in every zone
   field.run(60);
-  if (random() % 2 == 0) {  // nobody is heard: we stood still, or the state service is out
+  if (random() % 2 == 0) {  // nobody is heard: we stood still, or the key-value store is out
     for (Index zone = 0; zone < machines.size(); ++zone) field.cut(zone, 90);
   }
   field.run(100);
@@ -131,7 +131,7 @@
   // Idle machines: kept as long as new ones would cost, then a few a second.
   for (const auto& [at, name] : field.returned_) RC_ASSERT(at >= 130 + 55);
   field.run(320);
-  RC_ASSERT(field.zones_.state(zone) == State::well);
+  RC_ASSERT(field.zones_.state(zone) == State::healthy);
 }
 
 class Lost : public ::testing::Test {
@@ -154,8 +154,8 @@
     for (const Index host : hosts) {
       field_.cluster_.place(job, task, 1, host, field_.now_);
       auto& attempt = field_.cluster_.jobs[job]->attempts.at(task++);
-      attempt.sent = attempt.durable = true;
-      attempt.seen = Seen::running;
+      attempt.start_sent = attempt.persisted = true;
+      attempt.observed = ObservedState::running;
       attempt.running_since = field_.now_;
     }
   }
@@ -229,7 +229,7 @@
   const auto record = field_.zones_.encode(field_.cluster_);
   const std::size_t before = field_.returned_.size();
   field_.change_leader();
-  field_.zones_.inherit(wire::Json::from_msgpack(wire::Json::to_msgpack(record)), field_.cluster_,
+  field_.zones_.restore(wire::Json::from_msgpack(wire::Json::to_msgpack(record)), field_.cluster_,
                         45, 56);
   field_.run(57);
   EXPECT_EQ(field_.zones_.state(1), State::lost);
@@ -239,13 +239,13 @@
   field_.run(56 + 55);
   EXPECT_GT(field_.returned_.size(), before);
   field_.run(250);
-  EXPECT_EQ(field_.zones_.state(1), State::well);
+  EXPECT_EQ(field_.zones_.state(1), State::healthy);
   for (const wire::Json& bad :
        {wire::Json(1), wire::Json::object(), wire::Json{{"zones", {{{"name", "a"}, {"state", 9}}}}},
         wire::Json{{"zones", {{{"state", 1}, {"flaps", 1}}}}}}) {
-    EXPECT_THROW(field_.zones_.inherit(bad, field_.cluster_, 0, 250), wire::BadMessage);
+    EXPECT_THROW(field_.zones_.restore(bad, field_.cluster_, 0, 250), wire::BadMessage);
   }
-  EXPECT_EQ(field_.zones_.state(1), State::well);
+  EXPECT_EQ(field_.zones_.state(1), State::healthy);
 }
 
 // Cut for 20 s again and again: held doubtful longer each time.
@@ -254,10 +254,10 @@
   for (int i = 0; i < 4; ++i) {
     const double begin = 100.0 * (i + 1);
     field_.run(begin);
-    EXPECT_EQ(field_.zones_.state(1), State::well) << i;
+    EXPECT_EQ(field_.zones_.state(1), State::healthy) << i;
     field_.cut(1, begin + 20);
     field_.run(begin + 26);
-    for (; field_.zones_.state(1) != State::well && field_.now_ < begin + 99.5;) {
+    for (; field_.zones_.state(1) != State::healthy && field_.now_ < begin + 99.5;) {
       field_.run(field_.now_ + 0.5);
     }
     settled.push_back(field_.now_ - begin);
--- a/test/answers_test.cpp
+++ b/test/answers_test.cpp
@@ -87,7 +87,7 @@
     for (std::thread& thread : threads) thread.join();
   }
 
-  // Answers of the state service to this node are held back; what it sent is carried out.
+  // Answers of the key-value store to this node are held back; what it sent is carried out.
   void lose_answers(int node, bool lose) {
     for (auto& [from, other, proxy] : ways_) {
       if (from == other && from == node) proxy->hold_answers(lose);
--- a/test/behaviour_digests.cpp
+++ b/test/behaviour_digests.cpp
@@ -95,7 +95,7 @@
     spec.estimate_s = 20;
   }
   for (int earlier = std::max(0, number - 5); earlier < number; ++earlier) {
-    if (random() % 5 == 0) spec.needs.push_back("j-" + std::to_string(earlier));
+    if (random() % 5 == 0) spec.depends_on.push_back("j-" + std::to_string(earlier));
   }
   return spec;
 }
--- a/test/behaviour_recorder.cpp
+++ b/test/behaviour_recorder.cpp
@@ -3,12 +3,12 @@
 #include <vector>
 
 #include "cloud/client.h"
-#include "state/client.h"
+#include "kv/client.h"
 
 namespace reachramp::test {
 
-using controller::CloudOrder;
-using controller::Outbox;
+using controller::CloudRequest;
+using controller::Effects;
 using wire::Json;
 
 void Digest::add(const void* bytes, std::size_t size) {
@@ -25,31 +25,32 @@
   digest_.add(bytes.data(), bytes.size());
 }
 
-void BehaviourRecorder::record_outbox(double now, std::uint64_t token, const Outbox& outbox) {
-  if (outbox.commit) {
-    record(kTransaction, now, {token, state::encode_transaction(outbox.commit->transaction)});
+void BehaviourRecorder::record_outbox(double now, std::uint64_t token, const Effects& outbox) {
+  if (outbox.transaction) {
+    record(kTransaction, now, {token, kv::encode_transaction(outbox.transaction->transaction)});
   }
-  for (const CloudOrder& order : outbox.cloud) {
-    const bool rents = order.kind == CloudOrder::Kind::hire;
-    const Json body = rents ? cloud::encode_hire(order.hire) : Json(order.machines);
+  for (const CloudRequest& order : outbox.cloud_requests) {
+    const bool rents = order.kind == CloudRequest::Kind::scale_out;
+    const Json body = rents ? cloud::encode_scale_out(order.scale_out) : Json(order.machines);
     record(kCloudRequest, now, {token, rents, body, order.urgent});
   }
-  if (outbox.read_back) record(kReadBack, now, {token, *outbox.read_back});
-  for (const std::string& id : outbox.look_up) record(kLookUp, now, {token, id});
-  for (const std::string& address : outbox.greet) record(kGreeting, now, {token, address});
-  for (const auto& [address, body] : outbox.stop_now) {
+  if (outbox.verify_key) record(kReadBack, now, {token, *outbox.verify_key});
+  for (const std::string& id : outbox.read_job_ends) record(kLookUp, now, {token, id});
+  for (const std::string& address : outbox.probes) record(kGreeting, now, {token, address});
+  for (const auto& [address, body] : outbox.urgent_stops) {
     record(kStopNow, now, {token, address, body});
   }
-  if (!outbox.ask_told.empty()) record(kAskTold, now, {token, Json(outbox.ask_told)});
-  const std::vector<bool> flags = {outbox.resign, outbox.read_jobs, outbox.read_drains,
-                                   outbox.read_claims, outbox.read_stale};
+  if (!outbox.cancellation_poll_windows.empty())
+    record(kAskTold, now, {token, Json(outbox.cancellation_poll_windows)});
+  const std::vector<bool> flags = {outbox.step_down, outbox.read_jobs, outbox.read_drains,
+                                   outbox.read_claims, outbox.read_obsolete_records};
   if (flags != std::vector<bool>(flags.size())) record(kFlags, now, {token, Json(flags)});
 }
 
 void BehaviourRecorder::record_response(double now, std::uint64_t token,
-                                        const workers::Report& report, const Json& body) {
+                                        const workers::Heartbeat& report, const Json& body) {
   record(body.is_null() ? kNoResponse : kResponse, now,
-         Json::array({token, report.host, report.tenure, report.tick, body}));
+         Json::array({token, report.host, report.incarnation, report.sequence_number, body}));
 }
 
 }  // namespace reachramp::test
--- a/test/behaviour_recorder.h
+++ b/test/behaviour_recorder.h
@@ -49,9 +49,9 @@
   // `values`: a list; doubles in it count to their last bit.
   void record(Kind kind, double now, const wire::Json& values);
   // Everything that a leader wants done, by its fencing token.
-  void record_outbox(double now, std::uint64_t token, const controller::Outbox& outbox);
+  void record_outbox(double now, std::uint64_t token, const controller::Effects& outbox);
   // A leader's response to a worker's report; null: it may not answer.
-  void record_response(double now, std::uint64_t token, const workers::Report& report,
+  void record_response(double now, std::uint64_t token, const workers::Heartbeat& report,
                        const wire::Json& body);
 
   std::uint64_t digest() const { return digest_.value(); }
