--- a/test/end_to_end_test.cpp
+++ b/test/end_to_end_test.cpp
@@ -60,11 +60,12 @@
 // killed twenty times, then all are at once, five times.
 TEST_F(EndToEnd, WorkIsDoneWhileProcessesEndAgainAndAgain) {
   ASSERT_TRUE(accepts(0, job("j-1", 60)));
-  ASSERT_TRUE(within(30, [&] { return settled_level() == levels::kNewest; }));
+  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewest; }));
   const auto claims = [&] {
-    std::vector<std::uint64_t> stamps;
-    for (int i = 0; i < kNodes; ++i) stamps.push_back(stored(*state_, "claim/" + name(i)).second);
-    return stamps;
+    std::vector<std::uint64_t> revisions;
+    for (int i = 0; i < kNodes; ++i)
+      revisions.push_back(stored(*state_, "claim/" + name(i)).second);
+    return revisions;
   };
   const std::vector<std::uint64_t> claimed = claims();
   for (int round = 0; round < 20; ++round) {
@@ -112,7 +113,7 @@
   EXPECT_EQ(cloud_->broken_rules(), std::vector<std::string>{});
 }
 
-// The users' trouble: a leader loses the state service and the other controllers, but not its
+// The users' trouble: a leader loses the key-value store and the other controllers, but not its
 // workers, who would stay with it for as long as it answers them, unheard by whoever leads.
 TEST_F(CutOff, ALeaderThatOnlyItsWorkersReachLetsThemGo) {
   ASSERT_TRUE(accepts(0, job("j-1", 60)));
@@ -139,14 +140,14 @@
   ASSERT_TRUE(within(30, [&] { return leader() >= 0 && status_for_a_worker(leader()) == 200; }));
   const int node = leader();
   cut_state(true);
-  std::this_thread::sleep_for(6s);  // four times what its permit lasts
+  std::this_thread::sleep_for(6s);  // four times what its lease lasts
   EXPECT_EQ(status_for_a_worker(node), 200);
   cut_state(false);
   EXPECT_TRUE(within(75, [&] { return phase(node, "j-1") == "done"; }));
   EXPECT_EQ(cloud_->broken_rules(), std::vector<std::string>{});
 }
 
-// Cut from the state service alone, a node says that it is not ready, so that users go elsewhere;
+// Cut from the key-value store alone, a node says that it is not ready, so that users go elsewhere;
 // in an outage for all, all stay.
 TEST_F(CutOff, ANodeThatTheStateServiceDoesNotReachIsNotReady) {
   ASSERT_TRUE(accepts(0, job("j-1", 2)));
@@ -165,7 +166,7 @@
   }
 }
 
-// Each node has a door of its own to the state service, which can refuse it alone.
+// Each node has a door of its own to the key-value store, which can refuse it alone.
 class RefusedAlone : public CutOff {
  protected:
   std::uint16_t way(int from, std::uint16_t to, int other) override {
@@ -179,7 +180,7 @@
   }
 };
 
-// The users' first meeting: the state service refuses whoever leads, another node confirms a
+// The users' first meeting: the key-value store refuses whoever leads, another node confirms a
 // cancellation, then the service is down for all, for longer than cancel_s, while workers go on
 // reporting to that leader. The tasks are gone in time; other workers keep their leases.
 TEST_F(RefusedAlone, WhatAnotherNodeHasConfirmedIsStoppedInAnOutageForAll) {
@@ -197,13 +198,13 @@
   std::this_thread::sleep_for(500ms);
   const std::string path = "/submissions/j-1/withdraw";
   ASSERT_EQ(ask((alone + 1) % kNodes, "POST", path).body.value("phase", ""), "aborted");
-  state_->with([](lab::StateService& model) { model.stop(state::steady_now()); });
+  state_->with([](lab::StateService& model) { model.stop(kv::steady_now()); });
   EXPECT_TRUE(within(30, [&] { return cloud_->tasks_of("j-1") == 0; })) << "still out";
   // Longer than without the others' words, and a lease more: the outage outlasts cancel_s.
   std::this_thread::sleep_for(21s);
   EXPECT_EQ(cloud_->tasks_of("j-stays"), 3u) << "all nodes have vouched, so leases live on";
   refuse(alone, false);
-  state_->with([](lab::StateService& model) { model.go_on(state::steady_now()); });
+  state_->with([](lab::StateService& model) { model.go_on(kv::steady_now()); });
   for (int i = 0; i < kNodes; ++i) {
     EXPECT_TRUE(within(75, [&] { return phase(i, "j-1") == "aborted"; })) << i;
     EXPECT_TRUE(within(75, [&] { return phase(i, "j-stays") == "running"; })) << i;
@@ -211,7 +212,7 @@
   EXPECT_EQ(cloud_->broken_rules(), std::vector<std::string>{});
 }
 
-// The users' acceptance: a leader is refused by the state service and cut from the other
+// The users' acceptance: a leader is refused by the key-value store and cut from the other
 // controllers, not from its workers. Nothing tells it that this is no outage; its staleness ends
 // its answers.
 TEST_F(RefusedAlone, ALeaderWithoutStateServiceAndPeersLetsCancelledTasksGo) {
@@ -305,27 +306,27 @@
   ASSERT_GE(killed, 0);
   const int other = (killed + 1) % kNodes;
   ASSERT_EQ(ask(other, "POST", "/submissions/j-1/withdraw").body.value("phase", ""), "aborted");
-  const double told_at = state::steady_now();
+  const double told_at = kv::steady_now();
   std::this_thread::sleep_for(8s);
   kill_node(killed);
   start(killed);
-  EXPECT_TRUE(within(told_at + kCancel_s - state::steady_now(),
-                     [&] { return cloud_->tasks_of("j-1") == 0; }));
+  EXPECT_TRUE(
+      within(told_at + kCancel_s - kv::steady_now(), [&] { return cloud_->tasks_of("j-1") == 0; }));
   for (int i = 0; i < kNodes; ++i) {
     EXPECT_TRUE(within(30, [&] { return phase(i, "j-1") == "aborted"; })) << i;
   }
   EXPECT_EQ(cloud_->broken_rules(), std::vector<std::string>{});
 }
 
-// The same while the state service is out, so that the leader cannot renew its own lease: it rents
-// and returns nothing then, but for the sake of a cancellation.
+// The same while the key-value store is out, so that the leader cannot renew its own lease: it
+// rents and returns nothing then, but for the sake of a cancellation.
 TEST_F(CutOff, CancelledTasksOnMachinesThatHangAreGoneInTimeInAnOutage) {
   ASSERT_NO_FATAL_FAILURE(run_and_hang("j-1", 12));
   ASSERT_EQ(ask(0, "POST", "/submissions/j-1/withdraw").body.value("phase", ""), "aborted");
-  const double told_at = state::steady_now();
+  const double told_at = kv::steady_now();
   cut_state(true);
-  EXPECT_TRUE(within(told_at + kCancel_s - state::steady_now(),
-                     [&] { return cloud_->tasks_of("j-1") == 0; }));
+  EXPECT_TRUE(
+      within(told_at + kCancel_s - kv::steady_now(), [&] { return cloud_->tasks_of("j-1") == 0; }));
   cut_state(false);
   for (int i = 0; i < kNodes; ++i) {
     EXPECT_TRUE(within(60, [&] { return phase(i, "j-1") == "aborted"; })) << i;
@@ -391,7 +392,7 @@
   service["shape"] = "service";
   ASSERT_TRUE(accepts(0, service));
   ASSERT_TRUE(within(30, [&] { return phase(1, "j-stays") == "running"; }));
-  ASSERT_TRUE(within(30, [&] { return settled_level() == levels::kNewest; }));
+  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewest; }));
   write("(policy (drains (serial 4) (machines (zone nowhere)))");
   for (int i = 0; i < kNodes; ++i) ::kill(pids_[i], SIGHUP);
   std::this_thread::sleep_for(2s);
@@ -441,15 +442,15 @@
 
 TEST_F(EndToEnd, ASecondProcessOfANodeEndsWithoutAWord) {
   ASSERT_TRUE(accepts(0, job("j-1", 3)));
-  ASSERT_TRUE(within(30, [&] { return settled_level() == levels::kNewest; }));
+  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewest; }));
   const auto keys = [&] {
-    std::map<std::string, std::uint64_t> stamps;
+    std::map<std::string, std::uint64_t> revisions;
     for (int i = 0; i < kNodes; ++i) {
-      stamps["claim/" + name(i)] = stored(*state_, "claim/" + name(i)).second;
-      stamps["member/" + name(i)] = stored(*state_, "member/" + name(i)).second;
+      revisions["claim/" + name(i)] = stored(*state_, "claim/" + name(i)).second;
+      revisions["member/" + name(i)] = stored(*state_, "member/" + name(i)).second;
     }
-    stamps["leader"] = stored(*state_, "leader").second;
-    return stamps;
+    revisions["leader"] = stored(*state_, "leader").second;
+    return revisions;
   };
   const auto before = keys();
   for (int i = 0; i < kNodes; ++i) {
@@ -462,10 +463,10 @@
   EXPECT_EQ(keys(), before);
 }
 
-// Found by reading: under a leader that has led for longer than the state service remembers, a new
-// process asked for the key and for a watch from its old stamp in turn, without a pause.
+// Found by reading: under a leader that has led for longer than the key-value store remembers, a
+// new process asked for the key and for a watch from its old revision in turn, without a pause.
 TEST_F(EndToEnd, AProcessThatComesBackUnderAnOldLeaderAsksLittle) {
-  ASSERT_TRUE(within(30, [&] { return settled_level() == levels::kNewest; }));
+  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewest; }));
   state_->with([](lab::StateService& model) {
     for (int i = 0; i < 10050; ++i) model.commit({{}, {{"filler", Json(i), std::nullopt}}});
   });
@@ -488,7 +489,7 @@
 // that means serves nobody until it does.
 TEST_F(EndToEnd, WhoDoesNotSpeakTheLevelServesNobody) {
   ASSERT_TRUE(accepts(0, job("j-1", 5)));
-  ASSERT_TRUE(within(30, [&] { return settled_level() == levels::kNewest; }));
+  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewest; }));
   for (const Json& other :
        {Json{{"level", 9}, {"writes", 9}, {"settled", true}}, Json("nonsense")}) {
     store_level(other);
@@ -498,7 +499,7 @@
       const Json body = job("j-2", 1);
       EXPECT_EQ(ask(i, "POST", "/submissions", &body).status, 503);
     }
-    store_level(levels::encode_stored({levels::kNewest, levels::kNewest, true}));
+    store_level(schema::encode_stored({schema::kNewest, schema::kNewest, true}));
     for (int i = 0; i < kNodes; ++i) {
       EXPECT_TRUE(within(20, [&] { return ask(i, "GET", "/ready").status == 200; })) << i;
     }
@@ -533,14 +534,14 @@
     std::this_thread::sleep_for(3s);
     EXPECT_TRUE(within(10, [&] { return phase(i, "j-stays") == "running"; }));
     if (i + 1 < kNodes) {
-      EXPECT_LT(settled_level(), levels::kNewest) << "a node is not changed yet";
+      EXPECT_LT(settled_level(), schema::kNewest) << "a node is not changed yet";
     }
     if (i + 1 < kNodes && !knows_needs) {
       EXPECT_EQ(ask(i, "POST", "/submissions", &early).status, 503) << "an old node could start it";
     }
   }
   EXPECT_TRUE(within(10, [&] { return members() == kNodes; }));
-  EXPECT_TRUE(within(30, [&] { return settled_level() == levels::kNewest; }));
+  EXPECT_TRUE(within(30, [&] { return settled_level() == schema::kNewest; }));
   lower_limits();
   pipelines("a");
   for (int i = 0; i < kNodes; ++i) {
--- a/test/machines.h
+++ b/test/machines.h
@@ -16,7 +16,7 @@
   const placement::Index index = cluster.add_host(name, 0);
   cluster.describe_host(index, type, zone, spot);
   cluster.hosts[index]->phase = placement::HostPhase::up;
-  cluster.hosts[index]->heard_at = heard_at;
+  cluster.hosts[index]->last_heartbeat_at = heard_at;
   return index;
 }
 
--- a/test/process_cluster.h
+++ b/test/process_cluster.h
@@ -1,5 +1,5 @@
-// Three real processes against the lab's models of the state service, the cloud and its workers, on
-// loopback; each can be killed and started again, and their ways to each other can be cut.
+// Three real processes against the lab's models of the key-value store, the cloud and its workers,
+// on loopback; each can be killed and started again, and their ways to each other can be cut.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,12 +15,12 @@
 #include <thread>
 #include <vector>
 
-#include "levels/levels.h"
+#include "kv/steady_clock.h"
 #include "loopback/fleet_server.h"
 #include "loopback/state_server.h"
 #include "ports.h"
 #include "proxy.h"
-#include "state/clock.h"
+#include "schema/schema.h"
 
 namespace reachramp::test {
 
@@ -90,7 +90,7 @@
     }
   }
 
-  // The port under which the node reaches another, or the state service, which is no node.
+  // The port under which the node reaches another, or the key-value store, which is no node.
   virtual std::uint16_t way(int, std::uint16_t to, int) { return to; }
 
   virtual double cancel_s() const { return kCancel_s; }
@@ -148,8 +148,8 @@
 
   template <class Condition>
   bool within(double seconds, Condition condition) {
-    const double end = state::steady_now() + seconds;
-    while (state::steady_now() < end) {
+    const double end = kv::steady_now() + seconds;
+    while (kv::steady_now() < end) {
       if (condition()) return true;
       std::this_thread::sleep_for(100ms);
     }
@@ -217,15 +217,15 @@
   // The level that is stored and settled; 0: none.
   std::uint32_t settled_level() {
     return state_->with([](const lab::StateService& model) -> std::uint32_t {
-      const auto at = model.items().find(levels::kLevelKey);
+      const auto at = model.items().find(schema::kLevelKey);
       if (at == model.items().end()) return 0;
-      const levels::Stored stored = levels::decode_stored(at->second.value);
+      const schema::StoredSchema stored = schema::decode_stored(at->second.value);
       return stored.settled ? stored.level : 0;
     });
   }
   void store_level(const Json& value) {
     state_->with([&](lab::StateService& model) {
-      model.commit({{}, {{levels::kLevelKey, value, std::nullopt}}});
+      model.commit({{}, {{schema::kLevelKey, value, std::nullopt}}});
     });
   }
 
@@ -270,17 +270,17 @@
   EXPECT_TRUE(within(60, [&] { return phase(2, id(8)) == "done"; }));
 }
 
-// What stands under the key, with its stamp; 0: nothing.
+// What stands under the key, with its revision; 0: nothing.
 inline std::pair<Json, std::uint64_t> stored(lab::StateServer& state, const std::string& key) {
   return state.with([&](const lab::StateService& model) -> std::pair<Json, std::uint64_t> {
     const auto at = model.items().find(key);
     if (at == model.items().end()) return {Json(), 0};
-    return {at->second.value, at->second.stamp};
+    return {at->second.value, at->second.revision};
   });
 }
 
-// All ways between nodes and to the state service, each of which can be cut; workers and users are
-// not.
+// All ways between nodes and to the key-value store, each of which can be cut; workers and users
+// are not.
 class CutOff : public EndToEnd {
  protected:
   std::uint16_t way(int from, std::uint16_t to, int other) override {
--- a/test/recorder.h
+++ b/test/recorder.h
@@ -21,8 +21,8 @@
   explicit Recorder(wire::Handler answer)
       : answer_(std::move(answer)),
         server_(
-            at(), budget_, wire::Party::user,
-            [](const wire::Request&) { return wire::Party::user; },
+            at(), budget_, wire::ClientKind::user,
+            [](const wire::Request&) { return wire::ClientKind::user; },
             [this](const wire::Request& request) { return serve(request); }) {}
 
   const wire::Address& at() const { return at_; }
@@ -45,7 +45,7 @@
   wire::Handler answer_;
   std::mutex mutex_;
   std::vector<Asked> asked_;
-  wire::Budget budget_{16};
+  wire::ConnectionLimiter budget_{16};
   PortReservations ports_;
   const wire::Address at_{"127.0.0.1", ports_.reserve()};
   wire::Server server_;
--- a/test/simulated_cluster.cpp
+++ b/test/simulated_cluster.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "controller/stale.h"
+#include "controller/obsolete_records.h"
 #include "drains/drains.h"
 
 namespace reachramp::test {
@@ -38,15 +38,15 @@
   store_.commit({{}, {{"catalog", cloud::encode_catalog(simulated_catalog()), std::nullopt}}});
   for (SimulatedNode& node : nodes_) {
     node.change_at = upgraded_at_ + between(5, 60);
-    node.told = std::make_unique<peers::Told>(platform_.workers.cancel_s, now_);
+    node.told = std::make_unique<peers::RecentCancellations>(platform_.workers.cancel_s, now_);
   }
 }
 
 void SimulatedCluster::submit(jobs::Spec spec) {
-  if (now_ < upgraded_at_) spec.needs.clear();
+  if (now_ < upgraded_at_) spec.depends_on.clear();
   jobs::Header header;
   header.spec = spec;
-  for (const std::string& need : spec.needs) {
+  for (const std::string& need : spec.depends_on) {
     const auto live = store_.items().find(jobs::job_key(need));
     header.cancelled =
         header.cancelled ||
@@ -59,7 +59,7 @@
       store_.commit({{{jobs::job_key(spec.id), 0}, {jobs::end_key(spec.id), 0}},
                      {{jobs::job_key(spec.id), jobs::encode_header(header), std::nullopt}}});
   record(BehaviourRecorder::kSubmitted,
-         {spec.id, header.cancelled, stored.outcome == state::Outcome::ok});
+         {spec.id, header.cancelled, stored.outcome == kv::Outcome::ok});
 }
 
 void SimulatedCluster::cancel(const std::string& id) {
@@ -69,7 +69,7 @@
   if (!is_live || is_out()) return;
   jobs::Header header = jobs::decode_header(at->second.value);
   header.cancelled = true;
-  store_.commit({{{jobs::job_key(id), at->second.stamp}},
+  store_.commit({{{jobs::job_key(id), at->second.revision}},
                  {{jobs::job_key(id), jobs::encode_header(header), std::nullopt}}});
   cancelled_at_.try_emplace(id, now_);
   std::vector<SimulatedNode*> up;
@@ -95,7 +95,7 @@
   }
   for (SimulatedNode& node : nodes_) {
     node.hold_at = 0;
-    node.newest = levels::kNewest;
+    node.newest = schema::kNewest;
     node.alive = true;
     claim(node);
   }
@@ -115,12 +115,12 @@
 }
 
 bool SimulatedCluster::settled() const {
-  const auto at = store_.items().find(levels::kLevelKey);
+  const auto at = store_.items().find(schema::kLevelKey);
   if (at == store_.items().end()) return false;
-  const levels::Stored stored = levels::decode_stored(at->second.value);
-  return stored == levels::Stored{levels::kNewest, levels::kNewest, true} &&
+  const schema::StoredSchema stored = schema::decode_stored(at->second.value);
+  return stored == schema::StoredSchema{schema::kNewest, schema::kNewest, true} &&
          std::none_of(store_.items().begin(), store_.items().end(), [](const auto& item) {
-           return controller::is_stale(item.first, item.second.value, levels::kNewest);
+           return controller::is_stale(item.first, item.second.value, schema::kNewest);
          });
 }
 
@@ -155,22 +155,23 @@
   mail_.push_back({now_ + delay, std::move(deliver)});
 }
 
-void SimulatedCluster::ask_told(std::uint64_t baton, const std::vector<double>& windows) {
+void SimulatedCluster::ask_told(std::uint64_t fencing_token, const std::vector<double>& windows) {
   for (std::size_t i = 0; i < windows.size(); ++i) {
     SimulatedNode& member = nodes_[i];
     const bool mute = &member == mute_ && is_refused();
     if (!member.alive || mute || chance(0.05)) continue;
     const double asked_at = now_;
     const double back = chance(0.05) ? between(1, 5) : 0.1;
-    later(0.1, [this, baton, asked_at, back, i, window = windows[i]] {
+    later(0.1, [this, fencing_token, asked_at, back, i, window = windows[i]] {
       if (!nodes_[i].alive) return;
-      const peers::Told::Since told = nodes_[i].told->since(window, now_);
-      leadership::Word word{i, window, told.complete_s, asked_at, 0, told.jobs};
-      later(back, [this, baton, word]() mutable {
+      const peers::RecentCancellations::Since told = nodes_[i].told->since(window, now_);
+      leadership::CancellationDigest word{i, window, told.complete_s, asked_at, 0, told.jobs};
+      later(back, [this, fencing_token, word]() mutable {
         word.received_at = now_;
         record(BehaviourRecorder::kToldByNode,
-               {baton, word.member, word.window_s, word.complete_s, Json(word.cancelled)});
-        if (leader_ && leader_->cluster().baton == baton) leader_->on_words({word}, now_);
+               {fencing_token, word.member, word.window_s, word.covered_s, Json(word.cancelled)});
+        if (leader_ && leader_->cluster().fencing_token == fencing_token)
+          leader_->on_cancellation_digests({word}, now_);
       });
     });
   }
@@ -180,12 +181,12 @@
   if (now_ >= lowered_at_ && !lowered_) {
     lowered_ = true;
     store_.limit(platform_.state_next);
-    accepted_ = state::Bucket(platform_.state_next.write_rps, platform_.state_next.write_rps);
+    accepted_ = kv::TokenBucket(platform_.state_next.write_rps, platform_.state_next.write_rps);
   }
   for (SimulatedNode& node : nodes_) live(node);
   for (SimulatedNode& node : nodes_) {
     const bool refused = is_out() || (is_refused() && &node == seat_);
-    if (node.alive && !refused) node.timeline.note(store_.epoch(), now_);
+    if (node.alive && !refused) node.timeline.observe(store_.store_revision(), now_);
   }
   if (chance(0.01)) operate();
   if (chance(0.002) && !is_refused()) refuse(between(0, 6), chance(0.3) ? 0 : between(0, 70));
@@ -214,41 +215,43 @@
 
 void SimulatedCluster::bury_predecessor(const SimulatedNode& node) {
   const auto at = store_.items().find("leader");
-  if (node.newest < levels::kAges || at == store_.items().end() ||
+  if (node.newest < schema::kAges || at == store_.items().end() ||
       leadership::holder_of(at->second.value, identity(node), 0) !=
           leadership::Holder::predecessor) {
     return;
   }
   if (leader_ && seat_ == &node) break_rule("the lead of a living process is ended");
-  store_.commit({{{"leader", at->second.stamp}}, {{"leader", std::nullopt, std::nullopt}}});
+  store_.commit({{{"leader", at->second.revision}}, {{"leader", std::nullopt, std::nullopt}}});
   elect_at_ = std::min(elect_at_, now_ + 0.1);
 }
 
 void SimulatedCluster::claim(SimulatedNode& node) {
-  if (node.permit != 0) store_.release(node.permit);
-  node.permit = 0;
-  if (node.newest < levels::kAges) return;
-  const levels::Claim claim{name_of(node), REACHRAMP_VERSION, 1, node.newest, node.hold_at, 0, 0};
-  const auto at = store_.items().find(levels::claim_key(claim.node));
+  if (node.lease_id != 0) store_.release(node.lease_id);
+  node.lease_id = 0;
+  if (node.newest < schema::kAges) return;
+  const schema::Claim claim{name_of(node), REACHRAMP_VERSION, 1, node.newest, node.hold_at, 0, 0};
+  const auto at = store_.items().find(schema::claim_key(claim.node));
   if (at != store_.items().end() &&
-      levels::heir_of({at->first, at->second.value, at->second.stamp, at->second.permit}, claim) ==
-          levels::Heir::goes_on) {
-    node.permit = std::exchange(node.left_permit, 0);
+      schema::disposition_of(
+          {at->first, at->second.value, at->second.revision, at->second.lease_id}, claim) ==
+          schema::PredecessorClaim::adopt) {
+    node.lease_id = std::exchange(node.left_lease_id, 0);
     return;
   }
-  node.permit = store_.hold(1e9, now_);
-  store_.commit({{}, {{levels::claim_key(claim.node), levels::encode_claim(claim), node.permit}}});
+  node.lease_id = store_.hold(1e9, now_);
+  store_.commit(
+      {{}, {{schema::claim_key(claim.node), schema::encode_claim(claim), node.lease_id}}});
   node.claimed = node.newest;
 }
 
 void SimulatedCluster::live(SimulatedNode& node) {
   if (now_ < upgraded_at_) return;
-  if (node.left_permit != 0 && now_ >= node.left_until) {
-    store_.release(std::exchange(node.left_permit, 0));
+  if (node.left_lease_id != 0 && now_ >= node.left_until) {
+    store_.release(std::exchange(node.left_lease_id, 0));
   }
   if (!node.alive && now_ >= node.back_at) {
     node.alive = true;
-    node.told = std::make_unique<peers::Told>(platform_.workers.cancel_s, now_);
+    node.told = std::make_unique<peers::RecentCancellations>(platform_.workers.cancel_s, now_);
     node.timeline = {};
     ++node.processes;
     claim(node);
@@ -259,40 +262,40 @@
   const bool changes = node.change_at != 0 && now_ >= node.change_at;
   if (!changes && !chance(0.002)) return;
   if (changes) {  // versions may be skipped
-    node.change_at = node.newest == levels::kCompact && chance(0.5) ? now_ + between(5, 60) : 0;
-    node.newest = node.change_at == 0 ? levels::kNewest : levels::kAges;
+    node.change_at = node.newest == schema::kCompact && chance(0.5) ? now_ + between(5, 60) : 0;
+    node.newest = node.change_at == 0 ? schema::kNewest : schema::kAges;
   } else if (chance(0.2)) {
-    node.newest = levels::kCompact;  // it comes back old
+    node.newest = schema::kCompact;  // it comes back old
     node.change_at = now_ + between(5, 60);
-  } else if (node.newest > levels::kCompact) {
+  } else if (node.newest > schema::kCompact) {
     node.hold_at = chance(0.5) ? static_cast<std::uint32_t>(between(2, 6)) : 0;
   }
   node.alive = false;
   node.back_at = now_ + (chance(0.4) ? between(0, 0.5) : between(1, chance(0.1) ? 60 : 6));
-  if (node.left_permit != 0) store_.release(node.left_permit);
-  node.left_permit = std::exchange(node.permit, 0);
-  node.left_until = now_ + between(0, levels::kClaimLife_s);
+  if (node.left_lease_id != 0) store_.release(node.left_lease_id);
+  node.left_lease_id = std::exchange(node.lease_id, 0);
+  node.left_until = now_ + between(0, schema::kClaimLife_s);
   if (leader_ && seat_ == &node) {
     leader_.reset();
-    const std::uint64_t lead = std::exchange(permit_, 0);
+    const std::uint64_t lead = std::exchange(lease_id_, 0);
     later(between(0.5, 4), [this, lead] { store_.release(lead); });
     elect_at_ = now_ + 4.2;
   }
 }
 
-void SimulatedCluster::check_levels(const state::Transaction& transaction) {
-  const auto at = store_.items().find(levels::kLevelKey);
-  const levels::Stored before = levels::decode_stored(
+void SimulatedCluster::check_levels(const kv::Transaction& transaction) {
+  const auto at = store_.items().find(schema::kLevelKey);
+  const schema::StoredSchema before = schema::decode_stored(
       at == store_.items().end() ? std::nullopt : std::optional(at->second.value));
   const bool knows =
-      std::any_of(transaction.conditions.begin(), transaction.conditions.end(),
-                  [](const auto& condition) { return condition.first == levels::kLevelKey; });
-  for (const state::Write& write : transaction.writes) {
+      std::any_of(transaction.preconditions.begin(), transaction.preconditions.end(),
+                  [](const auto& condition) { return condition.first == schema::kLevelKey; });
+  for (const kv::Write& write : transaction.writes) {
     if (knows && write.value && controller::is_stale(write.key, *write.value, before.writes)) {
       break_rule("an older form: " + write.key);
     }
-    if (write.key != levels::kLevelKey) continue;
-    const levels::Stored after = levels::decode_stored(write.value);
+    if (write.key != schema::kLevelKey) continue;
+    const schema::StoredSchema after = schema::decode_stored(write.value);
     if (after.settled) {
       for (const auto& [key, item] : store_.items()) {
         if (controller::is_stale(key, item.value, after.writes) && !old_led_) {
@@ -303,7 +306,7 @@
     if (after.level <= before.level) continue;
     for (const SimulatedNode& node : nodes_) {
       const bool speaks = node.alive ? node.newest >= after.level : node.claimed >= after.level;
-      const bool just_gone = now_ - node.claimed_until <= levels::kClaimLife_s;
+      const bool just_gone = now_ - node.claimed_until <= schema::kClaimLife_s;
       if (!speaks && !(just_gone && node.claimed >= after.level)) {
         break_rule("stepped to " + std::to_string(after.level) + " without " + name_of(node));
       }
@@ -311,18 +314,18 @@
   }
 }
 
-std::optional<state::Entry> SimulatedCluster::found(const std::string& key) const {
+std::optional<kv::Entry> SimulatedCluster::found(const std::string& key) const {
   const auto at = store_.items().find(key);
   if (at == store_.items().end()) return std::nullopt;
-  return state::Entry{key, at->second.value, at->second.stamp};
+  return kv::Entry{key, at->second.value, at->second.revision};
 }
 
 void SimulatedCluster::operate() {
   static const char* const kEntries[] = {"", "(machines (zone a))", "(replace (older-than-s 30))",
                                          "(replace (before 1)) (machines (type large) (spot yes))",
                                          "(budget (down 0)) (machines (zone b))"};
-  const auto level = found(levels::kLevelKey);
-  if (!level || !levels::has(levels::decode_stored(level->value), levels::kDrains)) return;
+  const auto level = found(schema::kLevelKey);
+  if (!level || !schema::has(schema::decode_stored(level->value), schema::kDrains)) return;
   const auto record = found(drains::kRulesKey);
   std::optional<drains::Accepted> stored;
   if (record) stored = drains::decode_accepted(record->value);
@@ -330,42 +333,43 @@
   const std::string text = "(drains (serial " + std::to_string(serial) +
                            ") (attrition-s 3) (soon-s 1) (steps (first 2) (settle-s 2)) " +
                            kEntries[random_() % std::size(kEntries)] + ")";
-  const auto next = drains::accept(stored, record ? record->stamp : 0, serial, text);
+  const auto next = drains::accept(stored, record ? record->revision : 0, serial, text);
   if (!next) return;
-  apply({{{drains::kRulesKey, record ? record->stamp : 0}, {levels::kLevelKey, level->stamp}},
+  apply({{{drains::kRulesKey, record ? record->revision : 0}, {schema::kLevelKey, level->revision}},
          {{drains::kRulesKey, drains::encode_accepted(*next), std::nullopt}}});
 }
 
-void SimulatedCluster::read_back(std::uint64_t baton, const std::string& key) {
-  later(0.05, [this, baton, key] {
+void SimulatedCluster::read_back(std::uint64_t fencing_token, const std::string& key) {
+  later(0.05, [this, fencing_token, key] {
     const auto read = [this](const std::string& name) {
-      state::Found answer;
+      kv::ReadResult answer;
       if (is_refused() || chance(0.1)) return answer;
       const auto entry = found(name);
-      answer.outcome = entry ? state::Outcome::ok : state::Outcome::absent;
+      answer.outcome = entry ? kv::Outcome::ok : kv::Outcome::absent;
       if (entry) answer.entry = *entry;
       return answer;
     };
-    const state::Found answer = read(key);
-    const state::Found leader = read("leader");
-    if (leader_ && leader_->cluster().baton == baton) {
-      leader_->on_read_back(answer, leader, now_);
+    const kv::ReadResult answer = read(key);
+    const kv::ReadResult leader = read("leader");
+    if (leader_ && leader_->cluster().fencing_token == fencing_token) {
+      leader_->on_transaction_verified(answer, leader, now_);
     }
   });
 }
 
-void SimulatedCluster::told(std::uint64_t baton, const std::string& address, const Json& body) {
+void SimulatedCluster::told(std::uint64_t fencing_token, const std::string& address,
+                            const Json& body) {
   const auto at = machines_.find(address);
   if (at == machines_.end() || !alive(at->second)) return;
   SimulatedMachine& machine = at->second;
   if (now_ < machine.deaf_until) return;
   if (now_ < machine.hung_until) {
-    later(machine.hung_until - now_, [=, this] { told(baton, address, body); });
+    later(machine.hung_until - now_, [=, this] { told(fencing_token, address, body); });
     return;
   }
-  if (body.at("baton").get<std::uint64_t>() >= machine.baton &&
-      body.at("tenure").get<std::uint64_t>() == machine.tenure) {
-    machine.baton = body.at("baton");
+  if (body.at("baton").get<std::uint64_t>() >= machine.fencing_token &&
+      body.at("tenure").get<std::uint64_t>() == machine.incarnation) {
+    machine.fencing_token = body.at("baton");
     for (const Json& order : body.at("orders")) {
       const auto piece = machine.tasks.find({order.at("piece"), order.at("try")});
       if (order.at("verb") != "stop") break_rule("more than stops at a worker's own address");
@@ -374,19 +378,21 @@
       }
     }
   }
-  ++machine.tick;
-  const workers::Report report =
-      workers::decode_report(wire::decode_map(wire::encode(report_of(machine))));
-  later(delay(), [this, baton, report] {
-    if (leader_ && leader_->cluster().baton == baton) leader_->on_direct(report, now_);
+  ++machine.sequence_number;
+  const workers::Heartbeat report =
+      workers::decode_heartbeat(wire::decode_map(wire::encode(report_of(machine))));
+  later(delay(), [this, fencing_token, report] {
+    if (leader_ && leader_->cluster().fencing_token == fencing_token)
+      leader_->on_direct_status(report, now_);
   });
 }
 
-void SimulatedCluster::greet(std::uint64_t baton, const std::string& address) {
+void SimulatedCluster::greet(std::uint64_t fencing_token, const std::string& address) {
   const auto at = machines_.find(address);
   if (at == machines_.end() || !alive(at->second) || now_ < at->second.hung_until) return;
-  const Json body{{"baton", baton}, {"tenure", at->second.tenure}, {"orders", Json::array()}};
-  later(delay(), [=, this] { told(baton, address, body); });
+  const Json body{
+      {"baton", fencing_token}, {"tenure", at->second.incarnation}, {"orders", Json::array()}};
+  later(delay(), [=, this] { told(fencing_token, address, body); });
 }
 
 void SimulatedCluster::change_leader() {
@@ -409,10 +415,10 @@
 }
 
 void SimulatedCluster::depose() {
-  if (permit_ == 0) return;
+  if (lease_id_ == 0) return;
   // The old leader may go on for a while, not knowing.
-  store_.release(permit_);
-  permit_ = 0;
+  store_.release(lease_id_);
+  lease_id_ = 0;
   if (chance(0.5)) {
     leader_.reset();
   } else {
@@ -424,32 +430,32 @@
 void SimulatedCluster::elect() {
   if (now_ < elect_at_ || store_.items().contains("leader")) return;
   std::vector<SimulatedNode*> able;
-  const auto level = store_.list(levels::kLevelKey);
+  const auto level = store_.list(schema::kLevelKey);
   const std::uint32_t present =
-      level.empty() ? levels::kCompact : levels::decode_stored(level.front().value).level;
+      level.empty() ? schema::kCompact : schema::decode_stored(level.front().value).level;
   for (SimulatedNode& node : nodes_) {
     // 0.3.0 knows of no level and is not locked out; the levels so far do it no harm.
-    if (node.alive && (node.newest >= present || node.newest == levels::kCompact)) {
+    if (node.alive && (node.newest >= present || node.newest == schema::kCompact)) {
       able.push_back(&node);
     }
   }
   if (able.empty()) return;
   seat_ = able[random_() % able.size()];
-  const bool old = seat_->newest == levels::kCompact;
-  old_led_ = old_led_ || (old && present > levels::kCompact);
-  permit_ = store_.hold(1e9, now_);
-  const auto won =
-      store_.commit({{{"leader", 0}},
-                     {{"leader", leadership::encode_holder(identity(*seat_), permit_), permit_}}});
-  ASSERT_EQ(won.outcome, state::Outcome::ok);
-  controller::Snapshot snapshot;
+  const bool old = seat_->newest == schema::kCompact;
+  old_led_ = old_led_ || (old && present > schema::kCompact);
+  lease_id_ = store_.hold(1e9, now_);
+  const auto won = store_.commit(
+      {{{"leader", 0}},
+       {{"leader", leadership::encode_holder(identity(*seat_), lease_id_), lease_id_}}});
+  ASSERT_EQ(won.outcome, kv::Outcome::ok);
+  controller::LeaderSnapshot snapshot;
   snapshot.jobs = store_.list("job/");
   snapshot.tasks = store_.list("task/");
   snapshot.pools = store_.list("pool/");
   snapshot.catalog = store_.list("catalog").front();
   snapshot.all_upgraded = upgraded();
-  const auto told = store_.list(state::kTimelineKey);
-  if (!told.empty()) snapshot.told_timeline = told.front();
+  const auto told = store_.list(kv::kTimelineKey);
+  if (!told.empty()) snapshot.stored_revision_clock = told.front();
   const auto shares = store_.list(shares::kSharesKey);
   if (!shares.empty()) snapshot.shares = shares.front();
   if (!old) {
@@ -458,21 +464,21 @@
     snapshot.zones = found(zones::kZonesKey);
   }
   if (!old && !level.empty()) snapshot.level = level.front();
-  snapshot.timeline = seat_->timeline;
-  snapshot.timeline.note(store_.epoch(), now_);
-  record(BehaviourRecorder::kElected, {won.epoch, name_of(*seat_)});
+  snapshot.revision_clock = seat_->timeline;
+  snapshot.revision_clock.observe(store_.store_revision(), now_);
+  record(BehaviourRecorder::kElected, {won.store_revision, name_of(*seat_)});
   led_since_ = now_;
-  position_ = store_.epoch();
-  levels::Speech speech;
+  position_ = store_.store_revision();
+  schema::SupportedVersions speech;
   speech.newest = seat_->newest;
-  leader_ =
-      std::make_unique<Leader>(platform_, settings::Policy{}, won.epoch, snapshot, now_, speech);
-  for (const workers::Report& report : std::exchange(kept_, {})) {
+  leader_ = std::make_unique<Leader>(platform_, settings::Policy{}, won.store_revision, snapshot,
+                                     now_, speech);
+  for (const workers::Heartbeat& report : std::exchange(kept_, {})) {
     for (const auto* controller : {&leader_, &former_}) {
       later(between(0, 0.5), [this, report, controller] {
         const auto no_answer = [](const Json&) {};
         if (!*controller) return;
-        (*controller)->on_report(report, recorded(**controller, report, no_answer), now_);
+        (*controller)->on_heartbeat(report, recorded(**controller, report, no_answer), now_);
       });
     }
   }
@@ -481,129 +487,135 @@
 void SimulatedCluster::follow_jobs() {
   if (chance(0.2)) return;
   auto changes = *store_.changes("job/", position_);
-  position_ = store_.epoch();
+  position_ = store_.store_revision();
   // The watch may lag behind what the leader has been told of its own writes.
   if (!changes.empty() && chance(0.3)) {
-    const std::uint64_t until = changes[changes.size() / 2].stamp;
-    std::erase_if(changes, [&](const auto& change) { return change.stamp > until; });
+    const std::uint64_t until = changes[changes.size() / 2].revision;
+    std::erase_if(changes, [&](const auto& change) { return change.revision > until; });
     position_ = until;
   }
   leader_->on_jobs(changes, now_);
   leader_->on_jobs_current(now_);
 }
 
-void SimulatedCluster::hand_out(const Outbox& outbox) {
-  const std::uint64_t baton = leader_->cluster().baton;
-  const bool old = seat_->newest == levels::kCompact;
+void SimulatedCluster::hand_out(const Effects& outbox) {
+  const std::uint64_t fencing_token = leader_->cluster().fencing_token;
+  const bool old = seat_->newest == schema::kCompact;
   record_outbox(*leader_, outbox);
-  if (!outbox.ask_told.empty()) ask_told(baton, outbox.ask_told);
+  if (!outbox.cancellation_poll_windows.empty())
+    ask_told(fencing_token, outbox.cancellation_poll_windows);
   if (outbox.read_claims && !old && !is_refused()) {
-    later(delay(), [this, baton] {
-      const auto claims = store_.list(levels::kClaims);
-      later(delay(), [this, baton, claims] {
-        if (leader_ && leader_->cluster().baton == baton) leader_->on_claims(claims);
+    later(delay(), [this, fencing_token] {
+      const auto claims = store_.list(schema::kClaims);
+      later(delay(), [this, fencing_token, claims] {
+        if (leader_ && leader_->cluster().fencing_token == fencing_token)
+          leader_->on_claims(claims);
       });
     });
   }
-  if (outbox.read_back) read_back(baton, *outbox.read_back);
+  if (outbox.verify_key) read_back(fencing_token, *outbox.verify_key);
   if (outbox.read_drains && !is_refused()) {
-    later(delay(), [this, baton] {
+    later(delay(), [this, fencing_token] {
       const auto record = found(drains::kRulesKey);
-      later(delay(), [this, baton, record] {
-        if (leader_ && leader_->cluster().baton == baton) leader_->on_drains(record, now_);
+      later(delay(), [this, fencing_token, record] {
+        if (leader_ && leader_->cluster().fencing_token == fencing_token)
+          leader_->on_drains(record, now_);
       });
     });
   }
-  for (const auto& [address, body] : outbox.stop_now) {
-    later(delay(), [=, this, address = address, body = body] { told(baton, address, body); });
+  for (const auto& [address, body] : outbox.urgent_stops) {
+    later(delay(),
+          [=, this, address = address, body = body] { told(fencing_token, address, body); });
   }
-  for (const std::string& address : outbox.greet) {
-    later(delay(), [=, this] { greet(baton, address); });
+  for (const std::string& address : outbox.probes) {
+    later(delay(), [=, this] { greet(fencing_token, address); });
   }
-  if (outbox.read_stale && !is_refused()) {
-    std::vector<state::Entry> stale;
+  if (outbox.read_obsolete_records && !is_refused()) {
+    std::vector<kv::Entry> stale;
     for (const auto& [key, item] : store_.items()) {
       const auto prefixes = controller::stale_prefixes();
       const bool read = std::any_of(prefixes.begin(), prefixes.end(),
                                     [&](const auto& prefix) { return key.starts_with(prefix); });
       if (read && controller::is_stale_at_any(key, item.value)) {
-        stale.push_back({key, item.value, item.stamp});
+        stale.push_back({key, item.value, item.revision});
       }
     }
-    later(delay(), [this, baton, stale] {
-      if (leader_ && leader_->cluster().baton == baton) leader_->on_stale(stale, now_);
+    later(delay(), [this, fencing_token, stale] {
+      if (leader_ && leader_->cluster().fencing_token == fencing_token)
+        leader_->on_obsolete_records(stale, now_);
     });
   }
-  if (outbox.commit) {
-    state::Transaction transaction = outbox.commit->transaction;
+  if (outbox.transaction) {
+    kv::Transaction transaction = outbox.transaction->transaction;
     if (old) {
-      std::erase_if(transaction.conditions,
-                    [](const auto& condition) { return condition.first == levels::kLevelKey; });
+      std::erase_if(transaction.preconditions,
+                    [](const auto& condition) { return condition.first == schema::kLevelKey; });
     }
     check_form(transaction);
     if (!is_refused() && chance(world_.late_writes)) {  // no answer, but applied, perhaps late
       later(chance(0.5) ? delay() : between(0.5, 12), [this, transaction] { apply(transaction); });
-      later(1.5, [this, baton] { settled(baton, {}); });
+      later(1.5, [this, fencing_token] { settled(fencing_token, {}); });
     } else if (is_refused() || chance(0.03)) {
-      state::Committed refused;
-      refused.outcome = state::Outcome::refused;
-      later(0.05, [this, baton, refused] { settled(baton, refused); });
+      kv::CommitResult refused;
+      refused.outcome = kv::Outcome::refused;
+      later(0.05, [this, fencing_token, refused] { settled(fencing_token, refused); });
     } else {
-      later(0.02, [this, baton, transaction] {
-        const state::Committed committed = commit(transaction);
-        later(0.02, [this, baton, committed] { settled(baton, committed); });
+      later(0.02, [this, fencing_token, transaction] {
+        const kv::CommitResult committed = commit(transaction);
+        later(0.02, [this, fencing_token, committed] { settled(fencing_token, committed); });
       });
     }
   }
-  for (const std::string& id : outbox.look_up) {
-    later(delay(), [this, baton, id] { look_up(baton, id); });
+  for (const std::string& id : outbox.read_job_ends) {
+    later(delay(), [this, fencing_token, id] { look_up(fencing_token, id); });
   }
-  for (const CloudOrder& order : outbox.cloud)
-    later(0.2, [this, baton, order] { cloud(baton, order); });
-  if (outbox.resign) depose();
+  for (const CloudRequest& order : outbox.cloud_requests)
+    later(0.2, [this, fencing_token, order] { cloud(fencing_token, order); });
+  if (outbox.step_down) depose();
 }
 
-void SimulatedCluster::check_form(const state::Transaction& transaction) {
-  for (const state::Write& write : transaction.writes) {
+void SimulatedCluster::check_form(const kv::Transaction& transaction) {
+  for (const kv::Write& write : transaction.writes) {
     const auto key = jobs::parse_chunk_key(write.key);
     if (!key || !write.value) continue;
     if (!upgraded() && key->format != jobs::Format::whole) break_rule("written for new nodes only");
   }
 }
 
-state::Committed SimulatedCluster::apply(const state::Transaction& transaction) {
+kv::CommitResult SimulatedCluster::apply(const kv::Transaction& transaction) {
   const bool applies = std::all_of(
-      transaction.conditions.begin(), transaction.conditions.end(), [&](const auto& condition) {
+      transaction.preconditions.begin(), transaction.preconditions.end(),
+      [&](const auto& condition) {
         const auto at = store_.items().find(condition.first);
-        return (at == store_.items().end() ? 0 : at->second.stamp) == condition.second;
+        return (at == store_.items().end() ? 0 : at->second.revision) == condition.second;
       });
   if (applies) check_levels(transaction);
   return store_.commit(transaction);
 }
 
-state::Committed SimulatedCluster::commit(const state::Transaction& transaction) {
+kv::CommitResult SimulatedCluster::commit(const kv::Transaction& transaction) {
   if (accepted_.take(static_cast<double>(transaction.writes.size()), now_) > 0) {
-    state::Committed refused;
-    refused.outcome = state::Outcome::refused;
-    refused.throttled = 5;
+    kv::CommitResult refused;
+    refused.outcome = kv::Outcome::refused;
+    refused.throttle_count = 5;
     return refused;
   }
-  state::Committed committed = apply(transaction);
+  kv::CommitResult committed = apply(transaction);
   // One that was put together before the limits fell may be sent again for a while.
-  if (committed.outcome == state::Outcome::bad && now_ > lowered_at_ + 10) {
+  if (committed.outcome == kv::Outcome::malformed && now_ > lowered_at_ + 10) {
     break_rule("a transaction too large");
   }
   return committed;
 }
 
-void SimulatedCluster::look_up(std::uint64_t baton, const std::string& id) {
-  if (!leader_ || leader_->cluster().baton != baton) return;
-  state::Found found;
+void SimulatedCluster::look_up(std::uint64_t fencing_token, const std::string& id) {
+  if (!leader_ || leader_->cluster().fencing_token != fencing_token) return;
+  kv::ReadResult found;
   const auto at = store_.items().find(jobs::end_key(id));
   if (at == store_.items().end()) {
-    found.outcome = state::Outcome::absent;
+    found.outcome = kv::Outcome::absent;
   } else if (!chance(0.2)) {
-    found = {state::Outcome::ok, {at->first, at->second.value, at->second.stamp}, 0};
+    found = {kv::Outcome::ok, {at->first, at->second.value, at->second.revision}, 0};
   }
   leader_->on_end_read(id, found, now_);
 }
@@ -612,21 +624,23 @@
   if (recorder_ != nullptr) recorder_->record(kind, now_, values);
 }
 
-void SimulatedCluster::record_outbox(const Leader& leader, const Outbox& outbox) const {
-  if (recorder_ != nullptr) recorder_->record_outbox(now_, leader.cluster().baton, outbox);
+void SimulatedCluster::record_outbox(const Leader& leader, const Effects& outbox) const {
+  if (recorder_ != nullptr) recorder_->record_outbox(now_, leader.cluster().fencing_token, outbox);
 }
 
-Leader::Answerer SimulatedCluster::recorded(const Leader& leader, const workers::Report& report,
-                                            Leader::Answerer answer) const {
+Leader::HeartbeatResponder SimulatedCluster::recorded(const Leader& leader,
+                                                      const workers::Heartbeat& report,
+                                                      Leader::HeartbeatResponder answer) const {
   if (recorder_ == nullptr) return answer;
-  return [this, token = leader.cluster().baton, report, answer](const Json& body) {
+  return [this, token = leader.cluster().fencing_token, report, answer](const Json& body) {
     recorder_->record_response(now_, token, report, body);
     answer(body);
   };
 }
 
-void SimulatedCluster::settled(std::uint64_t baton, const state::Committed& committed) {
-  if (leader_ && leader_->cluster().baton == baton) leader_->on_settled(committed, now_);
+void SimulatedCluster::settled(std::uint64_t fencing_token, const kv::CommitResult& committed) {
+  if (leader_ && leader_->cluster().fencing_token == fencing_token)
+    leader_->on_transaction_completed(committed, now_);
 }
 
 }  // namespace reachramp::test
--- a/test/simulated_cluster.h
+++ b/test/simulated_cluster.h
@@ -5,11 +5,11 @@
 // under their names with new workers; copies of reports wait for the next leader; users cancel at
 // the very end of a job. At first nodes are changed
 // one by one from version 0.2.0, whose records the leader keeps to meanwhile, and some time later
-// the state service lowers its limits. Then they are changed on, over the levels of the stored
+// the key-value store lowers its limits. Then they are changed on, over the levels of the stored
 // state: each node's process speaks some levels and claims so for as long as it lives; processes
 // die, come back as older ones, hold the fleet back; claims outlive them, and a process that is
 // back at once goes on with its predecessor's claim and ends its lead. Operators drain machines and
-// take it back. The state service refuses the leader, and some time later everybody, while users
+// take it back. The key-value store refuses the leader, and some time later everybody, while users
 // cancel at other nodes. Whatever happens, the rules hold, and nobody who knows of levels writes a
 // form that is older than the present one; when the trouble ends, all work is done and the last
 // step is settled.
@@ -26,13 +26,13 @@
 #include "controller/leader.h"
 #include "leadership/holder.h"
 #include "model/state_service.h"
-#include "peers/told.h"
+#include "peers/recent_cancellations.h"
 
 namespace reachramp::test {
 
-using controller::CloudOrder;
+using controller::CloudRequest;
+using controller::Effects;
 using controller::Leader;
-using controller::Outbox;
 using wire::Json;
 
 struct SimulatedTask {
@@ -45,7 +45,7 @@
   std::string name, type, zone;
   bool spot = false;
   double up_at = 0, dead_at = 1e18, made_at = 0;
-  std::uint64_t tenure = 1, tick = 0, baton = 0;
+  std::uint64_t incarnation = 1, sequence_number = 0, fencing_token = 0;
   double leased_at = 0;  // when the last answered report was sent
   double report_at = 0;
   std::map<std::pair<std::string, std::uint64_t>, SimulatedTask> tasks;  // (job/task, try)
@@ -59,19 +59,19 @@
 
 // A controller node, as far as the levels go: version 0.3.0 speaks two and claims nothing.
 struct SimulatedNode {
-  std::uint32_t newest = levels::kCompact;
+  std::uint32_t newest = schema::kCompact;
   std::uint32_t hold_at = 0;
   bool alive = true;
   double back_at = 0;
   double change_at = 0;  // when a later version is started here
-  std::uint64_t permit = 0;
+  std::uint64_t lease_id = 0;
   // Of the claim of the process that died here, and until when it lasts if nobody renews it.
-  std::uint64_t left_permit = 0;
+  std::uint64_t left_lease_id = 0;
   double left_until = 0;
   int processes = 0;  // that have run here
   // What the process there has told users as cancelled.
-  std::unique_ptr<peers::Told> told;
-  state::Timeline timeline;  // what the process there has seen of the state service
+  std::unique_ptr<peers::RecentCancellations> told;
+  kv::RevisionClock timeline;  // what the process there has seen of the key-value store
   // What it last claimed, and when that process was last alive.
   std::uint32_t claimed = 0;
   double claimed_until = 0;
@@ -118,7 +118,7 @@
 
   void run(double seconds);
   void calm();
-  // First the state service refuses the leader alone, some time later everybody; users cancel in
+  // First the key-value store refuses the leader alone, some time later everybody; users cancel in
   // between.
   void refuse(double gap_s, double outage_s);
   // The lead passes to another node; the leader before may go on for a while, not knowing.
@@ -148,11 +148,11 @@
 
   bool upgraded() const { return now_ >= upgraded_at_; }
   bool is_out() const { return now_ >= out_from_ && now_ < out_until_; }
-  // The leader, by the state service.
+  // The leader, by the key-value store.
   bool is_refused() const { return now_ < refused_until_ || is_out(); }
 
   // Each member's word has a way there and back.
-  void ask_told(std::uint64_t baton, const std::vector<double>& windows);
+  void ask_told(std::uint64_t fencing_token, const std::vector<double>& windows);
 
   void step();
 
@@ -174,23 +174,23 @@
 
   // Of every transaction that is applied, as it is: no step without all nodes, and nothing written
   // by who knows of levels in a form older than the present one.
-  void check_levels(const state::Transaction& transaction);
+  void check_levels(const kv::Transaction& transaction);
 
   // ---- operators
 
-  std::optional<state::Entry> found(const std::string& key) const;
+  std::optional<kv::Entry> found(const std::string& key) const;
 
   // As a node does with a file that is newer than what is in force.
   void operate();
 
   // Answered, or not to be had for a while.
-  void read_back(std::uint64_t baton, const std::string& key);
+  void read_back(std::uint64_t fencing_token, const std::string& key);
 
   // A worker is told at its own address, perhaps much later, and answers with its report.
-  void told(std::uint64_t baton, const std::string& address, const Json& body);
+  void told(std::uint64_t fencing_token, const std::string& address, const Json& body);
 
   // Asked for its session, then told who leads.
-  void greet(std::uint64_t baton, const std::string& address);
+  void greet(std::uint64_t fencing_token, const std::string& address);
 
   // ---- leadership
 
@@ -200,22 +200,22 @@
 
   void follow_jobs();
 
-  void hand_out(const Outbox& outbox);
+  void hand_out(const Effects& outbox);
 
   // While an old node may still lead, nothing is written that it would not read.
-  void check_form(const state::Transaction& transaction);
+  void check_form(const kv::Transaction& transaction);
 
-  state::Committed apply(const state::Transaction& transaction);
+  kv::CommitResult apply(const kv::Transaction& transaction);
 
-  state::Committed commit(const state::Transaction& transaction);
+  kv::CommitResult commit(const kv::Transaction& transaction);
 
-  void look_up(std::uint64_t baton, const std::string& id);
+  void look_up(std::uint64_t fencing_token, const std::string& id);
 
-  void settled(std::uint64_t baton, const state::Committed& committed);
+  void settled(std::uint64_t fencing_token, const kv::CommitResult& committed);
 
   // ---- cloud
 
-  void cloud(std::uint64_t baton, const CloudOrder& order);
+  void cloud(std::uint64_t fencing_token, const CloudRequest& order);
 
   void list();
 
@@ -231,9 +231,9 @@
 
   Json report_of(const SimulatedMachine& machine) const;
 
-  void receive(const std::string& name, int life, const workers::Report& report, double sent_at);
+  void receive(const std::string& name, int life, const workers::Heartbeat& report, double sent_at);
 
-  void execute(const std::string& name, int life, const workers::Report& report, double sent_at,
+  void execute(const std::string& name, int life, const workers::Heartbeat& report, double sent_at,
                const Json& body);
 
   void start(SimulatedMachine& machine, const std::pair<std::string, std::uint64_t>& key);
@@ -241,10 +241,10 @@
   // ---- recording, if anybody records
 
   void record(BehaviourRecorder::Kind kind, const Json& values) const;
-  void record_outbox(const Leader& leader, const Outbox& outbox) const;
+  void record_outbox(const Leader& leader, const Effects& outbox) const;
   // Passes the leader's response on, recorded.
-  Leader::Answerer recorded(const Leader& leader, const workers::Report& report,
-                            Leader::Answerer answer) const;
+  Leader::HeartbeatResponder recorded(const Leader& leader, const workers::Heartbeat& report,
+                                      Leader::HeartbeatResponder answer) const;
 
   // ---- rules
 
@@ -269,7 +269,7 @@
   settings::Platform platform_;
   double upgraded_at_, lowered_at_;
   bool lowered_ = false;
-  state::Bucket accepted_;
+  kv::TokenBucket accepted_;
   lab::StateService store_;
   double now_ = kBeginsAt_s;
   std::unique_ptr<Leader> leader_, former_;
@@ -277,15 +277,15 @@
   SimulatedNode* seat_ = nullptr;  // where the leader is
   std::uint64_t serial_ = 1;       // of the operators' file
   bool old_led_ = false;           // a process of 0.3.0 has led after the first step
-  std::uint64_t permit_ = 0, position_ = 0;
+  std::uint64_t lease_id_ = 0, position_ = 0;
   double elect_at_ = 0, list_at_ = 0, calm_at_ = 0;
   SimulatedNode* mute_ = nullptr;  // meanwhile the others cannot reach it; users can
-  double refused_until_ = 0, out_from_ = 0, out_until_ = 0;  // by the state service
+  double refused_until_ = 0, out_from_ = 0, out_until_ = 0;  // by the key-value store
   std::map<std::string, SimulatedMachine> machines_;
   std::map<std::string, std::vector<std::string>> hires_;
   int made_ = 0;
   std::vector<Message> mail_;
-  std::vector<workers::Report> kept_;  // copies for the next leader
+  std::vector<workers::Heartbeat> kept_;  // copies for the next leader
   std::map<std::string, jobs::Spec> specs_;
   std::map<std::string, double> cancelled_at_;
   std::map<std::string, double> unknown_at_;  // cancelled jobs: when the leader last did not know
--- a/test/simulated_cluster_rules.cpp
+++ b/test/simulated_cluster_rules.cpp
@@ -76,7 +76,7 @@
       break_rule("orphaned " + id);
     }
     if (end == store_.items().end()) continue;
-    const jobs::Ending ending = jobs::decode_ending(end->second.value);
+    const jobs::FinalState ending = jobs::decode_ending(end->second.value);
     const auto [known, fresh] = endings_.try_emplace(id, ending.cancelled);
     if (known->second != ending.cancelled) break_rule("went_back " + id);
     if (ending.cancelled != falls(id).has_value()) break_rule("went_back " + id);
@@ -110,7 +110,7 @@
   std::optional<double> at;
   const auto own = cancelled_at_.find(id);
   if (own != cancelled_at_.end()) at = own->second;
-  for (const std::string& need : specs_.at(id).needs) {
+  for (const std::string& need : specs_.at(id).depends_on) {
     if (const auto with = falls(need)) at = std::min(at.value_or(*with), *with);
   }
   return at;
--- a/test/simulated_machines.cpp
+++ b/test/simulated_machines.cpp
@@ -4,32 +4,33 @@
 
 namespace reachramp::test {
 
-void SimulatedCluster::cloud(std::uint64_t baton, const CloudOrder& order) {
-  const bool answered = leader_ && leader_->cluster().baton == baton && !chance(0.05);
-  if (order.kind == CloudOrder::Kind::give_back) {
+void SimulatedCluster::cloud(std::uint64_t fencing_token, const CloudRequest& order) {
+  const bool answered =
+      leader_ && leader_->cluster().fencing_token == fencing_token && !chance(0.05);
+  if (order.kind == CloudRequest::Kind::scale_in) {
     for (const std::string& name : order.machines) machines_.erase(name);
     if (answered) {
-      leader_->on_returned(order.machines, now_);
+      leader_->on_scale_in_completed(order.machines, now_);
     } else if (leader_) {
-      later(1, [this, baton, order] { cloud(baton, order); });
+      later(1, [this, fencing_token, order] { cloud(fencing_token, order); });
     }
     return;
   }
-  auto [at, fresh] = hires_.try_emplace(order.hire.name);
+  auto [at, fresh] = hires_.try_emplace(order.scale_out.name);
   if (fresh) {
     int alike = 0;
     for (const auto& [name, machine] : machines_) {
-      alike += now_ < machine.dead_at && machine.type == order.hire.type &&
-               machine.zone == order.hire.zone && machine.spot == order.hire.spot;
+      alike += now_ < machine.dead_at && machine.type == order.scale_out.type &&
+               machine.zone == order.scale_out.zone && machine.spot == order.scale_out.spot;
     }
-    for (int i = alike;
-         i < world_.machines_per_pool && static_cast<int>(at->second.size()) < order.hire.count;
+    for (int i = alike; i < world_.machines_per_pool &&
+                        static_cast<int>(at->second.size()) < order.scale_out.count;
          ++i) {
       SimulatedMachine machine;
       machine.name = "n-" + std::to_string(++made_);
-      machine.type = order.hire.type;
-      machine.zone = order.hire.zone;
-      machine.spot = order.hire.spot;
+      machine.type = order.scale_out.type;
+      machine.zone = order.scale_out.zone;
+      machine.spot = order.scale_out.spot;
       machine.made_at = now_;
       machine.up_at = now_ + between(world_.boot_least_s, world_.boot_most_s);
       machine.leased_at = machine.up_at;
@@ -37,16 +38,17 @@
       machines_[machine.name] = machine;
     }
   }
-  cloud::Hired hired;
-  hired.verdict = at->second.empty() ? cloud::Verdict::no_capacity : cloud::Verdict::ok;
+  cloud::ScaleOutResult hired;
+  hired.verdict = at->second.empty() ? cloud::CloudOutcome::no_capacity : cloud::CloudOutcome::ok;
   hired.machines = at->second;
   if (hired.machines.empty()) hires_.erase(at);
   if (answered) {
-    later(world_.rental_answer_s, [this, baton, hire = order.hire, hired] {
-      if (leader_ && leader_->cluster().baton == baton) leader_->on_hired(hire, hired, now_);
+    later(world_.rental_answer_s, [this, fencing_token, hire = order.scale_out, hired] {
+      if (leader_ && leader_->cluster().fencing_token == fencing_token)
+        leader_->on_scale_out_completed(hire, hired, now_);
     });
   } else {
-    later(1, [this, baton, order] { cloud(baton, order); });
+    later(1, [this, fencing_token, order] { cloud(fencing_token, order); });
   }
 }
 
@@ -54,7 +56,7 @@
   list_at_ = now_ + 2;
   const double lag = between(0, 2 * platform_.cloud_limits.list_lag_s);
   const double as_of = now_ - lag;
-  std::vector<cloud::Listed> listed;
+  std::vector<cloud::ListedMachine> listed;
   for (const auto& [name, machine] : machines_) {
     if (machine.made_at > as_of || (machine.spot && machine.dead_at < as_of)) continue;
     listed.push_back(
@@ -62,7 +64,7 @@
          machine.dead_at < as_of ? cloud::MachinePhase::failed : cloud::MachinePhase::running,
          as_of - machine.made_at});
   }
-  leader_->on_list(listed, now_, now_);
+  leader_->on_host_list(listed, now_, now_);
 }
 
 bool SimulatedCluster::alive(const SimulatedMachine& machine) const {
@@ -90,15 +92,15 @@
   }
   if (chance(0.0003)) {
     machine.tasks.clear();
-    machine.tenure = 1;
-    machine.tick = machine.baton = 0;
+    machine.incarnation = 1;
+    machine.sequence_number = machine.fencing_token = 0;
     machine.leased_at = now_;
     machine.awaiting.reset();
     ++machine.life;
   }
   if (now_ - machine.leased_at > platform_.workers.lease_s) {
     machine.tasks.clear();
-    ++machine.tenure;
+    ++machine.incarnation;
     machine.leased_at = now_;
   }
   for (auto& [key, piece] : machine.tasks) {
@@ -115,13 +117,13 @@
   if (machine.awaiting && now_ >= machine.give_up_at) machine.awaiting.reset();
   if (machine.awaiting || now_ < machine.report_at) return;
   machine.report_at = now_ + between(0.75, 1.25);
-  machine.awaiting = ++machine.tick;
+  machine.awaiting = ++machine.sequence_number;
   machine.give_up_at = now_ + 4;
   if (now_ < machine.mute_until || chance(0.05)) return;  // lost
   const std::string name = machine.name;
   const double sent_at = now_;
-  const workers::Report report =
-      workers::decode_report(wire::decode_map(wire::encode(report_of(machine))));
+  const workers::Heartbeat report =
+      workers::decode_heartbeat(wire::decode_map(wire::encode(report_of(machine))));
   const int life = machine.life;
   later(delay(), [this, name, life, report, sent_at] { receive(name, life, report, sent_at); });
   if (chance(world_.kept_reports)) kept_.push_back(report);
@@ -129,7 +131,7 @@
   while (chance(0.05)) {
     later(between(1, 30), [this, report] {
       Leader* to = former_ && chance(0.5) ? former_.get() : leader_.get();
-      if (to != nullptr) to->on_report(report, recorded(*to, report, [](const Json&) {}), now_);
+      if (to != nullptr) to->on_heartbeat(report, recorded(*to, report, [](const Json&) {}), now_);
     });
   }
 }
@@ -158,13 +160,19 @@
     if (!piece.cause.empty()) item["cause"] = piece.cause;
     pieces.push_back(item);
   }
-  return {{"host", machine.name},       {"address", machine.name}, {"rig", machine.type},
-          {"hall", machine.zone},       {"loaner", machine.spot},  {"tenure", machine.tenure},
-          {"tick", machine.tick},       {"baton", machine.baton},  {"reclaim_in_s", nullptr},
+  return {{"host", machine.name},
+          {"address", machine.name},
+          {"rig", machine.type},
+          {"hall", machine.zone},
+          {"loaner", machine.spot},
+          {"tenure", machine.incarnation},
+          {"tick", machine.sequence_number},
+          {"baton", machine.fencing_token},
+          {"reclaim_in_s", nullptr},
           {"pieces", std::move(pieces)}};
 }
 
-void SimulatedCluster::receive(const std::string& name, int life, const workers::Report& report,
+void SimulatedCluster::receive(const std::string& name, int life, const workers::Heartbeat& report,
                                double sent_at) {
   // A former leader that has not noticed yet still gets some reports.
   Leader* to = former_ && chance(0.5) ? former_.get() : leader_.get();
@@ -175,16 +183,18 @@
       execute(name, life, report, sent_at, body);
     });
   };
-  const auto verdict = to->on_report(report, recorded(*to, report, answer), now_);
-  const bool accepted = verdict != controller::ReportVerdict::deposed;
-  if (!accepted) record(BehaviourRecorder::kDeposed, {to->cluster().baton, name, report.tick});
+  const auto verdict = to->on_heartbeat(report, recorded(*to, report, answer), now_);
+  const bool accepted = verdict != controller::HeartbeatVerdict::deposed;
+  if (!accepted)
+    record(BehaviourRecorder::kDeposed,
+           {to->cluster().fencing_token, name, report.sequence_number});
   if (to == former_.get()) {
     if (accepted) record_outbox(*former_, former_->advance(now_));
     if (!accepted || chance(0.1)) former_.reset();
   }
 }
 
-void SimulatedCluster::execute(const std::string& name, int life, const workers::Report& report,
+void SimulatedCluster::execute(const std::string& name, int life, const workers::Heartbeat& report,
                                double sent_at, const Json& body) {
   const auto at = machines_.find(name);
   if (at == machines_.end() || !alive(at->second)) return;
@@ -193,14 +203,15 @@
     later(machine.hung_until - now_, [=, this] { execute(name, life, report, sent_at, body); });
     return;
   }
-  if (machine.awaiting != report.tick || now_ >= machine.give_up_at ||
-      machine.tenure != report.tenure || machine.life != life || now_ < machine.deaf_until) {
+  if (machine.awaiting != report.sequence_number || now_ >= machine.give_up_at ||
+      machine.incarnation != report.incarnation || machine.life != life ||
+      now_ < machine.deaf_until) {
     return;
   }
   machine.awaiting.reset();
-  const auto baton = body.at("baton").get<std::uint64_t>();
-  if (baton < machine.baton) return;
-  machine.baton = baton;
+  const auto fencing_token = body.at("baton").get<std::uint64_t>();
+  if (fencing_token < machine.fencing_token) return;
+  machine.fencing_token = fencing_token;
   machine.leased_at = sent_at;
   for (const Json& order : body.at("orders")) {
     const std::string verb = order.at("verb");
@@ -243,7 +254,7 @@
   if ((machine.spot && !spec.spot) || !jobs::fits_type(spec, *type)) {
     break_rule("wrong_place " + key.first);
   }
-  for (const std::string& need : spec.needs) {
+  for (const std::string& need : spec.depends_on) {
     const auto end = store_.items().find(jobs::end_key(need));
     if (end == store_.items().end() || jobs::decode_ending(end->second.value).cancelled) {
       break_rule("too_early " + key.first);
--- a/test/simulation_test.cpp
+++ b/test/simulation_test.cpp
@@ -44,7 +44,7 @@
   for (int i = 0; i < 12; ++i) {
     jobs::Spec spec = job(i, random() % 1000);
     for (int earlier = std::max(0, i - 5); earlier < i; ++earlier) {
-      if (random() % 4 == 0) spec.needs.push_back("j-" + std::to_string(earlier));
+      if (random() % 4 == 0) spec.depends_on.push_back("j-" + std::to_string(earlier));
     }
     simulation.submit(std::move(spec));
     simulation.run(8);
