--- a/test/end_to_end_test.cpp
+++ b/test/end_to_end_test.cpp
@@ -515,7 +515,8 @@
 };
 INSTANTIATE_TEST_SUITE_P(From, Roll,
                          ::testing::Values("REACHRAMP_PRODUCTION", "REACHRAMP_0_3_0",
-                                           "REACHRAMP_0_4_0"));
+                                           "REACHRAMP_0_4_0"),
+                         [](const auto& from) { return std::string(from.param); });
 
 TEST_P(Roll, NodesAreChangedOneByOneWhileTheyServe) {
   if (program_ == nullptr) GTEST_SKIP() << GetParam() << " names no program";
