--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -91,7 +91,7 @@
   for (auto _ : state) {
     for (const double end = led.now + 1; led.now < end;) {
       led.now += each_s;
-      led.leader.on_jobs_current(led.now);
+      led.leader.on_jobs_read_until(led.now);
       led.hear(next++ % machines);
       const auto out = led.leader.advance(led.now);
       if (!out.transaction) continue;
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -26,7 +26,7 @@
 
 namespace reachramp::controller {
 
-// What becomes of a worker's report.
+// What becomes of a worker's heartbeat.
 enum class HeartbeatVerdict {
   accepted,  // its response goes to the answerer, now or later
   deposed,   // the worker has seen a higher token: this leader's time is over
@@ -38,8 +38,9 @@
   std::vector<CloudRequest> cloud_requests;
   std::optional<std::string> verify_key;   // a key that tells whether a transaction was applied
   std::vector<std::string> read_job_ends;  // jobs whose ends are to be read
-  std::vector<std::string> probes;  // machines to be sent empty orders that carry our fencing token
-  std::vector<std::pair<std::string, kv::Json>> urgent_stops;  // addresses, bodies of /orders
+  std::vector<std::string>
+      probes;  // machines to be sent empty commands that carry our fencing token
+  std::vector<std::pair<std::string, kv::Json>> urgent_stops;  // addresses, bodies of /commands
   std::vector<double> cancellation_poll_windows;  // members for the cancellations they told: one
                                                   // window each; or none
   bool step_down = false;
@@ -70,24 +71,24 @@
   // Throws where the stored level is not one that `speech` has.
   Leader(const settings::Platform& platform, const settings::Policy& policy,
          std::uint64_t fencing_token, const LeaderSnapshot& snapshot, double now,
-         const schema::SupportedVersions& speech = {});
+         const schema::SupportedVersions& supported_versions = {});
 
-  // A worker's report; `answer` is called with the response, now or as soon as intents that it
+  // A worker's heartbeat; `answer` is called with the response, now or as soon as intents that it
   // should carry are durable, or with null: this leader may not answer now
   // (leadership/read_freshness.h).
   using HeartbeatResponder = std::function<void(const wire::Json&)>;
-  HeartbeatVerdict on_heartbeat(const workers::Heartbeat& report, HeartbeatResponder answer,
+  HeartbeatVerdict on_heartbeat(const workers::Heartbeat& heartbeat, HeartbeatResponder answer,
                                 double now);
-  void on_direct_status(const workers::Heartbeat& report, double now);
-  void on_jobs(const std::vector<kv::KeyChange>& changes, double now);
+  void on_direct_status(const workers::Heartbeat& heartbeat, double now);
+  void on_job_changes(const std::vector<kv::KeyChange>& changes, double now);
   // All jobs as read anew after the watch lost its place.
   void on_job_list(const std::vector<kv::Entry>& entries, double now);
-  void on_end_read(const std::string& id, const kv::ReadResult& found, double now);
+  void on_job_end_read(const std::string& id, const kv::ReadResult& found, double now);
   void on_all_upgraded() { all_upgraded_ = true; }
   // All changes of jobs until then were passed in; they count as known if all were taken in.
-  void on_jobs_current(double asked_at);
+  void on_jobs_read_until(double asked_at);
   // What members have told users as cancelled, each for itself.
-  void on_cancellation_digests(const std::vector<leadership::CancellationDigest>& words,
+  void on_cancellation_digests(const std::vector<leadership::CancellationDigest>& digests,
                                double now);
   void on_claims(const std::vector<kv::Entry>& entries);
   // All stale records that strong reads showed, which began after this leader had asked for them.
@@ -95,16 +96,16 @@
   // The record of what is to be drained; nothing: there is none.
   void on_drains(const std::optional<kv::Entry>& entry, double now);
   const drains::Drains& drains() const { return drains_; }
-  const schema::StoredSchema& level() const { return level_; }
+  const schema::StoredSchema& level() const { return schema_; }
   void on_transaction_completed(const kv::CommitResult& committed, double now);
-  // The key that was to be read back, and the leader's key, by strong reads in this order: while
+  // The key that was to be read back, and the leader's key, by strong reads in this command: while
   // the latter has our fencing token, nobody else can have written the former.
   void on_transaction_verified(const kv::ReadResult& found, const kv::ReadResult& leader,
                                double now);
   void on_catalog(const cloud::Catalog& catalog, double now);
   void on_host_list(const std::vector<cloud::ListedMachine>& listed, double asked_at, double now);
-  void on_scale_out_completed(const cloud::ScaleOutRequest& hire,
-                              const cloud::ScaleOutResult& hired, double now);
+  void on_scale_out_completed(const cloud::ScaleOutRequest& request,
+                              const cloud::ScaleOutResult& result, double now);
   void on_scale_in_completed(const std::vector<std::string>& machines, double now);
 
   // Lets time pass: plans, rents, returns, commits, answers.
@@ -113,120 +114,132 @@
   const Cluster& cluster() const { return cluster_; }
 
  private:
-  struct Parked {
+  struct DeferredResponse {
     std::string host;
     HeartbeatResponder answer;
     double since = 0;
   };
 
-  void upkeep(double now);
-  void tell_heard(double now);
-  void find_deaf(double now);
-  void buy(double now);
+  // The start of the term (leader_restore.cpp): from stored records to state.
+  void restore_schema(const LeaderSnapshot& snapshot);  // throws if it cannot be served
+  void restore_usage(const LeaderSnapshot& snapshot);
+  void restore_drain_budgets(const LeaderSnapshot& snapshot, double now);
+  void restore_revision_clock(const LeaderSnapshot& snapshot, double now);
+  void restore_catalog(const LeaderSnapshot& snapshot);
+  void restore_jobs(const LeaderSnapshot& snapshot, double now);
+  void restore_scale_outs(const LeaderSnapshot& snapshot, double now);
+  void restore_zones(const LeaderSnapshot& snapshot, double now);
+  void detect_older_leader(const LeaderSnapshot& snapshot);
+
+  void check_host_liveness(double now);
+  void log_failover_progress(double now);
+  void detect_unreachable_hosts(double now);
+  void scale(double now);
   // Unless its return has been requested already.
-  void give_back(Index host, const char* why);
-  void request_return(placement::Host& host, const std::string& why);
+  void scale_in(Index host, const char* why);
+  void request_scale_in(placement::Host& host, const std::string& why);
   // Machines on which a task of a cancelled job may outlive cancel_s.
-  void return_for_cancellations(double now);
+  void scale_in_for_cancellations(double now);
   // A leader that stood still has heard nobody meanwhile: it listens anew.
-  void note_advance(double now);
+  void detect_own_pause(double now);
   // False, and nothing is answered, while this leader may not answer workers.
-  bool entitled_to_answer(const HeartbeatResponder& answer, double now);
-  // With the orders for the host, if it is known.
-  void answer(const HeartbeatResponder& answer, std::optional<Index> host, double now);
-  void answer_parked(double now);
-  bool waits_for_commit(const placement::Host& host) const;
-  void gone(const std::string& name, double now);
-  void commit(double now);
+  bool may_respond(const HeartbeatResponder& answer, double now);
+  // With the commands for the host, if it is known.
+  void respond(const HeartbeatResponder& answer, std::optional<Index> host, double now);
+  void send_deferred_responses(double now);
+  bool awaits_persistence(const placement::Host& host) const;
+  void on_host_removed(const std::string& name, double now);
+  void send_next_transaction(double now);
   void resume_transaction(double now);
-  void settle(const PendingTransaction::Resolution& resolution, double now);
-  void note_committed(const TransactionBatch& batch, std::uint64_t store_revision, double now);
-  void note_too_large(const TransactionBatch& batch, double now);
-  void note_rejected(kv::Outcome outcome, double now);
-  void store_timeline(double now);
-  void pass_shares(double now);
-  void log_shares(double now);
-  void store_shares(double now);
-  void drain(double now);
+  void resolve_transaction(const PendingTransaction::Resolution& resolution, double now);
+  void on_batch_applied(const TransactionBatch& batch, std::uint64_t store_revision, double now);
+  void on_batch_too_large(const TransactionBatch& batch, double now);
+  void on_batch_rejected(kv::Outcome outcome, double now);
+  void store_revision_clock(double now);
+  void update_usage(double now);
+  void log_usage(double now);
+  void store_usage(double now);
+  void advance_drains(double now);
   void end_drains();
   void close_pools();
-  void watch_levels(double now);
-  void write_level(const schema::StoredSchema& to,
-                   std::vector<std::pair<std::string, std::uint64_t>> given);
-  void renew_record(const std::string& key, std::uint64_t revision, double now);
+  void advance_schema(double now);
+  void write_schema(const schema::StoredSchema& to,
+                    std::vector<std::pair<std::string, std::uint64_t>> preconditions);
+  void rewrite_record(const std::string& key, std::uint64_t revision, double now);
   // Whether all that the record says is in the state now.
-  bool take_header(const std::string& key, const kv::Json& value, std::uint64_t revision,
-                   placement::CancellationTime told_at, double now);
+  bool apply_job_record(const std::string& key, const kv::Json& value, std::uint64_t revision,
+                        placement::CancellationTime told_at, double now);
   // Of a change that the watch brings now, and of a record that was there when this leader began.
-  placement::CancellationTime told_lately(double now) const;
-  placement::CancellationTime told_before(std::uint64_t revision, double now) const;
+  placement::CancellationTime cancellation_time_of_change(double now) const;
+  placement::CancellationTime cancellation_time_of_record(std::uint64_t revision, double now) const;
   bool may_start(double now) const;
   std::string pool_key(const placement::Pool& pool) const;
 
   settings::Platform platform_;
   settings::Policy policy_;
   Cluster cluster_;
-  acquire::Autoscaler buyer_;
-  TransactionBuilder ledger_;
-  WriteBudget writes_;
+  acquire::Autoscaler autoscaler_;
+  TransactionBuilder transaction_builder_;
+  WriteBudget write_budget_;
   zones::Zones zones_;
   double zones_stored_at_ = -1e9;
   drains::Drains drains_;
-  std::string bad_drains_;             // why the record is not in force, as last logged
+  std::string last_drain_error_;       // why the record is not in force, as last logged
   std::uint64_t drains_revision_ = 0;  // of the record in force
   bool rolling_ = true;                // until claims show that it is not
-  double drains_asked_at_ = -1e9;
-  double drained_at_ = -1e9;
+  double drains_read_at_ = -1e9;
+  double drains_advanced_at_ = -1e9;
   double drains_stored_at_ = -1e9;
-  schema::SupportedVersions speech_;
-  schema::StoredSchema level_;
-  std::string refused_step_;       // as last logged
-  std::set<std::string> renewed_;  // records of tasks that the step has removed
-  double claims_asked_at_ = -1e9;
-  double stale_asked_at_ = -1e9;
-  shares::UsageAccounts accounts_;
-  std::uint64_t accounted_to_ = 0;  // jobs born up to here are in the accounts that were read
-  bool shares_unreadable_ = false;
-  double shares_passed_at_ = -1e9;
-  double log_shares_at_;
-  double stored_shares_at_;
-  kv::RevisionClock timeline_;
-  double stored_timeline_at_;
-  Effects out_;
+  schema::SupportedVersions supported_versions_;
+  schema::StoredSchema schema_;
+  std::string last_migration_refusal_;       // as last logged
+  std::set<std::string> rewritten_records_;  // records of tasks that the step has removed
+  double claims_read_at_ = -1e9;
+  double obsolete_records_read_at_ = -1e9;
+  shares::UsageAccounts usage_;
+  std::uint64_t usage_restored_to_revision_ =
+      0;  // jobs born up to here are in the accounts that were read
+  bool usage_unreadable_ = false;
+  double usage_updated_at_ = -1e9;
+  double next_usage_log_at_;
+  double usage_stored_at_;
+  kv::RevisionClock revision_clock_;
+  double revision_clock_stored_at_;
+  Effects effects_;
   PendingTransaction transaction_;
-  int conflicts_ = 0;  // in a row
-  int most_ops_;       // of one transaction
-  std::map<std::string, double> looked_up_at_;
-  std::vector<Parked> parked_;                // the longest waiting first
-  bool look_at_parked_ = false;               // something has changed that may let answers go
-  std::vector<std::string> unknown_;          // jobs that others need and nothing is known of
-  std::map<std::string, double> tombstones_;  // machines
-  // Jobs whose end was settled under this lead, with its revision. The watch may yet bring headers
-  // from before.
-  std::map<std::string, std::uint64_t> ended_;
-  std::uint64_t watched_to_ = 0;  // the newest revision that the watch has brought
+  int consecutive_conflicts_ = 0;  // in a row
+  int max_writes_;                 // of one transaction
+  std::map<std::string, double> job_ends_read_at_;
+  std::vector<DeferredResponse> deferred_responses_;  // the longest waiting first
+  bool recheck_deferred_responses_ = false;        // something has changed that may let answers go
+  std::vector<std::string> unknown_dependencies_;  // jobs that others need and nothing is known of
+  std::map<std::string, double> returned_hosts_;   // machines
+  // Jobs whose end was settled under this leadership, with its revision. The watch may yet bring
+  // headers from before.
+  std::map<std::string, std::uint64_t> recently_ended_jobs_;
+  std::uint64_t watched_revision_ = 0;  // the newest revision that the watch has brought
   // Requests whose pool record is on its way, then those that are out.
-  std::vector<std::pair<std::string, cloud::ScaleOutRequest>> to_hire_;
-  std::map<std::string, double> asked_at_;
-  std::uint64_t hires_ = 0;
-  double since_;
+  std::vector<std::pair<std::string, cloud::ScaleOutRequest>> scale_outs_awaiting_record_;
+  std::map<std::string, double> scale_out_requested_at_;
+  std::uint64_t scale_out_count_ = 0;
+  double leader_since_;
   double listening_since_;  // the same, or since this process last stood still
   double advanced_at_;
-  leadership::ReadFreshness staleness_;
-  bool jobs_complete_ = true;  // every change that the watch brought was taken in
-  bool answers_ = true;        // as last logged
+  leadership::ReadFreshness freshness_;
+  bool all_job_changes_applied_ = true;  // every change that the watch brought was taken in
+  bool was_responding_ = true;           // as last logged
   double planned_at_ = -1e9;
-  double bought_at_ = -1e9;
-  double upkeep_at_ = -1e9;
+  double scaled_at_ = -1e9;
+  double liveness_checked_at_ = -1e9;
   double cancellations_checked_at_ = -1e9;
-  double jobs_asked_at_ = -1e9;
-  bool told_heard_ = false;
+  double jobs_read_requested_at_ = -1e9;
+  bool failover_progress_logged_ = false;
   double half_heard_s_ = -1, most_heard_s_ = -1;  // since taking over; not yet: -1
-  bool listed_ = false;                           // the machines have been listed under this lead
+  bool hosts_listed_ = false;  // the machines have been listed under this leadership
   bool all_upgraded_ = false;
-  bool reurge_ = true;
-  bool replan_ = true;
-  bool rebuy_ = true;
+  bool needs_priority_update_ = true;
+  bool needs_placement_ = true;
+  bool needs_scaling_ = true;
   bool deposed_ = false;
 };
 
--- a/src/controller/leader_bytes_test.cpp
+++ b/src/controller/leader_bytes_test.cpp
@@ -72,7 +72,7 @@
   constexpr const char* kKey = "pool/small/a/ordinary";
   bool asked = false;
   for (double now = 0.5; now < 30 && !asked; now += 0.5) {
-    leader.on_jobs_current(now);
+    leader.on_jobs_read_until(now);
     const Effects out = leader.advance(now);
     if (const wire::Json* value = written(out, kKey)) {
       asked = true;
@@ -142,7 +142,7 @@
       leader.on_heartbeat(workers::decode_heartbeat(test::received(report.c_str())), answer, now);
     }
     leader.on_host_list(listed, now, now);
-    leader.on_jobs_current(now);
+    leader.on_jobs_read_until(now);
     if (now == 4) {
       std::string names;
       for (const auto& [name, piece] : running) names += piece.empty() ? "" : " " + name;
--- a/src/controller/leader_drains.cpp
+++ b/src/controller/leader_drains.cpp
@@ -20,7 +20,7 @@
   drains_.end_all(cluster_);
   close_pools();
   drains_revision_ = 0;
-  replan_ = rebuy_ = true;
+  needs_placement_ = needs_scaling_ = true;
 }
 
 void Leader::on_drains(const std::optional<kv::Entry>& entry, double now) {
@@ -36,9 +36,9 @@
         drains::read_rules(settings::parse_tree(accepted.text, where), platform_, where);
     std::map<std::uint64_t, double> times;
     for (const auto& [serial, revision] : accepted.revisions) {
-      times[serial] = timeline_.time_of(revision, now);
+      times[serial] = revision_clock_.time_of(revision, now);
     }
-    times[accepted.serial] = timeline_.time_of(entry->revision, now);
+    times[accepted.serial] = revision_clock_.time_of(entry->revision, now);
     std::set<std::string> types, zones;
     for (const auto& type : cluster_.catalog) {
       types.insert(type.name);
@@ -49,47 +49,49 @@
     }
     drains_.rule(std::move(rules), std::move(times), now);
     drains_revision_ = entry->revision;
-    bad_drains_.clear();
-    replan_ = rebuy_ = true;
+    last_drain_error_.clear();
+    needs_placement_ = needs_scaling_ = true;
   } catch (const std::exception& error) {
-    if (bad_drains_ == error.what()) return;
-    bad_drains_ = error.what();
-    spdlog::error("record {}: {}: what was in force goes on", drains::kRulesKey, bad_drains_);
+    if (last_drain_error_ == error.what()) return;
+    last_drain_error_ = error.what();
+    spdlog::error("record {}: {}: what was in force goes on", drains::kRulesKey, last_drain_error_);
   }
 }
 
-void Leader::drain(double now) {
-  if (!schema::has(level_, schema::kDrains)) {
+void Leader::advance_drains(double now) {
+  if (!schema::has(schema_, schema::kDrains)) {
     end_drains();
     return;
   }
-  if (now - drains_asked_at_ >= kReadEvery_s) {
-    drains_asked_at_ = now;
-    out_.read_drains = true;
+  if (now - drains_read_at_ >= kReadEvery_s) {
+    drains_read_at_ = now;
+    effects_.read_drains = true;
   }
-  if (!drains_.in_force() || now - drained_at_ < kPassEvery_s || !listed_) return;
-  drained_at_ = now;
+  if (!drains_.in_force() || now - drains_advanced_at_ < kPassEvery_s || !hosts_listed_) return;
+  drains_advanced_at_ = now;
   const drains::Conditions conditions{
       rolling_,
-      [&](const placement::Pool& pool) { return buyer_.refuses(pool, now); },
-      [&](const placement::Pool& pool) { return buyer_.price(cluster_, pool); },
+      [&](const placement::Pool& pool) { return autoscaler_.refuses(pool, now); },
+      [&](const placement::Pool& pool) { return autoscaler_.price(cluster_, pool); },
   };
-  const drains::DrainActions wishes = drains_.advance(cluster_, conditions, now);
-  for (const Index index : wishes.scale_in) give_back(index, "it is drained");
-  for (const Index index : wishes.urgent_stops) {
+  const drains::DrainActions actions = drains_.advance(cluster_, conditions, now);
+  for (const Index index : actions.scale_in) scale_in(index, "it is drained");
+  for (const Index index : actions.urgent_stops) {
     const placement::Host& host = *cluster_.hosts[index];
     if (host.address.empty()) continue;
     const auto stops = workers::stops_for(cluster_, index);
     wire::Json body = workers::encode_response(cluster_.fencing_token, stops);
     body["tenure"] = host.incarnation;
-    out_.urgent_stops.emplace_back(host.address, std::move(body));
+    effects_.urgent_stops.emplace_back(host.address, std::move(body));
   }
-  if (!wishes.scale_in.empty() || !wishes.urgent_stops.empty()) replan_ = rebuy_ = true;
+  if (!actions.scale_in.empty() || !actions.urgent_stops.empty())
+    needs_placement_ = needs_scaling_ = true;
   if (!drains_.has_changed() || now - drains_stored_at_ < kStoreEvery_s) return;
   drains_stored_at_ = now;
   drains_.note_written();
   const kv::Json value = drains_.encode(cluster_, now);
-  if (kv::fits(value, platform_.lasting().value_kb)) ledger_.write({drains::kUsedKey, value});
+  if (kv::fits(value, platform_.lasting().value_kb))
+    transaction_builder_.write({drains::kUsedKey, value});
 }
 
 }  // namespace reachramp::controller
--- /dev/null
+++ b/src/controller/leader_restore.cpp
@@ -0,0 +1,142 @@
+// The start of a leader's term: what is stored becomes the state that decisions are made on. Each
+// function restores one kind of record. A record that cannot be read is logged and left alone where
+// the leader can do without it; else the constructor throws, and the term does not begin.
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <map>
+
+#include "controller/leader.h"
+#include "controller/obsolete_records.h"
+#include "pipelines/dependencies.h"
+
+namespace reachramp::controller {
+
+namespace {
+
+cloud::ScaleOutRequest decode_open_request(const kv::Json& record) {
+  return {record.at("name").get<std::string>(), record.at("type").get<std::string>(),
+          record.at("zone").get<std::string>(), record.at("spot").get<bool>(),
+          record.at("count").get<int>()};
+}
+
+}  // namespace
+
+void Leader::restore_schema(const LeaderSnapshot& snapshot) {
+  schema_ =
+      schema::decode_stored(snapshot.level ? std::optional(snapshot.level->value) : std::nullopt);
+  if (const std::string reason = schema::incompatibility(schema_, supported_versions_);
+      !reason.empty()) {
+    throw std::runtime_error(reason);
+  }
+  all_upgraded_ = snapshot.all_upgraded || schema_.level >= schema::kAges;
+  if (snapshot.level) transaction_builder_.note_stored(schema::kLevelKey, snapshot.level->revision);
+}
+
+void Leader::restore_usage(const LeaderSnapshot& snapshot) {
+  if (!snapshot.shares) return;
+  transaction_builder_.note_stored(shares::kSharesKey, snapshot.shares->revision);
+  try {
+    usage_.restore(snapshot.shares->value);
+    usage_restored_to_revision_ = snapshot.shares->revision;
+  } catch (const std::exception& error) {
+    spdlog::error("record {}: {}: left alone", shares::kSharesKey, error.what());
+    usage_unreadable_ = true;
+  }
+}
+
+void Leader::restore_drain_budgets(const LeaderSnapshot& snapshot, double now) {
+  if (!snapshot.drains_used) return;
+  transaction_builder_.note_stored(drains::kUsedKey, snapshot.drains_used->revision);
+  try {
+    drains_.restore(snapshot.drains_used->value, now);
+  } catch (const std::exception& error) {
+    spdlog::error("record {}: {}", drains::kUsedKey, error.what());
+  }
+}
+
+void Leader::restore_revision_clock(const LeaderSnapshot& snapshot, double now) {
+  if (!snapshot.stored_revision_clock) return;
+  const kv::Entry& record = *snapshot.stored_revision_clock;
+  transaction_builder_.note_stored(kv::kTimelineKey, record.revision);
+  try {
+    revision_clock_.restore(record.value, record.revision, now);
+  } catch (const std::exception& error) {
+    spdlog::error("record {}: {}", kv::kTimelineKey, error.what());
+  }
+}
+
+void Leader::restore_catalog(const LeaderSnapshot& snapshot) {
+  if (!snapshot.catalog) return;
+  transaction_builder_.note_stored(kCatalogKey, snapshot.catalog->revision);
+  cluster_.set_catalog(cloud::decode_catalog(snapshot.catalog->value));
+}
+
+// Jobs first, then their task records, then the dependencies between all of them.
+void Leader::restore_jobs(const LeaderSnapshot& snapshot, double now) {
+  for (const kv::Entry& entry : snapshot.jobs) {
+    apply_job_record(entry.key, entry.value, entry.revision,
+                     cancellation_time_of_record(entry.revision, now), now);
+  }
+  std::map<Index, std::vector<placement::StoredRecord>> records;
+  for (const kv::Entry& entry : snapshot.tasks) {
+    const auto key = jobs::parse_chunk_key(entry.key);
+    if (!key) continue;
+    const auto job = cluster_.job_index.find(key->job);
+    if (job == cluster_.job_index.end()) {
+      // Its job has ended; the transaction that ended it had no room for this.
+      transaction_builder_.note_stored(entry.key, entry.revision);
+      transaction_builder_.write({entry.key, std::nullopt});
+      continue;
+    }
+    records[job->second].push_back({entry.key, *key, entry.revision,
+                                    jobs::decode_chunk(*key, entry.value),
+                                    revision_clock_.time_of(entry.revision, now)});
+  }
+  for (auto& [job, stored] : records) cluster_.restore(job, std::move(stored), now);
+  for (Index job = 0; job < cluster_.jobs.size(); ++job) {
+    pipelines::track_dependencies(cluster_, job, now);
+  }
+}
+
+// A request that an earlier leader had stored may have been made, or not: it is sent again, since
+// under the same name it is made at most once.
+void Leader::restore_scale_outs(const LeaderSnapshot& snapshot, double now) {
+  for (const kv::Entry& entry : snapshot.pools) {
+    transaction_builder_.note_stored(entry.key, entry.revision);
+    if (!entry.value.value("open", false)) continue;
+    const cloud::ScaleOutRequest request = decode_open_request(entry.value);
+    autoscaler_.note_requested(
+        {cluster_.types.add(request.type), cluster_.zones.add(request.zone), request.spot},
+        request.count);
+    scale_out_requested_at_[request.name] = now;
+    effects_.cloud_requests.push_back({CloudRequest::Kind::scale_out, request, {}});
+  }
+}
+
+void Leader::restore_zones(const LeaderSnapshot& snapshot, double now) {
+  if (!snapshot.zones) return;
+  transaction_builder_.note_stored(zones::kZonesKey, snapshot.zones->revision);
+  try {
+    zones_.restore(snapshot.zones->value, cluster_,
+                   revision_clock_.time_of(snapshot.zones->revision, now), now);
+  } catch (const std::exception& error) {
+    spdlog::error("record {}: {}: all zones are taken for healthy", zones::kZonesKey, error.what());
+  }
+}
+
+// A version that knows of no schema levels cannot be kept from leading. What it wrote in an older
+// form shows in the records, and is migrated again.
+void Leader::detect_older_leader(const LeaderSnapshot& snapshot) {
+  const auto is_older = [&](const kv::Entry& entry) {
+    return is_stale(entry.key, entry.value, schema_.writes);
+  };
+  if (!schema_.settled || (std::none_of(snapshot.tasks.begin(), snapshot.tasks.end(), is_older) &&
+                           std::none_of(snapshot.pools.begin(), snapshot.pools.end(), is_older))) {
+    return;
+  }
+  spdlog::error("level {}: an older version has led since the migration", schema_.level);
+  write_schema({schema_.level, schema_.writes, false}, {});
+}
+
+}  // namespace reachramp::controller
--- a/src/controller/leader_test.cpp
+++ b/src/controller/leader_test.cpp
@@ -117,7 +117,7 @@
       EXPECT_TRUE(out.cloud_requests.empty()) << now;
     }
   }
-  leader.on_jobs_current(60);
+  leader.on_jobs_read_until(60);
   hear(leader, 1, 60);
   hear(leader, 2, 60);
   hear(leader, 3, 60);
@@ -137,9 +137,9 @@
   leader.advance(3.2);
   kv::Entry cancelled = job_entry("j-1", 12, true);
   cancelled.revision = 60;
-  leader.on_jobs_current(3.9);
-  leader.on_jobs({{cancelled.key, cancelled.value, 60}}, 4);
-  leader.on_jobs_current(4);
+  leader.on_jobs_read_until(3.9);
+  leader.on_job_changes({{cancelled.key, cancelled.value, 60}}, 4);
+  leader.on_jobs_read_until(4);
   int back = 0;
   for (double now = 4.5; now < 32; now += 0.5) {
     hear(leader, 0, now);  // it has stopped what it ran
@@ -166,7 +166,7 @@
   hear_running(leader, 1, 3);
   leader.advance(3.2);
   kv::Entry cancelled = job_entry("j-1", 4, true);
-  leader.on_jobs({{cancelled.key, cancelled.value, 60}}, 4);
+  leader.on_job_changes({{cancelled.key, cancelled.value, 60}}, 4);
   leader.advance(4);
   EXPECT_EQ(returned(leader.advance(60)), 0);
   hear(leader, 1, 60.2);
@@ -245,7 +245,7 @@
   EXPECT_TRUE(body.is_object()) << "both have";
   ask(40);
   EXPECT_TRUE(body.is_null());
-  leader.on_jobs_current(40);
+  leader.on_jobs_read_until(40);
   ask(41);
   EXPECT_TRUE(body.is_object()) << "the state service is back";
 }
@@ -322,9 +322,9 @@
     leader.advance(now + 0.2);
     return orders;
   };
-  leader.on_jobs_current(1.2);  // asked for before it stood still, taken in afterwards
+  leader.on_jobs_read_until(1.2);  // asked for before it stood still, taken in afterwards
   EXPECT_EQ(starts(31), 0u);
-  leader.on_jobs_current(31.3);
+  leader.on_jobs_read_until(31.3);
   EXPECT_EQ(starts(31.4), 1u);
 }
 
@@ -336,7 +336,7 @@
   ASSERT_TRUE(leader.advance(1).transaction);
   leader.advance(2.2);  // the report of before has its answer
   leader.on_transaction_completed(outcome(kv::Outcome::ok), 2.3);
-  leader.on_jobs_current(2.3);
+  leader.on_jobs_read_until(2.3);
   const auto starts = [&](double now) {
     std::optional<std::size_t> orders;
     leader.on_heartbeat(
@@ -346,7 +346,7 @@
     return orders;
   };
   EXPECT_EQ(starts(5.3), 0u);
-  leader.on_jobs_current(6);
+  leader.on_jobs_read_until(6);
   EXPECT_EQ(starts(6.5), 1u);
 }
 
@@ -366,7 +366,7 @@
     std::vector<std::string> back;
     for (double now = from; now < until; now += 0.5) {
       hear_running(leader, 1, now);
-      leader.on_jobs_current(now);
+      leader.on_jobs_read_until(now);
       leader.on_claims({{schema::claim_key(""), schema::encode_claim(claim), 9}});
       const Effects out = leader.advance(now);
       for (const CloudRequest& order : out.cloud_requests) {
@@ -405,7 +405,7 @@
     }
     leader.on_heartbeat(
         idle, [](const wire::Json&) {}, now);
-    leader.on_jobs_current(now);
+    leader.on_jobs_read_until(now);
     const Effects out = leader.advance(now);
     for (const CloudRequest& order : out.cloud_requests) {
       if (order.kind == CloudRequest::Kind::scale_in) back = order.machines;
@@ -423,7 +423,7 @@
                           schema::encode_stored({schema::kDrains, schema::kDrains - 1, false}), 4};
   Leader leader = lead(taken);
   const kv::Json record = drains::encode_accepted({3, "(drains (serial 3))", {}});
-  leader.on_jobs_current(1);
+  leader.on_jobs_read_until(1);
   leader.advance(1);
   leader.on_obsolete_records({{drains::kRulesKey, record, 60}}, 1);
   const Effects out = leader.advance(1.5);
@@ -466,7 +466,7 @@
         leader.on_heartbeat(
             one, [](const wire::Json&) {}, now);
       }
-      leader.on_jobs_current(now);
+      leader.on_jobs_read_until(now);
       const Effects out = leader.advance(now);
       for (const CloudRequest& order : out.cloud_requests) {
         if (order.kind != CloudRequest::Kind::scale_in) continue;
@@ -497,7 +497,7 @@
     bool wrote = false;
     for (double now = 1; now < 80; now += 0.5) {
       hear(leader, 1, now);
-      leader.on_jobs_current(now);
+      leader.on_jobs_read_until(now);
       const Effects out = leader.advance(now);
       if (!out.transaction) continue;
       for (const kv::Write& write : out.transaction->transaction.writes) {
@@ -518,13 +518,13 @@
   for (int i = 0; i < 6; ++i) hear(leader, i, 1);
   int back = 0;
   for (double now = 1; now < 30; now += 0.5) {
-    leader.on_jobs_current(now);
+    leader.on_jobs_read_until(now);
     for (int i = 0; i < 3; ++i) hear(leader, i, now + 0.2);
     back += returned(leader.advance(now + 0.2));
   }
   EXPECT_EQ(back, 0);
   for (double now = 30; now < 60; now += 0.5) {
-    leader.on_jobs_current(now);
+    leader.on_jobs_read_until(now);
     for (int i = 0; i < 3; ++i) hear(leader, i, now + 0.2);
     back += returned(leader.advance(now + 0.2));
   }
@@ -543,7 +543,7 @@
   };
   int back = 0;
   for (double now = 1; now < 26; now += 0.5) {
-    leader.on_jobs_current(now);
+    leader.on_jobs_read_until(now);
     for (int i = 0; i < 8; ++i) hear_zone(i, "a", now);
     // The other zone is cut at 10 s; its machines were last heard at different times.
     for (int i = 8; i < 16; ++i) {
@@ -569,7 +569,7 @@
   EXPECT_EQ(kv::encode_transaction(again->transaction), kv::encode_transaction(first->transaction));
   leader.on_transaction_completed(outcome(kv::Outcome::ok), 3);
   const kv::Entry entry = job_entry("j-2", 1, true);
-  leader.on_jobs({{entry.key, entry.value, 60}}, 4);
+  leader.on_job_changes({{entry.key, entry.value, 60}}, 4);
   EXPECT_TRUE(leader.advance(4).transaction);
 }
 
@@ -669,8 +669,8 @@
   EXPECT_FALSE(rents(leader.advance(5)));
   leader.on_transaction_completed(outcome(kv::Outcome::ok), 5.5);  // counts for display
   kv::Entry more = job_entry("j-2", 4);
-  leader.on_jobs({{more.key, more.value, 60}}, 6);
-  leader.on_jobs_current(6);
+  leader.on_job_changes({{more.key, more.value, 60}}, 6);
+  leader.on_jobs_read_until(6);
   EXPECT_TRUE(rents(leader.advance(7)));
 }
 
@@ -693,10 +693,10 @@
   hear(leader, 1, 2);
   ASSERT_TRUE(leader.advance(2).transaction) << "another transaction is in flight";
   const kv::Entry echo = job_entry("j-1", 1);
-  leader.on_jobs({{echo.key, echo.value, 45}}, 2);
+  leader.on_job_changes({{echo.key, echo.value, 45}}, 2);
   leader.on_job_list({{echo.key, echo.value, 45}}, 2);
   EXPECT_FALSE(leader.cluster().job_index.contains("j-1"));
-  leader.on_jobs({{echo.key, std::nullopt, 50}}, 2);
+  leader.on_job_changes({{echo.key, std::nullopt, 50}}, 2);
   EXPECT_FALSE(leader.cluster().job_index.contains("j-1"));
 }
 
@@ -732,15 +732,15 @@
   };
   kv::ReadResult absent;
   absent.outcome = kv::Outcome::absent;
-  leader.on_end_read("j-9", absent, 2);
-  leader.on_end_read("j-8", found("j-8", false), 2);
+  leader.on_job_end_read("j-9", absent, 2);
+  leader.on_job_end_read("j-8", found("j-8", false), 2);
   hear(leader, 1, 2);
   const Effects first = leader.advance(2.2);
   EXPECT_EQ(first.read_job_ends, (std::vector<std::string>{"j-9"})) << "asked again";
   ASSERT_TRUE(first.transaction);
   EXPECT_EQ(first.transaction->transaction.writes[0].key, "task/j-1/0-1");
   leader.on_transaction_completed(outcome(kv::Outcome::ok), 2.3);
-  leader.on_end_read("j-9", found("j-9", true), 3);
+  leader.on_job_end_read("j-9", found("j-9", true), 3);
   const auto end = leader.advance(3).transaction;
   ASSERT_TRUE(end);
   EXPECT_EQ(end->transaction.writes[0].key, "end/j-2");
@@ -822,7 +822,7 @@
                  {"j-1", 160, 1, workers::TaskState::running, workers::ExitReason::none}};
   std::map<std::string, kv::Entry> stored;
   for (double now = 1; now < 6; now += 0.5) {
-    leader.on_jobs_current(now);
+    leader.on_jobs_read_until(now);
     leader.on_heartbeat(
         ended, [](const wire::Json&) {}, now);
     ++ended.sequence_number;
@@ -870,7 +870,7 @@
   // It tells what it knows in one write every few seconds, and whoever saw nothing goes by that.
   std::optional<kv::Write> told;
   for (double now = 1; now < 12; now += 0.5) {
-    leader.on_jobs_current(now);
+    leader.on_jobs_read_until(now);
     const Effects out = leader.advance(now);
     if (!out.transaction) continue;
     for (const kv::Write& write : out.transaction->transaction.writes) {
--- a/src/controller/leader_transactions.cpp
+++ b/src/controller/leader_transactions.cpp
@@ -20,19 +20,20 @@
 
 void Leader::on_transaction_completed(const kv::CommitResult& committed, double now) {
   if (transaction_.is_empty()) return;
-  look_at_parked_ = true;
-  writes_.note_throttled(committed.throttle_count, now);
-  if (const auto resolution = transaction_.on_answer(committed, now)) settle(*resolution, now);
+  recheck_deferred_responses_ = true;
+  write_budget_.note_throttled(committed.throttle_count, now);
+  if (const auto resolution = transaction_.on_answer(committed, now))
+    resolve_transaction(*resolution, now);
 }
 
 void Leader::on_transaction_verified(const kv::ReadResult& found, const kv::ReadResult& leader,
                                      double now) {
-  if (!transaction_.awaits_read_back()) return;
+  if (!transaction_.awaits_verification()) return;
   const auto is_known = [](const kv::ReadResult& read) {
     return read.outcome == Outcome::ok || read.outcome == Outcome::absent;
   };
   if (!is_known(found) || !is_known(leader)) {
-    transaction_.on_read_back_failed(now);
+    transaction_.on_verification_failed(now);
     return;
   }
   // A conflict need not name all keys that differ. Whoever leads now may have written this one.
@@ -41,30 +42,30 @@
     deposed_ = true;
     return;
   }
-  settle(transaction_.on_read_back(found), now);
+  resolve_transaction(transaction_.on_verified(found), now);
 }
 
-void Leader::settle(const PendingTransaction::Resolution& resolution, double now) {
+void Leader::resolve_transaction(const PendingTransaction::Resolution& resolution, double now) {
   const kv::CommitResult& committed = resolution.committed;
   const TransactionBatch batch = transaction_.finish();
   if (committed.outcome == Outcome::ok) {
     for (const auto& [id, fate] : batch.ended_jobs) {
       const Job* job = cluster_.job(id);
-      if (fate == DependencyState::cancelled && job != nullptr) accounts_.cancelled(*job);
+      if (fate == DependencyState::cancelled && job != nullptr) usage_.cancelled(*job);
     }
   }
-  const BatchOutcome settlement = resolution.is_certain
-                                      ? ledger_.apply_result(cluster_, batch, committed, now)
-                                      : BatchOutcome::uncertain;
+  const BatchOutcome settlement =
+      resolution.is_certain ? transaction_builder_.apply_result(cluster_, batch, committed, now)
+                            : BatchOutcome::uncertain;
   switch (settlement) {
     case BatchOutcome::applied:
-      note_committed(batch, committed.store_revision, now);
+      on_batch_applied(batch, committed.store_revision, now);
       break;
     case BatchOutcome::too_large:
-      note_too_large(batch, now);
+      on_batch_too_large(batch, now);
       break;
     case BatchOutcome::retry:
-      note_rejected(committed.outcome, now);
+      on_batch_rejected(committed.outcome, now);
       break;
     case BatchOutcome::deposed:
       spdlog::info("baton {} is no longer valid", cluster_.fencing_token);
@@ -73,74 +74,75 @@
     case BatchOutcome::uncertain:
       // Reading everything anew under a new fencing token is the one way to be sure again.
       spdlog::info("the outcome of a transaction is not certain: giving up the lead");
-      out_.step_down = true;
+      effects_.step_down = true;
       break;
   }
 }
 
-void Leader::note_committed(const TransactionBatch& batch, std::uint64_t store_revision,
-                            double now) {
+void Leader::on_batch_applied(const TransactionBatch& batch, std::uint64_t store_revision,
+                              double now) {
   transaction_.note_success();
-  conflicts_ = 0;
-  timeline_.observe(store_revision, now);
+  consecutive_conflicts_ = 0;
+  revision_clock_.observe(store_revision, now);
   for (const RecordWrite& note : batch.record_writes) {
     if (note.key != schema::kLevelKey) continue;
-    level_ = schema::decode_stored(note.value);
-    ledger_.set_schema_level(level_.writes);
-    stale_asked_at_ = claims_asked_at_ = -1e9;
-    spdlog::info("level {}: written {}, {}", level_.level, level_.writes,
-                 level_.settled ? "settled" : "what is older is being moved");
+    schema_ = schema::decode_stored(note.value);
+    transaction_builder_.set_schema_level(schema_.writes);
+    obsolete_records_read_at_ = claims_read_at_ = -1e9;
+    spdlog::info("level {}: written {}, {}", schema_.level, schema_.writes,
+                 schema_.settled ? "settled" : "what is older is being moved");
   }
-  replan_ = true;
+  needs_placement_ = true;
   for (const auto& [id, fate] : batch.ended_jobs) {
-    if (store_revision > watched_to_) ended_[id] = store_revision;
-    reurge_ = true;
+    if (store_revision > watched_revision_) recently_ended_jobs_[id] = store_revision;
+    needs_priority_update_ = true;
   }
 }
 
 // Certainly not applied, and it never will be as it is: first by fewer changes, then without the
 // records that it consists of.
-void Leader::note_too_large(const TransactionBatch& batch, double now) {
+void Leader::on_batch_too_large(const TransactionBatch& batch, double now) {
   if (batch.transaction.writes.size() > kLeastOps) {
-    most_ops_ = kLeastOps;
+    max_writes_ = kLeastOps;
     return;
   }
-  ledger_.back_off(batch, now);
-  most_ops_ = platform_.lasting().txn_ops;
+  transaction_builder_.back_off(batch, now);
+  max_writes_ = platform_.lasting().txn_ops;
 }
 
 // Cancellations come one by one. So many conflicts together mean that we are wrong about a header,
 // and that nothing would ever be stored again.
-void Leader::note_rejected(Outcome outcome, double now) {
+void Leader::on_batch_rejected(Outcome outcome, double now) {
   transaction_.note_failure(now);
-  if (outcome == Outcome::conflict && ++conflicts_ >= kMostConflicts) {
+  if (outcome == Outcome::conflict && ++consecutive_conflicts_ >= kMostConflicts) {
     spdlog::error("transactions fail again and again: giving up the lead");
-    out_.step_down = true;
+    effects_.step_down = true;
   }
 }
 
 void Leader::resume_transaction(double now) {
-  out_.verify_key = transaction_.take_read_back(now);
-  if (transaction_.take_resend(now)) out_.transaction = transaction_.batch();
+  effects_.verify_key = transaction_.take_key_to_verify(now);
+  if (transaction_.take_resend(now)) effects_.transaction = transaction_.batch();
 }
 
 // Worth a transaction: room for half a full one. Before a record is put together, not after: at a
 // grown site batches were built ten times a second and thrown away for want of writes.
-void Leader::commit(double now) {
+void Leader::send_next_transaction(double now) {
   if (!transaction_.is_empty()) {
     resume_transaction(now);
     return;
   }
   if (all_upgraded_) cluster_.use_compact(now);
-  store_timeline(now);
-  pass_shares(now);
-  const int affordable = std::min(most_ops_, writes_.available(now));
-  if (!transaction_.may_send(now) || affordable < std::max(1, most_ops_ / 2)) return;
-  auto batch = ledger_.next_batch(cluster_, affordable, writes_.is_ample(now), now);
+  store_revision_clock(now);
+  update_usage(now);
+  const int affordable = std::min(max_writes_, write_budget_.available(now));
+  if (!transaction_.may_send(now) || affordable < std::max(1, max_writes_ / 2)) return;
+  auto batch =
+      transaction_builder_.next_batch(cluster_, affordable, write_budget_.is_ample(now), now);
   if (!batch) return;
-  writes_.take(batch->transaction.writes.size(), now);
+  write_budget_.consume(batch->transaction.writes.size(), now);
   transaction_.begin(std::move(*batch));
-  out_.transaction = transaction_.batch();
+  effects_.transaction = transaction_.batch();
 }
 
 }  // namespace reachramp::controller
--- a/src/controller/leader_accounts.cpp
+++ b/src/controller/leader_usage.cpp
@@ -21,29 +21,29 @@
 }  // namespace
 
 // One write every few seconds, while there are jobs whose age it tells.
-void Leader::store_timeline(double now) {
-  if (!schema::has(level_, schema::kAges) || now - stored_timeline_at_ < kStoreTimeline_s ||
+void Leader::store_revision_clock(double now) {
+  if (!schema::has(schema_, schema::kAges) || now - revision_clock_stored_at_ < kStoreTimeline_s ||
       cluster_.job_index.empty()) {
     return;
   }
-  stored_timeline_at_ = now;
-  const kv::Json value = timeline_.encode(now);
+  revision_clock_stored_at_ = now;
+  const kv::Json value = revision_clock_.encode(now);
   if (kv::fits(value, platform_.lasting().value_kb)) {
-    ledger_.write({kv::kTimelineKey, value});
+    transaction_builder_.write({kv::kTimelineKey, value});
   }
 }
 
-void Leader::pass_shares(double now) {
-  if (now - shares_passed_at_ < kPassShares_s) return;
-  shares_passed_at_ = now;
-  accounts_.advance(cluster_, now);
-  if (now >= log_shares_at_) log_shares(now);
-  store_shares(now);
+void Leader::update_usage(double now) {
+  if (now - usage_updated_at_ < kPassShares_s) return;
+  usage_updated_at_ = now;
+  usage_.advance(cluster_, now);
+  if (now >= next_usage_log_at_) log_usage(now);
+  store_usage(now);
 }
 
-void Leader::log_shares(double now) {
-  log_shares_at_ = now + kLogShares_s;
-  spdlog::info("served: {}", shares::describe(accounts_.report(cluster_, now)));
+void Leader::log_usage(double now) {
+  next_usage_log_at_ = now + kLogShares_s;
+  spdlog::info("served: {}", shares::describe(usage_.report(cluster_, now)));
   for (const Index job : placement::longest_waiting(cluster_, kLogWaiting, now)) {
     spdlog::info("job {} waits after {:.0f} s: {}", cluster_.jobs[job]->spec.id,
                  now - cluster_.jobs[job]->unblocked_at, placement::why_waits(cluster_, job, now));
@@ -55,14 +55,15 @@
   }
 }
 
-void Leader::store_shares(double now) {
-  if (!schema::has(level_, schema::kShares) || shares_unreadable_ ||
-      now - stored_shares_at_ < kStoreShares_s || cluster_.job_index.empty()) {
+void Leader::store_usage(double now) {
+  if (!schema::has(schema_, schema::kShares) || usage_unreadable_ ||
+      now - usage_stored_at_ < kStoreShares_s || cluster_.job_index.empty()) {
     return;
   }
-  stored_shares_at_ = now;
-  const kv::Json value = accounts_.encode();
-  if (kv::fits(value, platform_.lasting().value_kb)) ledger_.write({shares::kSharesKey, value});
+  usage_stored_at_ = now;
+  const kv::Json value = usage_.encode();
+  if (kv::fits(value, platform_.lasting().value_kb))
+    transaction_builder_.write({shares::kSharesKey, value});
 }
 
 }  // namespace reachramp::controller
--- a/src/controller/obsolete_records.cpp
+++ b/src/controller/obsolete_records.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::vector<std::string> stale_prefixes() {
+std::vector<std::string> obsolete_record_prefixes() {
   return {"task/",           "pool/",         kv::kTimelineKey, shares::kSharesKey,
           drains::kRulesKey, zones::kZonesKey};
 }
--- a/src/controller/obsolete_records.h
+++ b/src/controller/obsolete_records.h
@@ -10,7 +10,7 @@
 namespace reachramp::controller {
 
 // All keys of records that some level finds stale begin with one of these.
-std::vector<std::string> stale_prefixes();
+std::vector<std::string> obsolete_record_prefixes();
 
 // A step to the level is not over while such a record stands.
 bool is_stale(const std::string& key, const wire::Json& value, std::uint32_t level);
--- a/src/controller/pending_transaction.cpp
+++ b/src/controller/pending_transaction.cpp
@@ -57,12 +57,12 @@
   return Resolution{answer, is_certain};
 }
 
-void PendingTransaction::on_read_back_failed(double now) {
+void PendingTransaction::on_verification_failed(double now) {
   read_back_ = true;
   not_before_ = now + kReadBackAgain_s;
 }
 
-PendingTransaction::Resolution PendingTransaction::on_read_back(const kv::ReadResult& found) {
+PendingTransaction::Resolution PendingTransaction::on_verified(const kv::ReadResult& found) {
   const auto key = proof_key(batch_->transaction);
   kv::CommitResult committed = *std::exchange(refusal_, std::nullopt);
   if (found.outcome == Outcome::ok && found.entry.revision != key->second) {
@@ -73,7 +73,7 @@
   return {committed, true};
 }
 
-std::optional<std::string> PendingTransaction::take_read_back(double now) {
+std::optional<std::string> PendingTransaction::take_key_to_verify(double now) {
   if (!may_send(now) || !std::exchange(read_back_, false)) return std::nullopt;
   return proof_key(batch_->transaction)->first;
 }
--- a/src/controller/pending_transaction.h
+++ b/src/controller/pending_transaction.h
@@ -32,13 +32,13 @@
 
   // After a conflict that an earlier sending may itself have caused, the revision of a key that
   // only leaders write tells whether that sending was applied.
-  bool awaits_read_back() const { return refusal_.has_value(); }
-  void on_read_back_failed(double now);
+  bool awaits_verification() const { return refusal_.has_value(); }
+  void on_verification_failed(double now);
   // `found` was read while this leader's token was valid.
-  Resolution on_read_back(const kv::ReadResult& found);
+  Resolution on_verified(const kv::ReadResult& found);
 
   // What is due now; each is returned once.
-  std::optional<std::string> take_read_back(double now);
+  std::optional<std::string> take_key_to_verify(double now);
   bool take_resend(double now);
 
   // How long the next sending waits grows with the failures in a row.
--- a/src/controller/pending_transaction_test.cpp
+++ b/src/controller/pending_transaction_test.cpp
@@ -32,9 +32,9 @@
     kv::ReadResult found;
     found.outcome = Outcome::ok;
     found.entry.revision = found_revision;
-    const PendingTransaction::Resolution resolution = transaction_.on_read_back(found);
+    const PendingTransaction::Resolution resolution = transaction_.on_verified(found);
     EXPECT_TRUE(resolution.is_certain);
-    EXPECT_FALSE(transaction_.awaits_read_back());
+    EXPECT_FALSE(transaction_.awaits_verification());
     return resolution.committed.outcome;
   }
 
@@ -45,10 +45,10 @@
   for (const std::uint64_t revision : {kRevisionBefore, kRevisionBefore + 1}) {
     send_without_answer(kKey);
     EXPECT_FALSE(answer(Outcome::conflict, 1));
-    EXPECT_EQ(transaction_.take_read_back(1), kKey);
-    EXPECT_EQ(transaction_.take_read_back(1), std::nullopt) << "one read at a time";
-    transaction_.on_read_back_failed(1);
-    EXPECT_EQ(transaction_.take_read_back(2), kKey);
+    EXPECT_EQ(transaction_.take_key_to_verify(1), kKey);
+    EXPECT_EQ(transaction_.take_key_to_verify(1), std::nullopt) << "one read at a time";
+    transaction_.on_verification_failed(1);
+    EXPECT_EQ(transaction_.take_key_to_verify(2), kKey);
     EXPECT_EQ(after_read_back(revision),
               revision == kRevisionBefore ? Outcome::conflict : Outcome::ok);
     transaction_.finish();
--- a/src/controller/server.cpp
+++ b/src/controller/server.cpp
@@ -255,15 +255,15 @@
     void operator()(ReportIn&) const {}
     void operator()(DirectIn& in) const { leader.on_direct_status(in.report, now); }
     void operator()(JobsChanged& in) const {
-      leader.on_jobs(in.changes, now);
-      leader.on_jobs_current(in.asked_at);
+      leader.on_job_changes(in.changes, now);
+      leader.on_jobs_read_until(in.asked_at);
     }
     void operator()(JobsRead& in) const {
       leader.on_job_list(in.entries, now);
-      leader.on_jobs_current(in.asked_at);
+      leader.on_jobs_read_until(in.asked_at);
     }
     void operator()(WordsIn& in) const { leader.on_cancellation_digests(in.words, now); }
-    void operator()(EndRead& in) const { leader.on_end_read(in.id, in.found, now); }
+    void operator()(EndRead& in) const { leader.on_job_end_read(in.id, in.found, now); }
     void operator()(ReadBack& in) const {
       leader.on_transaction_verified(in.found, in.leader, now);
     }
@@ -448,7 +448,7 @@
 // Everything that a level may find stale, page by page. The owner tells which of it is.
 void Node::look_for_stale(std::uint64_t fencing_token) {
   std::vector<kv::Entry> found;
-  for (const std::string& prefix : stale_prefixes()) {
+  for (const std::string& prefix : obsolete_record_prefixes()) {
     auto entries = read_all(prefix, nullptr);
     if (!entries) return;
     for (kv::Entry& entry : *entries) {
--- a/src/controller/transaction_builder.cpp
+++ b/src/controller/transaction_builder.cpp
@@ -105,7 +105,7 @@
 
 // The job's end and everything that goes with it in one step. Chunks beyond what a transaction may
 // change are removed afterwards: without a job they mean nothing.
-void TransactionBuilder::add_end(Cluster& cluster, Index index, Builder& builder) {
+void TransactionBuilder::add_job_end(Cluster& cluster, Index index, Builder& builder) {
   Job& job = *cluster.jobs[index];
   const std::string& id = job.spec.id;
   builder.require(jobs::job_key(id), job.revision);
@@ -118,7 +118,7 @@
       builder.require(key, revision);
       builder.write(key, std::nullopt);
     } else {
-      builder.batch.leftovers.emplace_back(key, revision);
+      builder.batch.deferred_removals.emplace_back(key, revision);
     }
   };
   for (std::size_t chunk = 0; chunk < job.task_ranges.size(); ++chunk) {
@@ -135,8 +135,8 @@
 // Placements are reckoned before they are made, so a record fits. One that does not all the same,
 // such as one that takes over a larger record of before, gives up what may still be given up, and
 // else stays as it is until enough of its tasks have ended; it must not hold up the others.
-void TransactionBuilder::add_chunk(Cluster& cluster, const TaskRangeRef& ref, double now,
-                                   Builder& builder) {
+void TransactionBuilder::add_task_range(Cluster& cluster, const TaskRangeRef& ref, double now,
+                                        Builder& builder) {
   const Job& job = *cluster.jobs[ref.job];
   const placement::TaskRange& chunk = job.task_ranges[ref.range];
   const std::string key = cluster.chunk_key(job, ref.range);
@@ -156,10 +156,10 @@
   builder.require(jobs::job_key(job.spec.id), job.revision);
   builder.require(key, chunk.revision);
   builder.write(key, std::move(value));
-  builder.batch.chunks.push_back({ref, job.spec.id, chunk.changed, record.placements});
+  builder.batch.task_ranges.push_back({ref, job.spec.id, chunk.changed, record.placements});
 }
 
-void TransactionBuilder::add_headers(Cluster& cluster, double now, Builder& builder) {
+void TransactionBuilder::add_status_counts(Cluster& cluster, double now, Builder& builder) {
   for (auto at = cluster.jobs_with_changed_counts.begin();
        at != cluster.jobs_with_changed_counts.end() && builder.has_room();) {
     Job& job = *cluster.jobs[*at];
@@ -195,7 +195,7 @@
   for (const Index index : cluster.finished_jobs) {
     if (!builder.has_room(2)) break;
     if (cluster.jobs[index]->unconfirmed) continue;
-    add_end(cluster, index, builder);
+    add_job_end(cluster, index, builder);
   }
   for (const auto& [key, note] : pending_writes_) {
     if (!builder.has_room()) break;
@@ -207,9 +207,9 @@
   }
   for (const TaskRangeRef& ref : chunks_by_need(cluster, now)) {
     if (!builder.has_room()) break;
-    add_chunk(cluster, ref, now, builder);
+    add_task_range(cluster, ref, now, builder);
   }
-  if (spare) add_headers(cluster, now, builder);
+  if (spare) add_status_counts(cluster, now, builder);
   if (builder.batch.transaction.writes.empty()) return std::nullopt;
   return std::move(builder.batch);
 }
@@ -260,7 +260,7 @@
     default:
       return BatchOutcome::uncertain;
   }
-  for (const TransactionBatch::StoredChunk& stored : batch.chunks) {
+  for (const TransactionBatch::WrittenTaskRange& stored : batch.task_ranges) {
     Job* job = cluster.job(stored.job);
     if (job == nullptr) continue;
     placement::TaskRange& chunk = job->task_ranges[stored.ref.range];
@@ -295,7 +295,7 @@
     const auto at = pending_writes_.find(note.key);
     if (at != pending_writes_.end() && at->second.value == note.value) pending_writes_.erase(at);
   }
-  for (const auto& [key, revision] : batch.leftovers) {
+  for (const auto& [key, revision] : batch.deferred_removals) {
     revisions_[key] = revision;
     write({key, std::nullopt});
   }
--- a/src/controller/transaction_builder.h
+++ b/src/controller/transaction_builder.h
@@ -26,7 +26,7 @@
 };
 
 struct TransactionBatch {
-  struct StoredChunk {
+  struct WrittenTaskRange {
     TaskRangeRef ref;
     std::string job;
     std::uint32_t changed = 0;
@@ -39,11 +39,11 @@
   };
 
   kv::Transaction transaction;
-  std::vector<StoredChunk> chunks;
+  std::vector<WrittenTaskRange> task_ranges;
   std::vector<StatusCounts> status_counts;
   std::vector<std::pair<std::string, placement::DependencyState>> ended_jobs;
   // Chunks of ended jobs that did not fit: to be removed once the end is durable, not before.
-  std::vector<std::pair<std::string, std::uint64_t>> leftovers;
+  std::vector<std::pair<std::string, std::uint64_t>> deferred_removals;
   std::vector<RecordWrite> record_writes;
 };
 
@@ -71,11 +71,11 @@
  private:
   struct Builder;
 
-  void add_end(Cluster& cluster, Index job, Builder& builder);
-  void add_chunk(Cluster& cluster, const TaskRangeRef& ref, double now, Builder& builder);
+  void add_job_end(Cluster& cluster, Index job, Builder& builder);
+  void add_task_range(Cluster& cluster, const TaskRangeRef& ref, double now, Builder& builder);
   bool drop_conditional_on(const std::string& key);
   bool backs_off(const std::string& key, double now) const;
-  void add_headers(Cluster& cluster, double now, Builder& builder);
+  void add_status_counts(Cluster& cluster, double now, Builder& builder);
 
   std::map<std::string, std::uint64_t> revisions_;
   std::map<std::string, RecordWrite> pending_writes_;
--- a/src/controller/write_budget.h
+++ b/src/controller/write_budget.h
@@ -13,7 +13,7 @@
  public:
   WriteBudget(const settings::StateLimits& limits, const settings::StateLimits& announced);
 
-  void take(std::size_t writes, double now) { bucket_.take(static_cast<double>(writes), now); }
+  void consume(std::size_t writes, double now) { bucket_.take(static_cast<double>(writes), now); }
   int available(double now) { return static_cast<int>(bucket_.available(now)); }
   // Enough is left for records that nothing depends on.
   bool is_ample(double now);
--- a/test/simulated_cluster.cpp
+++ b/test/simulated_cluster.cpp
@@ -494,8 +494,8 @@
     std::erase_if(changes, [&](const auto& change) { return change.revision > until; });
     position_ = until;
   }
-  leader_->on_jobs(changes, now_);
-  leader_->on_jobs_current(now_);
+  leader_->on_job_changes(changes, now_);
+  leader_->on_jobs_read_until(now_);
 }
 
 void SimulatedCluster::hand_out(const Effects& outbox) {
@@ -533,7 +533,7 @@
   if (outbox.read_obsolete_records && !is_refused()) {
     std::vector<kv::Entry> stale;
     for (const auto& [key, item] : store_.items()) {
-      const auto prefixes = controller::stale_prefixes();
+      const auto prefixes = controller::obsolete_record_prefixes();
       const bool read = std::any_of(prefixes.begin(), prefixes.end(),
                                     [&](const auto& prefix) { return key.starts_with(prefix); });
       if (read && controller::is_stale_at_any(key, item.value)) {
@@ -617,7 +617,7 @@
   } else if (!chance(0.2)) {
     found = {kv::Outcome::ok, {at->first, at->second.value, at->second.revision}, 0};
   }
-  leader_->on_end_read(id, found, now_);
+  leader_->on_job_end_read(id, found, now_);
 }
 
 void SimulatedCluster::record(BehaviourRecorder::Kind kind, const Json& values) const {
