--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -18,22 +18,22 @@
 
 namespace {
 
-// A heartbeat's answer waits this long for the starts that it should carry to become durable.
-constexpr double kParkFor = 1.0;
-constexpr double kPlanEvery = 0.5;
+// A response to a heartbeat waits this long for the starts that it should carry to be stored.
+constexpr double kDeferResponseFor_s = 1.0;
+constexpr double kPlanEvery_s = 0.5;
 // At hundreds of machines a heartbeat comes every few milliseconds; each asks for a plan.
-constexpr double kPlanAtMostEvery = 0.1;
-constexpr double kUpkeepEvery = 0.5;
+constexpr double kPlanAtMostEvery_s = 0.1;
+constexpr double kCheckHostsEvery_s = 0.5;
 // Arrivals and losses ask for machines at once, but not more often than this.
-constexpr double kBuyAtMostEvery = 1.0;
+constexpr double kScaleAtMostEvery_s = 1.0;
 // Starts go out only while the watch on jobs has lately shown that we know of every cancellation.
-constexpr double kJobsCurrentFor = 3.0;
-constexpr double kLookUpAgain_s = 1;
+constexpr double kJobsCurrentFor_s = 3.0;
+constexpr double kReadJobEndAgain_s = 1;
 constexpr double kReadJobsAgain_s = 2;
 // A mark of the revision clock may be so much later than the service's answer that it was taken
 // from.
-constexpr double kAnswerOnItsWay_s = 2;
-constexpr double kFirstShares_s = 5;  // after taking over, when most machines have been heard
+constexpr double kAnswerInTransit_s = 2;
+constexpr double kFirstUsageLog_s = 5;  // after taking over, when most machines have been heard
 
 }  // namespace
 
@@ -47,7 +47,7 @@
       autoscaler_(policy),
       write_budget_(platform.state_limits, platform.state_next),
       supported_versions_(supported_versions),
-      next_usage_log_at_(now + kFirstShares_s),
+      next_usage_log_at_(now + kFirstUsageLog_s),
       usage_stored_at_(now),
       revision_clock_(snapshot.revision_clock),
       revision_clock_stored_at_(now),
@@ -71,7 +71,7 @@
 }
 
 bool Leader::may_start(double now) const {
-  return now - freshness_.last_jobs_read_at() < kJobsCurrentFor;
+  return now - freshness_.last_jobs_read_at() < kJobsCurrentFor_s;
 }
 
 bool Leader::awaits_persistence(const Host& host) const {
@@ -104,14 +104,14 @@
 // Thousands may be parked while starts wait for writes; each is looked at again when a plan, a
 // stored record or a cancellation may have changed its case, or its time is over.
 void Leader::send_deferred_responses(double now) {
-  const bool expired =
-      !deferred_responses_.empty() && now >= deferred_responses_.front().since + kParkFor;
+  const bool expired = !deferred_responses_.empty() &&
+                       now >= deferred_responses_.front().since + kDeferResponseFor_s;
   if (!std::exchange(recheck_deferred_responses_, false) && !expired) return;
   std::vector<DeferredResponse> still;
   for (DeferredResponse& parked : deferred_responses_) {
     const Host* host = cluster_.host(parked.host);
     const bool planned = parked.since <= planned_at_;
-    if (host != nullptr && now < parked.since + kParkFor &&
+    if (host != nullptr && now < parked.since + kDeferResponseFor_s &&
         (!planned || awaits_persistence(*host))) {
       still.push_back(std::move(parked));
     } else {
@@ -161,7 +161,7 @@
                                                                 double now) const {
   placement::CancellationTime told_at;
   if (const auto earliest = revision_clock_.earliest_time_of(revision))
-    told_at.earliest = *earliest - kAnswerOnItsWay_s;
+    told_at.earliest = *earliest - kAnswerInTransit_s;
   told_at.latest = revision_clock_.time_of(revision, now);
   return told_at;
 }
@@ -281,66 +281,96 @@
 
 Effects Leader::advance(double now) {
   detect_own_pause(now);
+  update_dependencies(now);
+  place_tasks(now);
+  manage_hosts(now);
+  advance_schema(now);
+  send_next_transaction(now);
+  request_reads(now);
+  release_scale_outs();
+  send_deferred_responses(now);
+  return std::exchange(effects_, {});
+}
+
+void Leader::update_dependencies(double now) {
   if (std::exchange(needs_priority_update_, false)) {
     pipelines::inherit_priority(cluster_);
     unknown_dependencies_ = pipelines::unknown(cluster_);
   }
   for (const std::string& id : unknown_dependencies_) {
-    const auto [at, fresh] = job_ends_read_at_.try_emplace(id, now);
-    if (!fresh && now - at->second < kLookUpAgain_s) continue;
+    const auto [at, is_first] = job_ends_read_at_.try_emplace(id, now);
+    if (!is_first && now - at->second < kReadJobEndAgain_s) continue;
     at->second = now;
     effects_.read_job_ends.push_back(id);
   }
+}
+
+void Leader::place_tasks(double now) {
   const double since_plan = now - planned_at_;
-  if ((needs_placement_ && since_plan >= kPlanAtMostEvery) || since_plan > kPlanEvery) {
-    needs_placement_ = false;
-    recheck_deferred_responses_ = true;
-    planned_at_ = now;
-    if (drains_.settle(cluster_, now) > 0) needs_scaling_ = true;
-    const placement::Gate gate = [&](const std::vector<Index>& jobs) {
-      return drains_.may_yield(cluster_, jobs, now);
-    };
-    if (placement::plan(cluster_, now, drains_.in_force() ? gate : placement::Gate{}) > 0) {
-      needs_scaling_ = true;
-    }
+  const bool is_due =
+      (needs_placement_ && since_plan >= kPlanAtMostEvery_s) || since_plan > kPlanEvery_s;
+  if (!is_due) return;
+  needs_placement_ = false;
+  recheck_deferred_responses_ = true;
+  planned_at_ = now;
+  if (drains_.settle(cluster_, now) > 0) needs_scaling_ = true;
+  const placement::Gate gate = [&](const std::vector<Index>& jobs) {
+    return drains_.may_yield(cluster_, jobs, now);
+  };
+  if (placement::plan(cluster_, now, drains_.in_force() ? gate : placement::Gate{}) > 0) {
+    needs_scaling_ = true;
   }
-  // A leader whose watch on the jobs has stopped may have been replaced: its machines are silent
-  // because they heartbeat to another. It answers workers, and leaves the fleet alone.
-  const bool current = may_start(now);
-  if (current && now - liveness_checked_at_ > kUpkeepEvery) {
+}
+
+// A leader whose watch on the jobs has stopped may have been replaced: its machines are silent
+// because they report to another. It answers workers, and leaves the fleet alone.
+void Leader::manage_hosts(double now) {
+  const bool is_current = may_start(now);
+  if (is_current && now - liveness_checked_at_ > kCheckHostsEvery_s) {
     liveness_checked_at_ = now;
     check_host_liveness(now);
   }
-  if (now - cancellations_checked_at_ >= kUpkeepEvery) {
+  if (now - cancellations_checked_at_ >= kCheckHostsEvery_s) {
     cancellations_checked_at_ = now;
     scale_in_for_cancellations(now);
   }
-  if (current) advance_drains(now);
-  const double since_buy = now - scaled_at_;
-  // Records only name machines. Until a list or their heartbeats tell what they are and that they
-  // run they count for nothing, and each new leader rented the whole fleet once more.
-  if (!current || !hosts_listed_) {
+  if (is_current) advance_drains(now);
+  scale_if_due(is_current, now);
+}
+
+// Records only name machines. Until a list or their heartbeats tell what they are and that they run
+// they count for nothing, and each new leader rented the whole fleet once more.
+void Leader::scale_if_due(bool is_current, double now) {
+  if (!is_current || !hosts_listed_) {
     needs_scaling_ = true;
-  } else if (since_buy >= policy_.tick_s || (needs_scaling_ && since_buy >= kBuyAtMostEvery)) {
-    needs_scaling_ = false;
-    scaled_at_ = now;
-    scale(now);
+    return;
   }
-  advance_schema(now);
-  send_next_transaction(now);
+  const double since_scaled = now - scaled_at_;
+  const bool is_due =
+      since_scaled >= policy_.tick_s || (needs_scaling_ && since_scaled >= kScaleAtMostEvery_s);
+  if (!is_due) return;
+  needs_scaling_ = false;
+  scaled_at_ = now;
+  scale(now);
+}
+
+void Leader::request_reads(double now) {
   if (!all_job_changes_applied_ && now - jobs_read_requested_at_ >= kReadJobsAgain_s) {
     jobs_read_requested_at_ = now;
     effects_.read_jobs = true;
   }
-  if (freshness_.should_poll_members(now))
+  if (freshness_.should_poll_members(now)) {
     effects_.cancellation_poll_windows = freshness_.query_windows(now);
+  }
+}
+
+// A request for machines is sent once the record that names it is stored.
+void Leader::release_scale_outs() {
   std::erase_if(scale_outs_awaiting_record_, [&](const auto& pending) {
     if (!transaction_builder_.is_stored(pending.first)) return false;
     effects_.cloud_requests.push_back({CloudRequest::Kind::scale_out, pending.second, {}});
     return true;
   });
-  send_deferred_responses(now);
-  return std::exchange(effects_, {});
 }
 
 }  // namespace reachramp::controller
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -1,5 +1,9 @@
-// The leader's decisions: what every command changes, and what is to be done about it. Pure but for
-// the time passed in; the edges carry out what stands in the effects.
+// The leader's decisions: what each event changes in the state, and what is to be done about it.
+//
+// A Leader exists for one term: from the moment at which a node has won the election and read what
+// is stored, until it is deposed or steps down. It owns all state of the term. It is used by one
+// thread, reads no clock and does no I/O: the event loop passes in events and the present time, in
+// seconds of the steady clock, and carries out the effects that `advance` returns.
 #pragma once
 
 #include <functional>
@@ -28,19 +32,20 @@
 
 // What becomes of a worker's heartbeat.
 enum class HeartbeatVerdict {
-  accepted,  // its response goes to the answerer, now or later
-  deposed,   // the worker has seen a higher token: this leader's time is over
+  accepted,  // its response goes to the responder, now or later
+  deposed,   // the worker has seen a higher fencing token: another node leads
 };
 
-// What the edges are to do. Taken and emptied by the owner after each batch of commands.
+// What is to be done outside the state, for the event loop to carry out. `advance` returns it and
+// begins with an empty one.
 struct Effects {
   std::optional<TransactionBatch> transaction;
   std::vector<CloudRequest> cloud_requests;
   std::optional<std::string> verify_key;   // a key that tells whether a transaction was applied
   std::vector<std::string> read_job_ends;  // jobs whose ends are to be read
   std::vector<std::string>
-      probes;  // machines to be sent empty commands that carry our fencing token
-  std::vector<std::pair<std::string, kv::Json>> urgent_stops;  // addresses, bodies of /commands
+      probes;  // machines to be told our fencing token at their own address
+  std::vector<std::pair<std::string, kv::Json>> urgent_stops;  // addresses, bodies of /orders
   std::vector<double> cancellation_poll_windows;  // members for the cancellations they told: one
                                                   // window each; or none
   bool step_down = false;
@@ -50,6 +55,8 @@
   bool read_obsolete_records = false;  // records that are not of the level's form, by strong reads
 };
 
+// What is stored, as it was read at the start of a term by strong reads. An absent record is
+// nothing.
 struct LeaderSnapshot {
   std::vector<kv::Entry> jobs;
   std::vector<kv::Entry> tasks;
@@ -68,7 +75,8 @@
 
 class Leader {
  public:
-  // Throws where the stored level is not one that `speech` has.
+  // `fencing_token`: the revision of the key `leader` as this node wrote it. `now`: steady seconds.
+  // Throws std::runtime_error where the stored schema is not one that `supported_versions` has.
   Leader(const settings::Platform& platform, const settings::Policy& policy,
          std::uint64_t fencing_token, const LeaderSnapshot& snapshot, double now,
          const schema::SupportedVersions& supported_versions = {});
@@ -98,7 +106,7 @@
   const drains::Drains& drains() const { return drains_; }
   const schema::StoredSchema& level() const { return schema_; }
   void on_transaction_completed(const kv::CommitResult& committed, double now);
-  // The key that was to be read back, and the leader's key, by strong reads in this command: while
+  // The key that was to be read back, and the leader's key, by strong reads in this order: while
   // the latter has our fencing token, nobody else can have written the former.
   void on_transaction_verified(const kv::ReadResult& found, const kv::ReadResult& leader,
                                double now);
@@ -108,8 +116,10 @@
                               const cloud::ScaleOutResult& result, double now);
   void on_scale_in_completed(const std::vector<std::string>& machines, double now);
 
-  // Lets time pass: plans, rents, returns, commits, answers.
+  // Lets time pass up to `now`: places tasks, scales out and in, writes, responds. To be called
+  // after each batch of events, and ten times a second without any.
   Effects advance(double now);
+  // Another node leads: nothing may be done any longer.
   bool deposed() const { return deposed_; }
   const Cluster& cluster() const { return cluster_; }
 
@@ -131,7 +141,21 @@
   void restore_zones(const LeaderSnapshot& snapshot, double now);
   void detect_older_leader(const LeaderSnapshot& snapshot);
 
+  // What `advance` does, in this order.
+  void update_dependencies(double now);
+  void place_tasks(double now);
+  void manage_hosts(double now);
+  void scale_if_due(bool is_current, double now);
+  void request_reads(double now);
+  void release_scale_outs();
+
   void check_host_liveness(double now);
+  void store_zones(double now);
+  bool are_many_hosts_silent(double now) const;
+  const char* reason_to_scale_in(Index host, bool many_are_silent, double now) const;
+  bool is_listed_after_return(const std::string& name, double asked_at, double now);
+  void update_listed_host(const cloud::ListedMachine& machine, double now);
+  void remove_unlisted_hosts(const std::set<std::string>& listed, double asked_at, double now);
   void log_failover_progress(double now);
   void detect_unreachable_hosts(double now);
   void scale(double now);
--- a/src/controller/leader_hosts.cpp
+++ b/src/controller/leader_hosts.cpp
@@ -18,13 +18,16 @@
 
 namespace {
 
-constexpr double kNeverBoots = 4;  // boot times
-constexpr double kTombstoneFor = 300;
+constexpr double kBootTimesUntilFailed = 4;
+constexpr double kRememberReturnedFor_s = 300;  // late messages of a returned machine may come
 constexpr double kStoreZones_s = 1;
-// A machine that heartbeats without hearing us goes back after so many leases: its tasks ended with
-// the first, and a network that is cut one way may mend.
-constexpr double kDeafLeases = 2;
-constexpr double kCutLasts = 4;  // times the silence that is held against a single machine
+// A machine whose heartbeats arrive but that receives no responses is returned after so many
+// leases: its tasks ended with the first, and a network that is cut one way may mend.
+constexpr double kUnreachableLeases = 2;
+// In a partition, times the silence that is held against a single machine.
+constexpr double kPartitionLasts = 4;
+
+double silence_limit_s(const settings::Workers& workers) { return workers.lease_s * 1.1; }
 
 }  // namespace
 
@@ -60,34 +63,15 @@
 void Leader::on_host_list(const std::vector<cloud::ListedMachine>& listed, double asked_at,
                           double now) {
   hosts_listed_ = true;
-  const double lag = platform_.cloud_limits.list_lag_s;
   std::set<std::string> names;
   std::vector<std::string> failed;
   for (const cloud::ListedMachine& machine : listed) {
     names.insert(machine.name);
-    const auto returned = returned_hosts_.find(machine.name);
-    if (returned != returned_hosts_.end()) {
-      // Still listed long after its return: it is not what we returned, or it came back.
-      if (asked_at - returned->second > 3 * lag + 5) {
-        failed.push_back(machine.name);
-        returned->second = now;
-      }
+    if (returned_hosts_.contains(machine.name)) {
+      if (is_listed_after_return(machine.name, asked_at, now)) failed.push_back(machine.name);
       continue;
     }
-    const bool fresh = !cluster_.host_index.contains(machine.name);
-    const Index index = cluster_.add_host(machine.name, now);
-    cluster_.describe_host(index, machine.type, machine.zone, machine.spot);
-    Host& host = *cluster_.hosts[index];
-    host.unconfirmed = false;
-    // Whoever learnt of the machine from a heartbeat or a record does not know its age.
-    host.rented_at = std::min(host.rented_at, now - machine.held_s);
-    host.runs = machine.phase == cloud::MachinePhase::running;
-    if (fresh) needs_scaling_ = true;
-    if (!machine.address.empty()) host.address = machine.address;
-    if (!host.acknowledged_token && !host.address.empty() &&
-        machine.phase == cloud::MachinePhase::running && fresh) {
-      effects_.probes.push_back(host.address);
-    }
+    update_listed_host(machine, now);
     if (machine.phase == cloud::MachinePhase::failed) failed.push_back(machine.name);
   }
   for (const std::string& name : failed) {
@@ -95,12 +79,42 @@
     on_host_removed(name, now);
     effects_.cloud_requests.push_back({CloudRequest::Kind::scale_in, {}, {name}});
   }
+  remove_unlisted_hosts(names, asked_at, now);
+}
 
-  // A list describes a moment at most twice the lag ago. A machine that was there before that
-  // moment and is not listed is gone.
+// Still listed long after its return: it is not what was returned, or it came back.
+bool Leader::is_listed_after_return(const std::string& name, double asked_at, double now) {
+  double& returned_at = returned_hosts_.at(name);
+  if (asked_at - returned_at <= 3 * platform_.cloud_limits.list_lag_s + 5) return false;
+  returned_at = now;
+  return true;
+}
+
+void Leader::update_listed_host(const cloud::ListedMachine& machine, double now) {
+  const bool is_new = !cluster_.host_index.contains(machine.name);
+  const bool is_running = machine.phase == cloud::MachinePhase::running;
+  const Index index = cluster_.add_host(machine.name, now);
+  cluster_.describe_host(index, machine.type, machine.zone, machine.spot);
+  Host& host = *cluster_.hosts[index];
+  host.unconfirmed = false;
+  // Whoever learnt of the machine from a heartbeat or a record does not know its age.
+  host.rented_at = std::min(host.rented_at, now - machine.held_s);
+  host.runs = is_running;
+  if (is_new) needs_scaling_ = true;
+  if (!machine.address.empty()) host.address = machine.address;
+  if (!host.acknowledged_token && !host.address.empty() && is_running && is_new) {
+    effects_.probes.push_back(host.address);
+  }
+}
+
+// A list describes a moment at most twice the lag ago. A machine that was there before that moment
+// and is not listed is gone.
+void Leader::remove_unlisted_hosts(const std::set<std::string>& listed, double asked_at,
+                                   double now) {
+  const double lag = platform_.cloud_limits.list_lag_s;
   std::vector<std::string> missing;
   for (const auto& host : cluster_.hosts) {
-    if (host && !names.contains(host->name) && host->known_at < asked_at - 2 * lag - 1) {
+    if (host && !listed.contains(host->name) && host->known_at < asked_at - 2 * lag - 1) {
       missing.push_back(host->name);
     }
   }
@@ -165,7 +179,7 @@
   advanced_at_ = now;
 }
 
-// Also without the key-value store: a cancelled task must be gone whoever else may leadership, and
+// Also without the key-value store: a cancelled task must be gone whoever else may lead, and
 // returning a machine is safe under any leader.
 void Leader::scale_in_for_cancellations(double now) {
   for (const auto& [host_index, job_index] :
@@ -210,7 +224,8 @@
   autoscaler_.close(std::move(pools));
 }
 
-// Machines that heartbeat but do not hear us take nothing new and go back after a while. Where many
+// Machines whose heartbeats arrive but that receive no responses take nothing new and are returned
+// after a while. Where many
 // are so at once it is the network's matter, or our own lateness, and none is held to be so.
 void Leader::detect_unreachable_hosts(double now) {
   int up = 0, unreachable = 0;
@@ -234,67 +249,78 @@
 void Leader::check_host_liveness(double now) {
   log_failover_progress(now);
   detect_unreachable_hosts(now);
-  const double silent = platform_.workers.lease_s * 1.1;
-  const auto is_silent = [&](const Host& host) {
-    return host.phase == HostPhase::up &&
-           now - std::max(host.last_heartbeat_at, leader_since_) > silent;
-  };
   zones_.advance(cluster_, leader_since_, now);
-  if (zones_.has_changed() && schema::has(schema_, schema::kDrains) &&
-      now - zones_stored_at_ >= kStoreZones_s) {
-    zones_stored_at_ = now;
-    zones_.note_written();
-    const kv::Json value = zones_.encode(cluster_);
-    if (kv::fits(value, platform_.lasting().value_kb))
-      transaction_builder_.write({zones::kZonesKey, value});
-  }
+  store_zones(now);
   close_pools();
   for (const Index i : zones_.to_return(cluster_, leader_since_, now)) {
     scale_in(i, "its zone is lost");
     needs_scaling_ = needs_placement_ = true;
   }
-  int up = 0, silent_hosts = 0;
+  const bool many_are_silent = are_many_hosts_silent(now);
+  for (Index i = 0; i < cluster_.hosts.size(); ++i) {
+    if (const char* reason = reason_to_scale_in(i, many_are_silent, now)) scale_in(i, reason);
+  }
+  std::erase_if(returned_hosts_,
+                [&](const auto& host) { return now - host.second > kRememberReturnedFor_s; });
+}
+
+void Leader::store_zones(double now) {
+  if (!zones_.has_changed() || !schema::has(schema_, schema::kDrains) ||
+      now - zones_stored_at_ < kStoreZones_s) {
+    return;
+  }
+  zones_stored_at_ = now;
+  zones_.note_written();
+  const kv::Json value = zones_.encode(cluster_);
+  if (kv::fits(value, platform_.lasting().value_kb)) {
+    transaction_builder_.write({zones::kZonesKey, value});
+  }
+}
+
+// Silence of one machine is its own. When many fall silent together a network partition is
+// likelier, and they work on behind it: one recorded day lost half the fleet to a leader that
+// returned them all.
+bool Leader::are_many_hosts_silent(double now) const {
+  const double limit_s = silence_limit_s(platform_.workers);
+  int up = 0, silent = 0;
   for (const auto& host : cluster_.hosts) {
     if (!host || host->phase != HostPhase::up) continue;
     ++up;
-    silent_hosts += is_silent(*host) ? 1 : 0;
+    silent += now - std::max(host->last_heartbeat_at, leader_since_) > limit_s ? 1 : 0;
   }
-  // Silence of one machine is its own. When many fall silent together a cut is likelier, and they
-  // work on behind it: one recorded day lost half the fleet to a leader that sent them all back.
-  const bool many = silent_hosts > 1 && silent_hosts * 3 > up;
-  for (Index i = 0; i < cluster_.hosts.size(); ++i) {
-    Host* host = cluster_.hosts[i].get();
-    if (host == nullptr || host->phase == HostPhase::terminating) continue;
+  return silent > 1 && silent * 3 > up;
+}
+
+// Null: it stays.
+const char* Leader::reason_to_scale_in(Index index, bool many_are_silent, double now) const {
+  const Host* host = cluster_.hosts[index].get();
+  if (host == nullptr || host->phase == HostPhase::terminating) return nullptr;
+  // What is silent with its whole zone is the zone's matter, and has its time anew when that is
+  // heard again. Judged machine by machine a zone was returned within seconds: heartbeats are
+  // staggered, so that never a third was silent together.
+  const bool has_zone = host->zone != kNone;
+  const zones::State zone = has_zone ? zones_.state(host->zone) : zones::State::healthy;
+  if (zone == zones::State::suspected || zone == zones::State::lost) return nullptr;
+  const double from =
+      has_zone ? std::max(leader_since_, zones_.reachable_since(host->zone)) : leader_since_;
+  if (host->phase == HostPhase::booting) {
     const auto* type = cluster_.type_of(*host);
-    // What is silent with its whole zone is the zone's matter, and has its time anew when that is
-    // heard again. Told machine by machine a zone was sent back within seconds: heartbeats are
-    // staggered, so that never a third was silent together.
-    const zones::State zone =
-        host->zone == placement::kNone ? zones::State::healthy : zones_.state(host->zone);
-    if (zone == zones::State::suspected || zone == zones::State::lost) continue;
-    const double from = host->zone == placement::kNone
-                            ? leader_since_
-                            : std::max(leader_since_, zones_.reachable_since(host->zone));
-    if (host->phase == HostPhase::booting) {
-      const double patience = kNeverBoots * (type == nullptr ? 60 : type->boot_s);
-      if (now - std::max(host->rented_at, from - patience / 2) > patience) {
-        scale_in(i, "it does not come up");
-      }
-      continue;
-    }
-    const double silent_s = now - std::max(host->last_heartbeat_at, from);
-    if (silent_s > silent && (!many || silent_s > kCutLasts * silent)) {
-      scale_in(i, "it is silent");
-    } else if (host->unreachable_since >= 0 &&
-               now - host->unreachable_since > kDeafLeases * platform_.workers.lease_s) {
-      scale_in(i, "our answers do not reach it");
-    } else if (host->draining && host->reclaim_at == placement::kNever && host->attempts.empty()) {
-      scale_in(i, "it does not work");
-    }
+    const double patience_s = kBootTimesUntilFailed * (type == nullptr ? 60 : type->boot_s);
+    const double booting_since = std::max(host->rented_at, from - patience_s / 2);
+    return now - booting_since > patience_s ? "it does not come up" : nullptr;
+  }
+  const double limit_s = silence_limit_s(platform_.workers);
+  const double silent_s = now - std::max(host->last_heartbeat_at, from);
+  if (silent_s > limit_s && (!many_are_silent || silent_s > kPartitionLasts * limit_s)) {
+    return "it is silent";
   }
-  for (auto at = returned_hosts_.begin(); at != returned_hosts_.end();) {
-    at = now - at->second > kTombstoneFor ? returned_hosts_.erase(at) : std::next(at);
+  if (host->unreachable_since >= 0 &&
+      now - host->unreachable_since > kUnreachableLeases * platform_.workers.lease_s) {
+    return "our answers do not reach it";
   }
+  const bool is_quarantined_and_idle =
+      host->draining && host->reclaim_at == placement::kNever && host->attempts.empty();
+  return is_quarantined_and_idle ? "it does not work" : nullptr;
 }
 
 void Leader::scale(double now) {
--- a/src/controller/leader_schema.cpp
+++ b/src/controller/leader_schema.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 void Leader::advance_schema(double now) {
-  if (!all_upgraded_) return;  // 0.2.0 may yet leadership
+  if (!all_upgraded_) return;  // 0.2.0 may yet lead
   const bool restless =
       !schema_.settled || schema_.level < std::min(supported_versions_.newest, schema::kNewest);
   if (now - claims_read_at_ >= (restless ? kClaimsSoon_s : kClaimsLater_s)) {
--- a/src/controller/transaction_builder.cpp
+++ b/src/controller/transaction_builder.cpp
@@ -19,11 +19,11 @@
 
 namespace {
 
-constexpr std::size_t kMostBytes = 48 * 1024;  // the limit is 64 KiB in all
-constexpr double kTellEvery = 2.0;
-constexpr double kAfterConflict = 0.05;
-constexpr double kEndsWait_s = 3;
-constexpr double kAvoidFor_s = 10;
+constexpr std::size_t kMaxTransactionBytes = 48 * 1024;  // the limit is 64 KiB in all
+constexpr double kUpdateCountsEvery_s = 2.0;
+constexpr double kAfterConflict_s = 0.05;
+constexpr double kDelayEnds_s = 3;
+constexpr double kBackOffFor_s = 10;
 
 // What an earlier leader placed is taken to run until its worker has been heard: each change of
 // leaders wrote "pending" over the headers of running jobs, and "running" again.
@@ -38,14 +38,14 @@
 // Records that starts wait for, the most first; then those with ends that have waited long. Until
 // then ends are not lost: their workers go on listing them. Most are never written at all, since
 // their job's end comes first.
-std::vector<TaskRangeRef> chunks_by_need(const Cluster& cluster, double now) {
+std::vector<TaskRangeRef> task_ranges_by_urgency(const Cluster& cluster, double now) {
   std::vector<std::tuple<std::uint32_t, double, TaskRangeRef>> needs;
   for (const TaskRangeRef& ref : cluster.dirty) {
     if (cluster.finished_jobs.contains(ref.job)) continue;  // goes with its job
     if (cluster.jobs[ref.job]->unconfirmed) continue;
-    const placement::TaskRange& chunk = cluster.jobs[ref.job]->task_ranges[ref.range];
-    const double age = now - chunk.dirty_since;
-    if (chunk.waiting > 0 || age > kEndsWait_s) needs.emplace_back(chunk.waiting, age, ref);
+    const placement::TaskRange& range = cluster.jobs[ref.job]->task_ranges[ref.range];
+    const double age = now - range.dirty_since;
+    if (range.waiting > 0 || age > kDelayEnds_s) needs.emplace_back(range.waiting, age, ref);
   }
   std::sort(needs.rbegin(), needs.rend());
   std::vector<TaskRangeRef> refs;
@@ -58,14 +58,14 @@
 struct TransactionBuilder::Builder {
   // Whatever is written has the form of a level, so all of it is conditional on the level's
   // revision: a leader that stood still across a step writes nothing of the old form afterwards.
-  Builder(const Cluster& cluster, std::uint64_t level, int most) : ops(most) {
+  Builder(const Cluster& cluster, std::uint64_t level, int max_writes) : ops(max_writes) {
     require(kLeaderKey, cluster.fencing_token);
     require(schema::kLevelKey, level);
   }
 
   bool has_room(std::size_t more = 1) const {
     return batch.transaction.writes.size() + more <= static_cast<std::size_t>(ops) &&
-           bytes < kMostBytes;
+           bytes < kMaxTransactionBytes;
   }
   void require(const std::string& key, std::uint64_t revision) {
     if (required.insert(key).second) batch.transaction.preconditions.emplace_back(key, revision);
@@ -81,16 +81,16 @@
   std::set<std::string> required;
 };
 
-void TransactionBuilder::write(RecordWrite note) {
-  const std::string key = note.key;
-  pending_writes_[key] = std::move(note);
+void TransactionBuilder::write(RecordWrite record) {
+  const std::string key = record.key;
+  pending_writes_[key] = std::move(record);
 }
 
 // The simulated cluster wrote a closed pool as before, one transaction after the step to having
 // none.
 void TransactionBuilder::set_schema_level(std::uint32_t level) {
-  for (auto& [key, note] : pending_writes_) {
-    if (note.value && is_stale(key, *note.value, level)) note.value.reset();
+  for (auto& [key, record] : pending_writes_) {
+    if (record.value && is_stale(key, *record.value, level)) record.value.reset();
   }
 }
 
@@ -121,9 +121,9 @@
       builder.batch.deferred_removals.emplace_back(key, revision);
     }
   };
-  for (std::size_t chunk = 0; chunk < job.task_ranges.size(); ++chunk) {
-    if (job.task_ranges[chunk].revision != 0) {
-      remove(cluster.chunk_key(job, chunk), job.task_ranges[chunk].revision);
+  for (std::size_t range = 0; range < job.task_ranges.size(); ++range) {
+    if (job.task_ranges[range].revision != 0) {
+      remove(cluster.chunk_key(job, range), job.task_ranges[range].revision);
     }
   }
   for (const placement::ObsoleteRecord& stray : job.obsolete_records)
@@ -138,7 +138,7 @@
 void TransactionBuilder::add_task_range(Cluster& cluster, const TaskRangeRef& ref, double now,
                                         Builder& builder) {
   const Job& job = *cluster.jobs[ref.job];
-  const placement::TaskRange& chunk = job.task_ranges[ref.range];
+  const placement::TaskRange& range = job.task_ranges[ref.range];
   const std::string key = cluster.chunk_key(job, ref.range);
   if (backs_off(key, now)) return;
   jobs::ChunkRecord record = cluster.chunk_record(job, ref.range);
@@ -154,24 +154,24 @@
   }
   // A cancellation changes the header, so that starts decided before it fail.
   builder.require(jobs::job_key(job.spec.id), job.revision);
-  builder.require(key, chunk.revision);
+  builder.require(key, range.revision);
   builder.write(key, std::move(value));
-  builder.batch.task_ranges.push_back({ref, job.spec.id, chunk.changed, record.placements});
+  builder.batch.task_ranges.push_back({ref, job.spec.id, range.changed, record.placements});
 }
 
 void TransactionBuilder::add_status_counts(Cluster& cluster, double now, Builder& builder) {
   for (auto at = cluster.jobs_with_changed_counts.begin();
        at != cluster.jobs_with_changed_counts.end() && builder.has_room();) {
     Job& job = *cluster.jobs[*at];
-    if (now - job.reported_at < kTellEvery) {
+    if (now - job.reported_at < kUpdateCountsEvery_s) {
       ++at;
       continue;
     }
     const std::uint32_t running = running_tasks(job);
     // A change of phase shows; counts alone are refreshed along with it.
-    const bool told =
+    const bool is_up_to_date =
         (running > 0) == (job.reported_running > 0) && job.done_count == job.reported_done;
-    if (told || job.cancelled || job.finished()) {
+    if (is_up_to_date || job.cancelled || job.finished()) {
       at = cluster.jobs_with_changed_counts.erase(at);
       continue;
     }
@@ -188,28 +188,29 @@
   }
 }
 
-std::optional<TransactionBatch> TransactionBuilder::next_batch(Cluster& cluster, int most,
-                                                               bool spare, double now) {
+std::optional<TransactionBatch> TransactionBuilder::next_batch(Cluster& cluster, int max_writes,
+                                                               bool include_status_counts,
+                                                               double now) {
   if (now < not_before_) return std::nullopt;
-  Builder builder(cluster, revision_of(schema::kLevelKey).value_or(0), most);
+  Builder builder(cluster, revision_of(schema::kLevelKey).value_or(0), max_writes);
   for (const Index index : cluster.finished_jobs) {
     if (!builder.has_room(2)) break;
     if (cluster.jobs[index]->unconfirmed) continue;
     add_job_end(cluster, index, builder);
   }
-  for (const auto& [key, note] : pending_writes_) {
+  for (const auto& [key, record] : pending_writes_) {
     if (!builder.has_room()) break;
     if (backs_off(key, now)) continue;
     builder.require(key, revision_of(key).value_or(0));
-    for (const auto& [other, revision] : note.preconditions) builder.require(other, revision);
-    builder.write(key, note.value);
-    builder.batch.record_writes.push_back(note);
+    for (const auto& [other, revision] : record.preconditions) builder.require(other, revision);
+    builder.write(key, record.value);
+    builder.batch.record_writes.push_back(record);
   }
-  for (const TaskRangeRef& ref : chunks_by_need(cluster, now)) {
+  for (const TaskRangeRef& ref : task_ranges_by_urgency(cluster, now)) {
     if (!builder.has_room()) break;
     add_task_range(cluster, ref, now, builder);
   }
-  if (spare) add_status_counts(cluster, now, builder);
+  if (include_status_counts) add_status_counts(cluster, now, builder);
   if (builder.batch.transaction.writes.empty()) return std::nullopt;
   return std::move(builder.batch);
 }
@@ -232,7 +233,7 @@
   std::erase_if(backed_off_until_, [&](const auto& entry) { return now >= entry.second; });
   for (const kv::Write& write : batch.transaction.writes) {
     spdlog::error("record {} is refused", write.key);
-    backed_off_until_[write.key] = now + kAvoidFor_s;
+    backed_off_until_[write.key] = now + kBackOffFor_s;
   }
 }
 
@@ -240,36 +241,48 @@
                                               const kv::CommitResult& committed, double now) {
   switch (committed.outcome) {
     case Outcome::ok:
-      break;
+      apply_written_task_ranges(cluster, batch, committed.store_revision);
+      apply_status_counts(cluster, batch, committed.store_revision);
+      apply_record_writes(batch, committed.store_revision);
+      remove_ended_jobs(cluster, batch, now);
+      return BatchOutcome::applied;
     case Outcome::refused:
       return BatchOutcome::retry;
     case Outcome::malformed:
       return BatchOutcome::too_large;
-    case Outcome::conflict: {
-      bool others = !committed.failed_keys.empty();
-      for (const std::string& key : committed.failed_keys) {
-        if (key == kLeaderKey) return BatchOutcome::deposed;
-        const bool given = drop_conditional_on(key);
-        others = others && (given || key.starts_with("job/"));
-      }
-      // A header that changed was cancelled by its user; the watch brings the new one. What a note
-      // was conditional on is looked at again by whoever wrote the note.
-      not_before_ = now + kAfterConflict;
-      return others ? BatchOutcome::retry : BatchOutcome::uncertain;
-    }
+    case Outcome::conflict:
+      return on_conflict(committed.failed_keys, now);
     default:
       return BatchOutcome::uncertain;
   }
-  for (const TransactionBatch::WrittenTaskRange& stored : batch.task_ranges) {
-    Job* job = cluster.job(stored.job);
+}
+
+// A header that changed was cancelled by its user; the watch brings the new one. What a record was
+// conditional on is looked at again by whoever wrote the record.
+BatchOutcome TransactionBuilder::on_conflict(const std::vector<std::string>& failed_keys,
+                                             double now) {
+  bool is_explained = !failed_keys.empty();
+  for (const std::string& key : failed_keys) {
+    if (key == kLeaderKey) return BatchOutcome::deposed;
+    const bool was_precondition = drop_conditional_on(key);
+    is_explained = is_explained && (was_precondition || key.starts_with("job/"));
+  }
+  not_before_ = now + kAfterConflict_s;
+  return is_explained ? BatchOutcome::retry : BatchOutcome::uncertain;
+}
+
+void TransactionBuilder::apply_written_task_ranges(Cluster& cluster, const TransactionBatch& batch,
+                                                   std::uint64_t store_revision) {
+  for (const TransactionBatch::WrittenTaskRange& written : batch.task_ranges) {
+    Job* job = cluster.job(written.job);
     if (job == nullptr) continue;
-    placement::TaskRange& chunk = job->task_ranges[stored.ref.range];
-    chunk.revision = committed.store_revision;
-    chunk.stored = stored.changed;
-    if (chunk.changed == chunk.stored) {
-      cluster.dirty.erase({cluster.job_index[stored.job], stored.ref.range});
+    placement::TaskRange& range = job->task_ranges[written.ref.range];
+    range.revision = store_revision;
+    range.stored = written.changed;
+    if (range.changed == range.stored) {
+      cluster.dirty.erase({cluster.job_index[written.job], written.ref.range});
     }
-    for (const jobs::Placement& placement : stored.placements) {
+    for (const jobs::Placement& placement : written.placements) {
       const auto at = job->attempts.find(placement.task);
       if (at != job->attempts.end() && at->second.number == placement.attempt &&
           cluster.hosts[at->second.host]->name == placement.host) {
@@ -277,38 +290,49 @@
       }
     }
   }
-  for (const TransactionBatch::StatusCounts& told : batch.status_counts) {
-    if (Job* job = cluster.job(told.job)) {
-      job->revision = std::max(job->revision, committed.store_revision);
-      job->reported_done = told.done;
-      job->reported_running = told.running;
-      cluster.jobs_with_changed_counts.insert(
-          cluster.job_index[told.job]);  // they may have changed meanwhile
-    }
+}
+
+void TransactionBuilder::apply_status_counts(Cluster& cluster, const TransactionBatch& batch,
+                                             std::uint64_t store_revision) {
+  for (const TransactionBatch::StatusCounts& written : batch.status_counts) {
+    Job* job = cluster.job(written.job);
+    if (job == nullptr) continue;
+    job->revision = std::max(job->revision, store_revision);
+    job->reported_done = written.done;
+    job->reported_running = written.running;
+    // They may have changed meanwhile.
+    cluster.jobs_with_changed_counts.insert(cluster.job_index[written.job]);
   }
-  for (const RecordWrite& note : batch.record_writes) {
-    if (note.value) {
-      revisions_[note.key] = committed.store_revision;
+}
+
+void TransactionBuilder::apply_record_writes(const TransactionBatch& batch,
+                                             std::uint64_t store_revision) {
+  for (const RecordWrite& written : batch.record_writes) {
+    if (written.value) {
+      revisions_[written.key] = store_revision;
     } else {
-      revisions_.erase(note.key);
+      revisions_.erase(written.key);
     }
-    const auto at = pending_writes_.find(note.key);
-    if (at != pending_writes_.end() && at->second.value == note.value) pending_writes_.erase(at);
+    const auto at = pending_writes_.find(written.key);
+    if (at != pending_writes_.end() && at->second.value == written.value) pending_writes_.erase(at);
   }
   for (const auto& [key, revision] : batch.deferred_removals) {
     revisions_[key] = revision;
     write({key, std::nullopt});
   }
-  for (const auto& [id, fate] : batch.ended_jobs) {
+}
+
+void TransactionBuilder::remove_ended_jobs(Cluster& cluster, const TransactionBatch& batch,
+                                           double now) {
+  for (const auto& [id, final_state] : batch.ended_jobs) {
     const auto at = cluster.job_index.find(id);
     if (at == cluster.job_index.end()) continue;
     const Job& job = *cluster.jobs[at->second];
     spdlog::info("job {} {}: {} of {} tasks done", id, job.cancelled ? "cancelled" : "done",
                  job.done_count, job.spec.tasks);
     cluster.remove_job(at->second);
-    pipelines::resolve_dependents(cluster, id, fate, now);
+    pipelines::resolve_dependents(cluster, id, final_state, now);
   }
-  return BatchOutcome::applied;
 }
 
 }  // namespace reachramp::controller
--- a/src/controller/transaction_builder.h
+++ b/src/controller/transaction_builder.h
@@ -53,7 +53,7 @@
  public:
   // What the key-value store held of notes and strays when the leader took over.
   void note_stored(const std::string& key, std::uint64_t revision) { revisions_[key] = revision; }
-  void write(RecordWrite note);
+  void write(RecordWrite record);
   // What is yet to be written takes the form of the level: records that it no longer has go.
   void set_schema_level(std::uint32_t level);
   bool is_stored(const std::string& key) const;
@@ -62,7 +62,8 @@
 
   // The next batch of at most `most` writes, if anything has changed. `spare` is false while writes
   // are scarce: counts for display then wait.
-  std::optional<TransactionBatch> next_batch(Cluster& cluster, int most, bool spare, double now);
+  std::optional<TransactionBatch> next_batch(Cluster& cluster, int max_writes,
+                                             bool include_status_counts, double now);
   // Leaves the records of a refused batch alone for a while, so that the others are not held up.
   void back_off(const TransactionBatch& batch, double now);
   BatchOutcome apply_result(Cluster& cluster, const TransactionBatch& batch,
@@ -75,6 +76,13 @@
   void add_task_range(Cluster& cluster, const TaskRangeRef& ref, double now, Builder& builder);
   bool drop_conditional_on(const std::string& key);
   bool backs_off(const std::string& key, double now) const;
+  BatchOutcome on_conflict(const std::vector<std::string>& failed_keys, double now);
+  void apply_written_task_ranges(Cluster& cluster, const TransactionBatch& batch,
+                                 std::uint64_t store_revision);
+  void apply_status_counts(Cluster& cluster, const TransactionBatch& batch,
+                           std::uint64_t store_revision);
+  void apply_record_writes(const TransactionBatch& batch, std::uint64_t store_revision);
+  void remove_ended_jobs(Cluster& cluster, const TransactionBatch& batch, double now);
   void add_status_counts(Cluster& cluster, double now, Builder& builder);
 
   std::map<std::string, std::uint64_t> revisions_;
