--- /dev/null
+++ b/src/controller/leader_hosts.cpp
@@ -0,0 +1,362 @@
+// The leader and its machines: what the cloud tells of them, what is rented and what goes back.
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <set>
+
+#include "controller/leader.h"
+#include "pipelines/dependencies.h"
+#include "placement/plan.h"
+#include "workers/cancelled_tasks.h"
+
+namespace reachramp::controller {
+
+using placement::Host;
+using placement::HostPhase;
+using placement::kNone;
+using placement::Pool;
+
+namespace {
+
+constexpr double kBootTimesUntilFailed = 4;
+constexpr double kRememberReturnedFor_s = 300;  // late messages of a returned machine may come
+constexpr double kStoreZones_s = 1;
+// A machine whose heartbeats arrive but that receives no responses is returned after so many
+// leases: its tasks ended with the first, and a network that is cut one way may mend.
+constexpr double kUnreachableLeases = 2;
+// In a partition, times the silence that is held against a single machine.
+constexpr double kPartitionLasts = 4;
+
+double silence_limit_s(const settings::Workers& workers) { return workers.lease_s * 1.1; }
+
+}  // namespace
+
+std::string Leader::pool_key(const Pool& pool) const {
+  return "pool/" + cluster_.types[pool.type] + "/" + cluster_.zones[pool.zone] + "/" +
+         (pool.spot ? "spot" : "ordinary");
+}
+
+void Leader::on_catalog(const cloud::Catalog& catalog, double now) {
+  const auto frame = [](cloud::Catalog types) {
+    for (auto& type : types) type.spot_price = 0;
+    return cloud::encode_catalog(types);
+  };
+  if (cluster_.catalog.empty() || frame(catalog) != frame(cluster_.catalog)) {
+    // Where it is too long, each node reads it from the cloud.
+    const kv::Json value = cloud::encode_catalog(catalog);
+    if (kv::fits(value, platform_.lasting().value_kb))
+      transaction_builder_.write({kCatalogKey, value});
+    needs_scaling_ = needs_placement_ = true;
+  }
+  cluster_.set_catalog(catalog);
+  autoscaler_.note_prices(cluster_, now);
+}
+
+void Leader::on_host_removed(const std::string& name, double now) {
+  const auto at = cluster_.host_index.find(name);
+  returned_hosts_[name] = now;
+  if (at == cluster_.host_index.end()) return;
+  cluster_.remove_host(at->second, now);
+  needs_placement_ = needs_scaling_ = recheck_deferred_responses_ = true;
+}
+
+void Leader::on_host_list(const std::vector<cloud::ListedMachine>& listed, double asked_at,
+                          double now) {
+  hosts_listed_ = true;
+  std::set<std::string> names;
+  std::vector<std::string> failed;
+  for (const cloud::ListedMachine& machine : listed) {
+    names.insert(machine.name);
+    if (returned_hosts_.contains(machine.name)) {
+      if (is_listed_after_return(machine.name, asked_at, now)) failed.push_back(machine.name);
+      continue;
+    }
+    update_listed_host(machine, now);
+    if (machine.phase == cloud::MachinePhase::failed) failed.push_back(machine.name);
+  }
+  for (const std::string& name : failed) {
+    spdlog::info("machine {} has failed", name);
+    on_host_removed(name, now);
+    effects_.cloud_requests.push_back({CloudRequest::Kind::scale_in, {}, {name}});
+  }
+  remove_unlisted_hosts(names, asked_at, now);
+}
+
+// Still listed long after its return: it is not what was returned, or it came back.
+bool Leader::is_listed_after_return(const std::string& name, double asked_at, double now) {
+  double& returned_at = returned_hosts_.at(name);
+  if (asked_at - returned_at <= 3 * platform_.cloud_limits.list_lag_s + 5) return false;
+  returned_at = now;
+  return true;
+}
+
+void Leader::update_listed_host(const cloud::ListedMachine& machine, double now) {
+  const bool is_new = !cluster_.host_index.contains(machine.name);
+  const bool is_running = machine.phase == cloud::MachinePhase::running;
+  const Index index = cluster_.add_host(machine.name, now);
+  cluster_.describe_host(index, machine.type, machine.zone, machine.spot);
+  Host& host = *cluster_.hosts[index];
+  host.unconfirmed = false;
+  // Whoever learnt of the machine from a heartbeat or a record does not know its age.
+  host.rented_at = std::min(host.rented_at, now - machine.held_s);
+  host.runs = is_running;
+  if (is_new) needs_scaling_ = true;
+  if (!machine.address.empty()) host.address = machine.address;
+  if (!host.acknowledged_token && !host.address.empty() && is_running && is_new) {
+    effects_.probes.push_back(host.address);
+  }
+}
+
+// A list describes a moment at most twice the lag ago. A machine that was there before that moment
+// and is not listed is gone.
+void Leader::remove_unlisted_hosts(const std::set<std::string>& listed, double asked_at,
+                                   double now) {
+  const double lag = platform_.cloud_limits.list_lag_s;
+  std::vector<std::string> missing;
+  for (const auto& host : cluster_.hosts) {
+    if (host && !listed.contains(host->name) && host->known_at < asked_at - 2 * lag - 1) {
+      missing.push_back(host->name);
+    }
+  }
+  for (const std::string& name : missing) {
+    const Host& host = *cluster_.host(name);
+    spdlog::info("machine {} is gone", name);
+    if (host.spot && host.type != kNone && host.phase != HostPhase::terminating) {
+      autoscaler_.note_reclaim(cluster_, {host.type, host.zone, true});
+    }
+    on_host_removed(name, now);
+  }
+}
+
+void Leader::on_scale_out_completed(const cloud::ScaleOutRequest& request,
+                                    const cloud::ScaleOutResult& result, double now) {
+  const Pool pool{cluster_.types.add(request.type), cluster_.zones.add(request.zone), request.spot};
+  autoscaler_.note_answered(pool);
+  const double asked_at =
+      scale_out_requested_at_.contains(request.name) ? scale_out_requested_at_[request.name] : now;
+  scale_out_requested_at_.erase(request.name);
+  for (const std::string& name : result.machines) {
+    if (returned_hosts_.contains(name)) continue;
+    const Index index = cluster_.add_host(name, now);
+    cluster_.describe_host(index, request.type, request.zone, request.spot);
+    cluster_.hosts[index]->rented_at = asked_at;
+    cluster_.hosts[index]->unconfirmed = false;
+  }
+  if (static_cast<int>(result.machines.size()) < request.count) {
+    autoscaler_.note_refused(pool, now);
+  } else {
+    autoscaler_.note_filled(pool);
+  }
+  spdlog::info("hire {}: {} of {} {} {} in {}", request.name, result.machines.size(), request.count,
+               request.spot ? "spot" : "ordinary", request.type, request.zone);
+  if (schema::has(schema_, schema::kClosedPools)) {
+    transaction_builder_.write({pool_key(pool), std::nullopt});
+  } else {
+    transaction_builder_.write({pool_key(pool), kv::Json{{"open", false}}});
+  }
+  needs_scaling_ = needs_placement_ = true;
+}
+
+void Leader::on_scale_in_completed(const std::vector<std::string>& machines, double now) {
+  for (const std::string& name : machines) on_host_removed(name, now);
+}
+
+void Leader::scale_in(Index index, const char* why) {
+  Host& host = *cluster_.hosts[index];
+  if (host.phase != HostPhase::terminating) request_scale_in(host, why);
+}
+
+void Leader::request_scale_in(Host& host, const std::string& why) {
+  spdlog::info("machine {} goes back: {}", host.name, why);
+  host.phase = HostPhase::terminating;
+  effects_.cloud_requests.push_back(
+      {CloudRequest::Kind::scale_in, {}, {host.name}, host.urgent_return});
+}
+
+void Leader::detect_own_pause(double now) {
+  const bool stood_still = now - advanced_at_ > workers::report_allowance_s(platform_.workers) / 2;
+  if (stood_still) listening_since_ = now;
+  advanced_at_ = now;
+}
+
+// Also without the key-value store: a cancelled task must be gone whoever else may lead, and
+// returning a machine is safe under any leader.
+void Leader::scale_in_for_cancellations(double now) {
+  for (const auto& [host_index, job_index] :
+       workers::machines_past_cancellation(cluster_, listening_since_, now)) {
+    Host& host = *cluster_.hosts[host_index];
+    host.urgent_return = true;
+    request_scale_in(host, fmt::format("job {} is cancelled and may still run there",
+                                       cluster_.jobs[job_index]->spec.id));
+    needs_placement_ = needs_scaling_ = true;
+  }
+}
+
+// How long a change of leaders took, as the workers see it: until all that run have been heard, or
+// a lease has gone by.
+void Leader::log_failover_progress(double now) {
+  if (failover_progress_logged_ || !hosts_listed_) return;
+  std::size_t running = 0, silent = 0;
+  for (const auto& host : cluster_.hosts) {
+    if (!host || !host->runs || host->known_at > leader_since_ + platform_.cloud_limits.list_lag_s)
+      continue;
+    ++running;
+    silent += host->acknowledged_token ? 0 : 1;
+  }
+  const double passed = now - leader_since_;
+  if (half_heard_s_ < 0 && silent * 2 <= running) half_heard_s_ = passed;
+  if (most_heard_s_ < 0 && silent * 100 <= running) most_heard_s_ = passed;
+  if (silent > 0 && passed < platform_.workers.lease_s) return;
+  failover_progress_logged_ = true;
+  if (running == 0) return;
+  const auto within = [](double seconds) {
+    return seconds < 0 ? std::string("not yet") : fmt::format("{:.1f} s", seconds);
+  };
+  spdlog::info(
+      "{} of {} running machines heard {:.1f} s after taking over; half: {}, 99 of 100: {}",
+      running - silent, running, passed, within(half_heard_s_), within(most_heard_s_));
+}
+
+// By operators' wish, or because the zone is not well.
+void Leader::close_pools() {
+  std::set<Pool> pools = zones_.closed(cluster_);
+  pools.merge(drains_.closed(cluster_));
+  autoscaler_.close(std::move(pools));
+}
+
+// Machines whose heartbeats arrive but that receive no responses take nothing new and are returned
+// after a while. Where many
+// are so at once it is the network's matter, or our own lateness, and none is held to be so.
+void Leader::detect_unreachable_hosts(double now) {
+  int up = 0, unreachable = 0;
+  for (const auto& host : cluster_.hosts) {
+    if (!host || host->phase != HostPhase::up) continue;
+    ++up;
+    unreachable += host->ignored_responses >= workers::kUnreachableAfter ? 1 : 0;
+  }
+  const bool many = unreachable > 1 && unreachable * 3 > up;
+  for (const auto& host : cluster_.hosts) {
+    if (!host || host->phase != HostPhase::up) continue;
+    const bool unreachable = host->ignored_responses >= workers::kUnreachableAfter && !many;
+    if (unreachable == (host->unreachable_since >= 0)) continue;
+    spdlog::info("machine {} {}", host->name,
+                 unreachable ? "reports, but our answers do not reach it" : "hears us again");
+    host->unreachable_since = unreachable ? now : -1;
+    needs_placement_ = needs_scaling_ = true;
+  }
+}
+
+void Leader::check_host_liveness(double now) {
+  log_failover_progress(now);
+  detect_unreachable_hosts(now);
+  zones_.advance(cluster_, leader_since_, now);
+  store_zones(now);
+  close_pools();
+  for (const Index i : zones_.to_return(cluster_, leader_since_, now)) {
+    scale_in(i, "its zone is lost");
+    needs_scaling_ = needs_placement_ = true;
+  }
+  const bool many_are_silent = are_many_hosts_silent(now);
+  for (Index i = 0; i < cluster_.hosts.size(); ++i) {
+    if (const char* reason = reason_to_scale_in(i, many_are_silent, now)) scale_in(i, reason);
+  }
+  std::erase_if(returned_hosts_,
+                [&](const auto& host) { return now - host.second > kRememberReturnedFor_s; });
+}
+
+void Leader::store_zones(double now) {
+  if (!zones_.has_changed() || !schema::has(schema_, schema::kDrains) ||
+      now - zones_stored_at_ < kStoreZones_s) {
+    return;
+  }
+  zones_stored_at_ = now;
+  zones_.note_written();
+  const kv::Json value = zones_.encode(cluster_);
+  if (kv::fits(value, platform_.lasting().value_kb)) {
+    transaction_builder_.write({zones::kZonesKey, value});
+  }
+}
+
+// Silence of one machine is its own. When many fall silent together a network partition is
+// likelier, and they work on behind it: one recorded day lost half the fleet to a leader that
+// returned them all.
+bool Leader::are_many_hosts_silent(double now) const {
+  const double limit_s = silence_limit_s(platform_.workers);
+  int up = 0, silent = 0;
+  for (const auto& host : cluster_.hosts) {
+    if (!host || host->phase != HostPhase::up) continue;
+    ++up;
+    silent += now - std::max(host->last_heartbeat_at, leader_since_) > limit_s ? 1 : 0;
+  }
+  return silent > 1 && silent * 3 > up;
+}
+
+// Null: it stays.
+const char* Leader::reason_to_scale_in(Index index, bool many_are_silent, double now) const {
+  const Host* host = cluster_.hosts[index].get();
+  if (host == nullptr || host->phase == HostPhase::terminating) return nullptr;
+  // What is silent with its whole zone is the zone's matter, and has its time anew when that is
+  // heard again. Judged machine by machine a zone was returned within seconds: heartbeats are
+  // staggered, so that never a third was silent together.
+  const bool has_zone = host->zone != kNone;
+  const zones::State zone = has_zone ? zones_.state(host->zone) : zones::State::healthy;
+  if (zone == zones::State::suspected || zone == zones::State::lost) return nullptr;
+  const double from =
+      has_zone ? std::max(leader_since_, zones_.reachable_since(host->zone)) : leader_since_;
+  if (host->phase == HostPhase::booting) {
+    const auto* type = cluster_.type_of(*host);
+    const double patience_s = kBootTimesUntilFailed * (type == nullptr ? 60 : type->boot_s);
+    const double booting_since = std::max(host->rented_at, from - patience_s / 2);
+    return now - booting_since > patience_s ? "it does not come up" : nullptr;
+  }
+  const double limit_s = silence_limit_s(platform_.workers);
+  const double silent_s = now - std::max(host->last_heartbeat_at, from);
+  if (silent_s > limit_s && (!many_are_silent || silent_s > kPartitionLasts * limit_s)) {
+    return "it is silent";
+  }
+  if (host->unreachable_since >= 0 &&
+      now - host->unreachable_since > kUnreachableLeases * platform_.workers.lease_s) {
+    return "our answers do not reach it";
+  }
+  const bool is_quarantined_and_idle =
+      host->draining && host->reclaim_at == placement::kNever && host->attempts.empty();
+  return is_quarantined_and_idle ? "it does not work" : nullptr;
+}
+
+void Leader::scale(double now) {
+  if (cluster_.catalog.empty()) return;
+  autoscaler_.note_exposure(cluster_, now);
+  pipelines::estimate_unblock_times(cluster_, now);
+  for (const Index index : autoscaler_.scale_in_candidates(cluster_, now)) {
+    if (placement::backfill(cluster_, index)) {
+      spdlog::info("machine {} serves small tasks: large ones do not need it",
+                   cluster_.hosts[index]->name);
+      needs_placement_ = true;
+    } else {
+      scale_in(index, "it is not needed");
+    }
+  }
+  for (const acquire::ScaleOutRequest& demand : autoscaler_.scale_out_requests(cluster_, now)) {
+    cloud::ScaleOutRequest request;
+    request.name =
+        "r-" + std::to_string(cluster_.fencing_token) + "-" + std::to_string(++scale_out_count_);
+    request.type = cluster_.types[demand.pool.type];
+    request.zone = cluster_.zones[demand.pool.zone];
+    request.spot = demand.pool.spot;
+    request.count = demand.machines;
+    autoscaler_.note_requested(demand.pool, demand.machines);
+    spdlog::info("hire {}: asking for {} {} {} in {}", request.name, request.count,
+                 request.spot ? "spot" : "ordinary", request.type, request.zone);
+    const std::string key = pool_key(demand.pool);
+    transaction_builder_.write({key, kv::Json{{"open", true},
+                                              {"name", request.name},
+                                              {"type", request.type},
+                                              {"zone", request.zone},
+                                              {"spot", request.spot},
+                                              {"count", request.count}}});
+    scale_out_requested_at_[request.name] = now;
+    scale_outs_awaiting_record_.emplace_back(key, request);
+  }
+}
+
+}  // namespace reachramp::controller
