--- a/src/leadership/read_freshness.h
+++ b/src/leadership/read_freshness.h
@@ -1,20 +1,21 @@
-// How far a leader knows the cancellations that users were told, and for how long that entitles it
-// to answer workers: bounded staleness, as with a lease on reads. Each answer keeps the worker's
-// tasks alive for up to a lease from the sending of its report; so a leader that answers only while
-//   now < known to + cancel_s - lease_s - a margin
-// keeps no task alive for longer than cancel_s after its user was told, whatever it has not heard
-// of.
+// For how long a leader may answer workers: bounded staleness of its knowledge of cancellations, as
+// with a lease on reads. Each answer keeps the worker's tasks alive for up to a worker's lease from
+// the sending of its heartbeat; so a leader that answers only while
+//   now < cancellations known until + cancel_s - lease_s - a margin
+// keeps no task alive for longer than cancel_s after its user was told of the cancellation,
+// whatever the leader has not learned.
 //
-// Known to: the latest moment of which it is certain that every cancellation told to anybody before
-// it is in the leader's state. Two proofs advance it: the key-value store, by a view of the jobs
-// asked for at that moment; and the word of all members, each for what it has told itself.
-// docs/design/meetings.md.
+// Cancellations are known until the latest moment of which it is certain that every cancellation
+// confirmed to any user before it is in the leader's state. Two proofs advance it: a read of all
+// jobs from the key-value store, as of when it was asked for; and the cancellation digests of all
+// members, each for what it has confirmed itself. docs/design/meetings.md.
 //
 // Not stored: a new leader reads all jobs, which is the first proof. Times are seconds of this
 // process's steady clock; clocks of different machines drift apart by up to kDrift.
 #pragma once
 
 #include <cstddef>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -22,49 +23,57 @@
 
 namespace reachramp::leadership {
 
-// A steady clock runs up to so much fast (PROTOCOL, durations).
+// By what fraction a steady clock may run fast (PROTOCOL, durations).
 inline constexpr double kDrift = 0.0005;
 
-// For so long after the moment up to which it knows all cancellations a leader may answer workers.
+// For how many seconds after the moment until which it knows all cancellations a leader may answer
+// workers. Never less than a key-value store that is well needs, or no worker would be answered:
+// see `bound_holds`.
 double staleness_bound(const settings::Workers& workers);
-// Whether the bound keeps the promise: where a lease outlasts cancel_s, or nearly, nothing does.
+// Whether `staleness_bound` ends tasks within cancel_s: nothing does where a worker's lease lasts
+// as long as cancel_s, or nearly. Users are then told of a cancellation only once it is complete.
 bool bound_holds(const settings::Workers& workers);
 
-// What a member says it has told users as cancelled.
+// A member's answer to the question what it has confirmed to users as cancelled.
 struct CancellationDigest {
-  std::size_t member = 0;
-  double window_s = 0;   // that it was asked for
-  double covered_s = 0;  // so far back, by its own clock, it knows all that it told
-  double asked_at = 0;   // ours
-  double received_at = 0;
-  std::vector<std::string> cancelled;  // told within the window
+  std::size_t member = 0;              // index among the members
+  double window_s = 0;                 // that it was asked for
+  double covered_s = 0;                // how far back its list is complete, by its own clock
+  double asked_at = 0;                 // by the leader's clock
+  double received_at = 0;              // by the leader's clock
+  std::vector<std::string> cancelled;  // jobs confirmed as cancelled within the window
 };
 
+// Owns the moments until which one leader knows all cancellations, for each member and in all.
+// Belongs to the thread that runs the leader; no function blocks or throws.
 class ReadFreshness {
  public:
-  // `members`: all that can tell users, this node among them. `known_to`: when the jobs that this
-  // leader began with were asked for.
-  ReadFreshness(const settings::Workers& workers, std::size_t members, double known_to);
+  // `members`: how many nodes can confirm cancellations, this one among them. `known_until`: when
+  // the jobs that this leader began with were asked for.
+  ReadFreshness(const settings::Workers& workers, std::size_t members, double known_until);
 
-  // First proof: all jobs as they were when they were asked for are in the state.
+  // First proof: all jobs, as they were when they were asked for, are in the leader's state.
+  // Answers may overtake each other: an older one changes nothing.
   void on_jobs_read(double asked_at);
-  // Second proof, with the others' words: its cancellations are in the state. Whether the word
-  // reaches back to where the member was heard last; else it proves nothing.
-  bool apply(const CancellationDigest& word);
+  // Second proof, together with the other members' digests: its cancellations are in the leader's
+  // state. Returns false, and changes nothing, if the digest does not reach back to where this
+  // member's cancellations are known; it then proves nothing.
+  bool apply(const CancellationDigest& digest);
 
   double cancellations_known_until() const;
   double last_jobs_read_at() const { return jobs_read_until_; }
   bool may_answer(double now) const;
-  // Whether members should be asked: the key-value store has not told for a while.
+  // Whether members should be asked now, because the key-value store has not answered for a while.
+  // Takes it that they are: returns false until the next poll is due.
   bool should_poll_members(double now);
-  // How far back each member's word has to reach.
+  // How many seconds back each member's digest has to reach, if it is asked now.
   std::vector<double> query_windows(double now) const;
 
  private:
   const double bound_s_;
   double jobs_read_until_;
-  double asked_at_ = -1e9;
-  std::vector<double> members_known_until_;  // by member: all that it told before is known
+  std::optional<double> polled_at_;
+  std::vector<double> members_known_until_;  // of each: all that it confirmed before is known
 };
 
 }  // namespace reachramp::leadership
