--- a/src/controller/server.cpp
+++ b/src/controller/server.cpp
@@ -148,7 +148,7 @@
       if (reply.status != kMayNotAnswer || !detour) return reply;
     }
     if (origin == Origin::relay) break;
-    if (standing.fencing_token != 0 || standing.cut_off) {
+    if (standing.fencing_token != 0 || standing.isolated) {
       // It may answer no longer, or has let the lead go. Refused by the key-value store alone it
       // still has the other nodes, who know of a leader: its workers need not move. Cut off from
       // all, or where they all know of none but this one, it sends them on at once.
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <random>
+#include <utility>
 
 #include "kv/steady_clock.h"
 
@@ -14,15 +15,18 @@
 using kv::Outcome;
 using namespace std::chrono_literals;
 
-constexpr const char* kKey = "leader";
-// Without a leader nobody answers workers: a new one must be there well within their lease.
-constexpr double kLifeOfLease = 0.3;
-// Long leases do not make a dead leader any better: meanwhile nothing starts. Sites with short ones
-// have always lived with less.
-constexpr double kLongestLife_s = 4;
-constexpr double kRenewalsPerLife = 4;
-constexpr double kRetry_s = 0.3;
-constexpr double kAfterYou_s = 0.3;
+constexpr const char* kLeaderKey = "leader";
+// Of a worker's lease. Without a leader nobody answers workers: after a leader's death a new one
+// must be elected well within their lease.
+constexpr double kLeasePerWorkerLease = 0.3;
+constexpr double kMinLease_s = 1;
+// Long worker leases are no reason to leave a dead leader's key longer: meanwhile nothing starts.
+constexpr double kMaxLease_s = 4;
+constexpr double kRenewalsPerLease = 4;
+constexpr double kRetryDelay_s = 0.3;
+constexpr double kDeferral_s = 0.3;
+// Of a worker's lease: how long a node that has resigned leaves the election to others.
+constexpr double kPauseAfterResigning = 0.1;
 
 std::chrono::milliseconds millis(double seconds) {
   return std::chrono::milliseconds(static_cast<std::int64_t>(seconds * 1000));
@@ -35,17 +39,17 @@
 
 }  // namespace
 
-LeaderElection::LeaderElection(kv::Client& state, const settings::Platform& platform,
-                               std::function<bool()> another_should,
-                               std::function<bool(double, double, std::uint64_t)> cut_off)
-    : state_(state),
+LeaderElection::LeaderElection(kv::Client& store, const settings::Platform& platform,
+                               ShouldDefer should_defer, IsIsolated is_isolated)
+    : store_(store),
       platform_(platform),
-      lease_duration_s_(std::clamp(platform.workers.lease_s * kLifeOfLease, 1.0, kLongestLife_s)),
+      lease_duration_s_(
+          std::clamp(platform.workers.lease_s * kLeasePerWorkerLease, kMinLease_s, kMaxLease_s)),
       self_{platform.node_name,
             platform.cluster_listen.host + ":" + std::to_string(platform.cluster_listen.port),
             random_nonce()},
-      another_should_(std::move(another_should)),
-      cut_off_(std::move(cut_off)) {}
+      should_defer_(std::move(should_defer)),
+      is_isolated_(std::move(is_isolated)) {}
 
 LeadershipStatus LeaderElection::status() {
   std::lock_guard lock(mutex_);
@@ -54,8 +58,8 @@
 
 bool LeaderElection::is_leadership_certain(std::uint64_t fencing_token) {
   std::lock_guard lock(mutex_);
-  return status_.fencing_token == fencing_token &&
-         kv::steady_now() - renewed_at_ < lease_duration_s_;
+  return status_.fencing_token == fencing_token && renewed_at_ &&
+         kv::steady_now() - *renewed_at_ < lease_duration_s_;
 }
 
 void LeaderElection::wait_for_change(const LeadershipStatus& from, double seconds) {
@@ -75,17 +79,6 @@
   clear_leadership();
 }
 
-void LeaderElection::clear_leadership(bool cut_off) {
-  status_ = {0, "", cut_off, status_.highest_seen_revision};
-  watch_revision_ = 0;
-  changed_.notify_all();
-}
-
-void LeaderElection::note_seen(std::uint64_t revision) {
-  std::lock_guard lock(mutex_);
-  status_.highest_seen_revision = std::max(status_.highest_seen_revision, revision);
-}
-
 void LeaderElection::resign(std::uint64_t fencing_token) {
   std::lock_guard lock(mutex_);
   if (status_.fencing_token != fencing_token) return;
@@ -93,14 +86,25 @@
   clear_leadership();
 }
 
-void LeaderElection::set_disabled(bool barred) {
+void LeaderElection::set_disabled(bool disabled) {
   std::uint64_t fencing_token = 0;
   {
     std::lock_guard lock(mutex_);
-    disabled_ = barred;
+    disabled_ = disabled;
     fencing_token = status_.fencing_token;
   }
-  if (barred && fencing_token != 0) resign(fencing_token);
+  if (disabled && fencing_token != 0) resign(fencing_token);
+}
+
+void LeaderElection::clear_leadership(bool isolated) {
+  status_ = {0, "", isolated, status_.highest_seen_revision};
+  watch_revision_ = 0;
+  changed_.notify_all();
+}
+
+void LeaderElection::note_seen(std::uint64_t revision) {
+  std::lock_guard lock(mutex_);
+  status_.highest_seen_revision = std::max(status_.highest_seen_revision, revision);
 }
 
 void LeaderElection::note_renewed(double asked_at) {
@@ -111,7 +115,11 @@
 void LeaderElection::set_leader(std::uint64_t fencing_token, const std::string& leader) {
   std::lock_guard lock(mutex_);
   if (status_.leader != leader) {
-    spdlog::info("leader: {}", leader.empty() ? "none" : leader);
+    if (fencing_token != 0) {
+      spdlog::info("became leader fencing_token={}", fencing_token);
+    } else {
+      spdlog::info("leader changed leader={}", leader.empty() ? "none" : leader);
+    }
   }
   status_ = {fencing_token, leader, false, std::max(status_.highest_seen_revision, fencing_token)};
   changed_.notify_all();
@@ -124,21 +132,21 @@
                     [&] { return status_.fencing_token != fencing_token || stepping_down_; });
 }
 
+void LeaderElection::pause_before_retry() { pause(kv::jittered(kRetryDelay_s).count()); }
+
 void LeaderElection::run() {
   for (;;) {
-    bool resign = false, barred = false;
+    bool step_down = false, disabled = false;
     {
       std::lock_guard lock(mutex_);
-      resign = std::exchange(stepping_down_, false);
-      barred = disabled_;
+      step_down = std::exchange(stepping_down_, false);
+      disabled = disabled_;
     }
-    if (resign) {
-      state_.revoke_lease(lease_id_);
-      lease_id_ = 0;
-      pause(platform_.workers.lease_s * 0.1);
+    if (step_down) {
+      revoke_and_pause();
     } else if (status().fencing_token != 0) {
       keep_leading();
-    } else if (leaderless_ && !barred) {
+    } else if (leaderless_ && !disabled) {
       campaign();
     } else {
       watch_leader_key();
@@ -146,90 +154,113 @@
   }
 }
 
+void LeaderElection::revoke_and_pause() {
+  store_.revoke_lease(lease_id_);
+  lease_id_ = 0;
+  pause(platform_.workers.lease_s * kPauseAfterResigning);
+}
+
 kv::Outcome LeaderElection::renew_lease() {
   const double asked_at = kv::steady_now();
-  const Outcome renewed = state_.renew_lease(lease_id_);
+  const Outcome renewed = store_.renew_lease(lease_id_);
   if (renewed == Outcome::ok) note_renewed(asked_at);
   return renewed;
 }
 
+// While the key-value store does not answer, a leader goes on answering workers for the sake of
+// their leases: nothing new starts, and a successor shows in a higher fencing token. Not where this
+// node alone is isolated: workers that it answers would never report to the leader that replaces
+// it.
 void LeaderElection::keep_leading() {
-  pause(lease_duration_s_ / kRenewalsPerLife);
+  pause(lease_duration_s_ / kRenewalsPerLease);
   const std::uint64_t fencing_token = status().fencing_token;
   if (fencing_token == 0) return;
-  // While the key-value store does not answer we go on answering workers, for their leases' sake;
-  // nothing new starts, and whoever takes over shows in a higher fencing token. Not when it is us
-  // alone: workers that we answer never report to whoever leads instead.
   Outcome renewed = renew_lease();
-  const bool alone = renewed != Outcome::ok && renewed != Outcome::absent &&
-                     cut_off_(kv::steady_now() - renewed_at_, lease_duration_s_, fencing_token);
-  // An outage may have ended while the others were asked.
-  if (alone) renewed = renew_lease();
+  const bool isolated =
+      renewed != Outcome::ok && renewed != Outcome::absent &&
+      is_isolated_(kv::steady_now() - renewed_at_.value(), lease_duration_s_, fencing_token);
+  // An outage may have ended while the other nodes were asked.
+  if (isolated) renewed = renew_lease();
   if (renewed == Outcome::absent) {
-    spdlog::info("the lead has run out");
-    on_deposed(fencing_token);
-    lease_id_ = 0;
-  } else if (alone && renewed != Outcome::ok) {
-    spdlog::error("cut off: the lead is let go, and workers are sent on to other nodes");
-    // The key, should it still stand, counts as a predecessor's from now on.
-    lease_id_ = 0;
-    std::lock_guard lock(mutex_);
-    clear_leadership(true);
+    on_lease_expired(fencing_token);
+  } else if (isolated && renewed != Outcome::ok) {
+    step_down_isolated(fencing_token);
   }
 }
 
+void LeaderElection::on_lease_expired(std::uint64_t fencing_token) {
+  spdlog::info("leadership lost reason=lease_expired fencing_token={}", fencing_token);
+  on_deposed(fencing_token);
+  lease_id_ = 0;
+}
+
+void LeaderElection::step_down_isolated(std::uint64_t fencing_token) {
+  spdlog::error("stepped down reason=isolated fencing_token={}", fencing_token);
+  // Without the lease the key, if it still exists, counts as a predecessor's from now on.
+  lease_id_ = 0;
+  std::lock_guard lock(mutex_);
+  clear_leadership(true);
+}
+
 void LeaderElection::campaign() {
-  // Whatever becomes of this, it is looked again whether the lead is vacant still. A watch would
-  // tell only of changes, and of a vacancy that lasts there is none: when all claims had failed,
-  // nobody ever stood again.
+  // Whatever the outcome, the key is read again. A watch reports only changes, and a vacancy that
+  // lasts is none: once all claims had failed, no node would campaign again.
   leaderless_ = false;
   watch_revision_ = 0;
-  if ((another_should_() || std::exchange(defers_to_others_, false)) && !has_deferred_) {
-    has_deferred_ = true;
-    pause(kAfterYou_s);
-    return;
-  }
-  has_deferred_ = false;
+  if (defer_to_others()) return;
   const double asked_at = kv::steady_now();
-  const kv::LeaseGrant lease_id = state_.grant_lease(millis(lease_duration_s_));
-  if (lease_id.outcome != Outcome::ok) {
-    pause(kv::jittered(kRetry_s).count());
+  const kv::LeaseGrant granted = store_.grant_lease(millis(lease_duration_s_));
+  if (granted.outcome != Outcome::ok) {
+    pause_before_retry();
     return;
   }
-  lease_id_ = lease_id.id;
+  lease_id_ = granted.id;
+  claim_leader_key(asked_at);
+}
+
+// Whether this vacancy's one deferral was spent just now, by a pause in which another may claim.
+bool LeaderElection::defer_to_others() {
+  const bool defers =
+      (should_defer_() || std::exchange(defers_to_others_, false)) && !has_deferred_;
+  has_deferred_ = defers;
+  if (defers) pause(kDeferral_s);
+  return defers;
+}
+
+// `asked_at`: when the lease was asked for, which is the earliest that its duration began.
+void LeaderElection::claim_leader_key(double asked_at) {
   kv::Transaction claim;
-  claim.preconditions = {{kKey, 0}};
-  claim.writes.push_back({kKey, encode_holder(self_, lease_id_), lease_id_});
-  const kv::CommitResult committed = state_.commit(claim);
+  claim.preconditions = {{kLeaderKey, 0}};
+  claim.writes.push_back({kLeaderKey, encode_holder(self_, lease_id_), lease_id_});
+  const kv::CommitResult committed = store_.commit(claim);
   if (committed.outcome == Outcome::ok) {
     note_renewed(asked_at);
     set_leader(committed.store_revision, platform_.node_name);
-    return;
-  }
-  // Without an answer the claim may have been granted; the next look at the key tells.
-  if (committed.outcome == Outcome::conflict) {
-    state_.revoke_lease(lease_id_);
+  } else if (committed.outcome == Outcome::conflict) {
+    store_.revoke_lease(lease_id_);
     lease_id_ = 0;
   } else {
-    pause(kv::jittered(kRetry_s).count());
+    // Without an answer the claim may have been applied; the lease is kept, and reading the key
+    // again tells.
+    pause_before_retry();
   }
 }
 
-// A process that ended and is back at once finds its predecessor's key, which would stand for
-// seconds, or for as long as the key-value store is out and a life more. Removed, not taken over:
-// another node that stood through it leads first, so that one that ends again and again does not
-// keep the lead from those that stand.
+// A process that was restarted at once finds its predecessor's key, which would stay for seconds,
+// or as long as the key-value store is out and a lease more. Removed, not taken over: another node
+// that has been running since then leads first, so that a node that crashes again and again does
+// not keep leadership from those that run.
 void LeaderElection::remove_dead_leader(std::uint64_t revision) {
-  kv::Transaction burial;
-  burial.preconditions = {{kKey, revision}};
-  burial.writes.push_back({kKey, std::nullopt, std::nullopt});
-  const kv::CommitResult committed = state_.commit(burial);
-  watch_revision_ = 0;  // whatever has become of it, look anew
+  kv::Transaction removal;
+  removal.preconditions = {{kLeaderKey, revision}};
+  removal.writes.push_back({kLeaderKey, std::nullopt, std::nullopt});
+  const kv::CommitResult committed = store_.commit(removal);
+  watch_revision_ = 0;  // the key is read again, whatever the outcome
   if (committed.outcome == Outcome::ok) {
-    spdlog::info("the lead of the process before this one is over");
+    spdlog::info("removed dead predecessor's leader key revision={}", revision);
     defers_to_others_ = !platform_.members.empty();
   } else if (committed.outcome != Outcome::conflict) {
-    pause(kv::jittered(kRetry_s).count());
+    pause_before_retry();
   }
 }
 
@@ -246,7 +277,7 @@
       remove_dead_leader(revision);
       return;
     case Holder::unreadable:
-      spdlog::error("record {}: cannot be read, and is left alone", kKey);
+      spdlog::error("unreadable record ignored key={}", kLeaderKey);
       set_leader(0, "");
       return;
     case Holder::other:
@@ -254,21 +285,25 @@
   }
 }
 
-// A list, since it tells the store revision too. The key's own revision may be older than any watch
-// can reach: a process that came back under a leader that had led for 10,000 changes asked for it
-// and for the watch in turn, as fast as it could.
+void LeaderElection::observe_vacancy() {
+  leaderless_ = true;
+  set_leader(0, "");
+}
+
+// By a list, since its answer has the store's revision too. The key's own may be older than any
+// watch can reach: a node that joined under a leader of long standing would read the key and fail
+// to watch it in turn, as fast as it can.
 void LeaderElection::read_leader_key() {
-  const kv::ListResult page = state_.list(kKey, "");
+  const kv::ListResult page = store_.list(kLeaderKey, "");
   if (page.outcome != Outcome::ok) {
-    pause(kv::jittered(kRetry_s).count());
+    pause_before_retry();
     return;
   }
   watch_revision_ = page.store_revision;
   const auto entry = std::find_if(page.entries.begin(), page.entries.end(),
-                                  [](const kv::Entry& one) { return one.key == kKey; });
+                                  [](const kv::Entry& one) { return one.key == kLeaderKey; });
   if (entry == page.entries.end()) {
-    leaderless_ = true;
-    set_leader(0, "");
+    observe_vacancy();
   } else {
     observe_leader(entry->value, entry->revision);
   }
@@ -279,21 +314,23 @@
     read_leader_key();
     return;
   }
-  const kv::WatchResult changes = state_.watch(kKey, watch_revision_, millis(lease_duration_s_));
+  const kv::WatchResult changes =
+      store_.watch(kLeaderKey, watch_revision_, millis(lease_duration_s_));
   if (changes.outcome != Outcome::ok) {
     watch_revision_ = 0;
-    if (changes.outcome != Outcome::absent) pause(kv::jittered(kRetry_s).count());
+    // `absent`: the revision is too old to watch from, which reading the key mends at once.
+    if (changes.outcome != Outcome::absent) pause_before_retry();
     return;
   }
   watch_revision_ = changes.store_revision;
-  const auto last = std::find_if(changes.changes.rbegin(), changes.changes.rend(),
-                                 [](const kv::KeyChange& change) { return change.key == kKey; });
+  const auto last =
+      std::find_if(changes.changes.rbegin(), changes.changes.rend(),
+                   [](const kv::KeyChange& change) { return change.key == kLeaderKey; });
   if (last == changes.changes.rend()) return;
   if (last->value) {
     observe_leader(*last->value, last->revision);
   } else {
-    leaderless_ = true;
-    set_leader(0, "");
+    observe_vacancy();
   }
 }
 
--- a/src/leadership/leader_election.h
+++ b/src/leadership/leader_election.h
@@ -1,10 +1,13 @@
-// Who leads: a key attached to a lease. The key's revision is the fencing token, so it only ever
-// grows.
+// Leader election: the leader is the node named under a key that is attached to a lease of the
+// key-value store. The key's revision is the leader's fencing token, so tokens only ever grow.
+// docs/design.md, docs/design/meetings.md.
 #pragma once
 
 #include <condition_variable>
+#include <cstdint>
 #include <functional>
 #include <mutex>
+#include <optional>
 #include <string>
 
 #include "kv/client.h"
@@ -13,78 +16,112 @@
 
 namespace reachramp::leadership {
 
+// What this node knows of the leadership at one moment.
 struct LeadershipStatus {
-  std::uint64_t fencing_token = 0;  // ours; 0 while we do not lead
-  std::string leader;               // node that leads, as far as we know; empty: none
-  // This node has let the lead go because it is cut off: it waits for nobody on workers' behalf.
-  bool cut_off = false;
-  std::uint64_t highest_seen_revision = 0;  // the largest that the key was seen with
+  std::uint64_t fencing_token = 0;  // of this node; 0: it does not lead
+  std::string leader;               // node that leads, as last observed; empty: none known
+  // This node has stepped down because it is isolated, and has not read the leader's key since: a
+  // worker's heartbeat must not wait here for a leader.
+  bool isolated = false;
+  std::uint64_t highest_seen_revision = 0;  // largest revision observed of the leader's key
   bool operator==(const LeadershipStatus&) const = default;
 };
 
+// Whether another live process should lead rather than this one: one that has completed a rolling
+// upgrade is preferred, so that an upgrade changes leaders once or twice. Called on the thread of
+// `LeaderElection::run`.
+using ShouldDefer = std::function<bool()>;
+
+// Whether a leader must step down without proof that it was replaced: `since_renewal_s` seconds ago
+// it asked for the last renewal that was granted, of a lease of `lease_duration_s` seconds. May ask
+// other nodes and so take a while. Called on the thread of `LeaderElection::run`.
+using IsIsolated = std::function<bool(double since_renewal_s, double lease_duration_s,
+                                      std::uint64_t fencing_token)>;
+
+// Owns this node's lease in the key-value store, its claim of the leader's key, and what the node
+// knows of the leadership.
+//
+// One thread calls `run`; all other functions may be called from any thread. None throws for a
+// key-value store that fails: the step is tried again after a pause.
 class LeaderElection {
  public:
-  // `cut_off`: whether a leader whose lease of so many seconds (the second) was last renewed so
-  // many seconds ago (the first), and whose fencing token is the third, must let go although nobody
-  // told it that it has lost the lead. `another_should` lead: whether a process that is through
-  // with a roll lives, which is given a moment's start where the lead is vacant, so that a roll
-  // changes leaders once or twice.
-  LeaderElection(kv::Client& state, const settings::Platform& platform,
-                 std::function<bool()> another_should,
-                 std::function<bool(double, double, std::uint64_t)> cut_off);
+  // Keeps references to `store` and `platform`, which must outlive it.
+  LeaderElection(kv::Client& store, const settings::Platform& platform, ShouldDefer should_defer,
+                 IsIsolated is_isolated);
 
-  // Stands, renews, watches; for a thread of its own. Never returns.
+  // Campaigns, renews the lease and watches the leader's key, on the calling thread. Never returns.
   void run();
 
   LeadershipStatus status();
-  // Whether the lead with that fencing token is beyond doubt: its lease was renewed less than its
-  // life ago. A process that stood still may have been replaced, and finds out with its next
-  // renewal.
+  // Whether leadership with that fencing token is beyond doubt: its last renewal was asked for less
+  // than the lease's duration ago. A process that was suspended may have been replaced, and learns
+  // it only with its next renewal.
   bool is_leadership_certain(std::uint64_t fencing_token);
-  // Waits until the standing is another, or the time is over.
+  // Blocks until the status differs from `from`, for at most `seconds`.
   void wait_for_change(const LeadershipStatus& from, double seconds);
-  // Waits until we lead with a fencing token other than `last`.
+  // Blocks until this node leads with a fencing token other than `last`, and returns that token.
   std::uint64_t wait_until_leader(std::uint64_t last);
-  // Gives the lead up because it has passed to another (who is known by a higher fencing token).
+  // Ends the leadership of `fencing_token` because it was found to be superseded. Nothing happens
+  // if it has ended already. The lease is not revoked: should the key still have it, reading the
+  // key makes this node leader again, with the key's revision as a new fencing token.
   void on_deposed(std::uint64_t fencing_token);
-  // Gives the lead up for others to take; stays out of the next elections for a while.
+  // Ends the leadership of `fencing_token` in favour of others: revokes the lease, and pauses
+  // before taking part in elections again. Nothing happens if it has ended already.
   void resign(std::uint64_t fencing_token);
-  // While barred it neither stands nor leads.
-  void set_disabled(bool barred);
+  // While disabled it neither campaigns nor leads: stored records are of a schema that this version
+  // cannot write.
+  void set_disabled(bool disabled);
 
  private:
-  void campaign();
+  // Steps of `run`, on its thread.
+  void revoke_and_pause();
   void keep_leading();
-  kv::Outcome renew_lease();
+  void campaign();
   void watch_leader_key();
+
+  void on_lease_expired(std::uint64_t fencing_token);
+  void step_down_isolated(std::uint64_t fencing_token);
+  bool defer_to_others();
+  void claim_leader_key(double asked_at);
   void read_leader_key();
   void observe_leader(const kv::Json& value, std::uint64_t revision);
+  void observe_vacancy();
+  // Removes the key of an earlier process of this node, if its revision is still `revision`.
   void remove_dead_leader(std::uint64_t revision);
-  void set_leader(std::uint64_t fencing_token, const std::string& leader);
-  // No longer leading, or never: what was seen of the key stays known. Under the lock.
-  void clear_leadership(bool cut_off = false);
+  // Asks for one renewal, and notes when it was asked for if it is granted.
+  kv::Outcome renew_lease();
+  void note_renewed(double asked_at);
   void note_seen(std::uint64_t revision);
+  // `fencing_token`: 0 if `leader` is another node, or empty for none.
+  void set_leader(std::uint64_t fencing_token, const std::string& leader);
+  // Ends the leadership; the highest observed revision stays known. The caller holds `mutex_`.
+  void clear_leadership(bool isolated = false);
+  // Ends early when the fencing token changes or `resign` is called.
   void pause(double seconds);
-  void note_renewed(double asked_at);
+  void pause_before_retry();
 
-  kv::Client& state_;
+  kv::Client& store_;
   const settings::Platform& platform_;
   const double lease_duration_s_;
   const Identity self_;
-  std::mutex mutex_;
+  const ShouldDefer should_defer_;
+  const IsIsolated is_isolated_;
+
+  std::mutex mutex_;  // guards the status, `renewed_at_`, `stepping_down_` and `disabled_`
   std::condition_variable changed_;
   LeadershipStatus status_;
-  const std::function<bool()> another_should_;
-  const std::function<bool(double, double, std::uint64_t)> cut_off_;
-  double renewed_at_ = 0;  // when the last renewal that was granted was asked for
-  bool stepping_down_ = false;
+  std::optional<double> renewed_at_;  // when the last renewal that was granted was asked for
+  bool stepping_down_ = false;        // the lease is yet to be revoked
   bool disabled_ = false;
-  std::uint64_t lease_id_ = 0;
-  std::uint64_t watch_revision_ = 0;
-  bool leaderless_ = false;
-  bool has_deferred_ = false;  // for another to stand first
-  bool defers_to_others_ =
-      false;  // this node's process before led: whoever stood through it goes first
+
+  // Of the thread of `run`. `clear_leadership` resets the watch from any thread, but only while
+  // this node leads, when that thread does not use it.
+  std::uint64_t lease_id_ = 0;        // 0: none
+  std::uint64_t watch_revision_ = 0;  // to watch from; 0: the key must be read first
+  bool leaderless_ = false;           // the key was observed to be absent
+  bool has_deferred_ = false;         // once in this vacancy, so that it does not wait for ever
+  // A process of this node led last: a node that has been running since then goes first.
+  bool defers_to_others_ = false;
 };
 
 }  // namespace reachramp::leadership
