--- a/src/leadership/holder_bytes_test.cpp
+++ b/src/leadership/holder_bytes_test.cpp
@@ -1,4 +1,4 @@
-// The literal form of the leader's record.
+// The leader's record as it is stored, byte for byte.
 #include "bytes.h"
 #include "leadership/holder.h"
 
@@ -18,7 +18,7 @@
 }
 
 // Versions 0.2.0, 0.3.0 and 0.4.0 write the same two fields.
-TEST(LeaderRecordBytes, RecordOfEarlierVersionsNamesTheirNode) {
+TEST(LeaderRecordBytes, RecordOfEarlierVersionsWithoutAddressIsAnotherHolders) {
   const wire::Json record = test::received(R"({"node":"node-1","nonce":"4711-9"})");
   EXPECT_EQ(node_of(record), "node-1");
   EXPECT_EQ(holder_of(record, kSelf, 9), Holder::other);
--- a/src/leadership/holder_test.cpp
+++ b/src/leadership/holder_test.cpp
@@ -3,7 +3,12 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
+#include <algorithm>
+#include <array>
+#include <optional>
 #include <random>
+#include <string>
+#include <vector>
 
 #include "model/state_service.h"
 
@@ -25,7 +30,7 @@
   EXPECT_EQ(holder_of(encode_holder({"node-2", "10.0.0.1:8081", "12-"}, 5), self, 5),
             Holder::other);
   EXPECT_EQ(holder_of(Json{{"node", "node-1"}, {"nonce", "12-5"}}, self, 5), Holder::other)
-      << "0.4.0 told no address";
+      << "0.4.0 wrote no address";
   for (const Json& bad : {Json(), Json(3), Json("node-1"), Json::array(), Json::object(),
                           Json{{"node", 4}}, Json{{"node", nullptr}}}) {
     EXPECT_EQ(holder_of(bad, self, 5), Holder::unreadable) << bad.dump();
@@ -33,100 +38,133 @@
   }
 }
 
-// Processes of three nodes, and a fourth that has the first one's name at another address: they
-// look, claim and bury with what they saw some time ago, end at any moment, and are followed by
-// others at once; what they had sent may be applied after their end.
-RC_GTEST_PROP(Holder, NoLivingLeadIsEndedAndNoDeadOneStands, ()) {
-  struct Process {
-    Identity self;
-    std::uint64_t lease_id = 0;
-    std::optional<kv::Entry> seen;
-    bool looked = false;
-  };
-  std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
-  lab::StateService store({1000, 1000, 8, 8}, 1);
-  const char* const kNodes[4][2] = {
-      {"node-0", "a:1"}, {"node-1", "b:1"}, {"node-2", "c:1"}, {"node-0", "d:1"}};
-  Process processes[4];
-  int started = 0;
-  std::map<std::string, bool> lives;  // by nonce
-  std::vector<kv::Transaction> late;
-  const auto start = [&](int i) {
-    lives[processes[i].self.nonce] = false;
-    processes[i] = {{kNodes[i][0], kNodes[i][1], std::to_string(++started) + "-"}, 0, {}, false};
-    lives[processes[i].self.nonce] = true;
-  };
-  const auto stands = [&]() -> std::optional<kv::Entry> {
-    const auto entries = store.list("leader");
-    return entries.empty() ? std::nullopt : std::optional(entries.front());
-  };
-  // Whether the key's process lives and would call it its own.
-  const auto held = [&](const std::optional<kv::Entry>& entry) {
-    return entry && std::any_of(std::begin(processes), std::end(processes), [&](const auto& one) {
-             return holder_of(entry->value, one.self, one.lease_id) == Holder::ours;
-           });
-  };
-  const auto apply = [&](const kv::Transaction& transaction) {
-    const bool led = held(stands());
-    const auto before = stands();
-    const auto outcome = store.commit(transaction).outcome;
-    if (outcome == kv::Outcome::ok && !transaction.writes.front().value) {
-      RC_ASSERT(!led || !before);
-    }
-  };
-  for (int i = 0; i < 4; ++i) start(i);
-  for (int step = 0; step < 400; ++step) {
-    const int i = static_cast<int>(random() % 4);
-    Process& process = processes[i];
-    switch (random() % 6) {
+// One history: processes of three nodes, and of a fourth that has the first one's name at another
+// address, read the leader's key, then claim it or remove it with what they read some time ago.
+// They end at any moment and are restarted at once; what they had sent may be applied after their
+// end.
+class LeaderKeyHistory {
+ public:
+  explicit LeaderKeyHistory(std::uint64_t seed) : random_(seed) {
+    for (std::size_t i = 0; i < kNodes.size(); ++i) restart(i);
+  }
+
+  void step() {
+    const std::size_t i = random_() % kNodes.size();
+    switch (random_() % 6) {
       case 0:
-        if (random() % 4 == 0) start(i);
+        if (random_() % 4 == 0) restart(i);
         break;
       case 1:
-        process.seen = stands();
-        process.looked = true;
+        processes_[i].read = leader_key();
+        processes_[i].has_read = true;
         break;
       case 2:
-        if (!late.empty()) {
-          apply(late.back());
-          late.pop_back();
-        }
+        apply_delayed();
         break;
-      default: {
-        if (!process.looked) break;
-        process.looked = false;
-        kv::Transaction wish;
-        if (!process.seen) {
-          process.lease_id = store.hold(1e9, 0);
-          wish.preconditions = {{"leader", 0}};
-          wish.writes.push_back(
-              {"leader", encode_holder(process.self, process.lease_id), process.lease_id});
-        } else if (holder_of(process.seen->value, process.self, process.lease_id) ==
-                   Holder::predecessor) {
-          wish.preconditions = {{"leader", process.seen->revision}};
-          wish.writes.push_back({"leader", std::nullopt, std::nullopt});
-        } else {
-          break;
-        }
-        if (random() % 4 == 0) {
-          late.push_back(wish);
-          std::shuffle(late.begin(), late.end(), random);
-        } else {
-          apply(wish);
-        }
-      }
+      default:
+        act_on_read(processes_[i]);
     }
   }
-  for (const auto& wish : late) apply(wish);
-  // Once all look again, a key that nobody living holds does not stand.
-  for (Process& process : processes) {
-    const auto entry = stands();
-    if (entry && holder_of(entry->value, process.self, process.lease_id) == Holder::predecessor) {
-      apply({{{"leader", entry->revision}}, {{"leader", std::nullopt, std::nullopt}}});
+
+  // Everything that was sent arrives, and every process reads the key once more.
+  void settle() {
+    for (const kv::Transaction& transaction : delayed_) apply(transaction);
+    for (Process& process : processes_) {
+      process.read = leader_key();
+      if (!process.read) continue;
+      if (const auto removal = next_transaction(process)) apply(*removal);
     }
   }
-  const auto last = stands();
-  RC_ASSERT(!last || held(last));
+
+  std::optional<kv::Entry> leader_key() const {
+    const auto entries = store_.list("leader");
+    return entries.empty() ? std::nullopt : std::optional(entries.front());
+  }
+
+  // Whether a live process takes the key for its own.
+  bool is_held(const std::optional<kv::Entry>& entry) const {
+    return entry && std::any_of(processes_.begin(), processes_.end(), [&](const Process& one) {
+             return holder_of(entry->value, one.self, one.lease_id) == Holder::ours;
+           });
+  }
+
+ private:
+  struct Process {
+    Identity self;
+    std::uint64_t lease_id = 0;
+    std::optional<kv::Entry> read;
+    bool has_read = false;
+  };
+  struct Node {
+    const char* name;
+    const char* at;
+  };
+  static constexpr std::array<Node, 4> kNodes{
+      {{"node-0", "a:1"}, {"node-1", "b:1"}, {"node-2", "c:1"}, {"node-0", "d:1"}}};
+
+  void restart(std::size_t i) {
+    processes_[i] = {
+        {kNodes[i].name, kNodes[i].at, std::to_string(++started_) + "-"}, 0, {}, false};
+  }
+
+  // A claim of the key where it is absent, the removal of a predecessor's, or nothing.
+  std::optional<kv::Transaction> next_transaction(Process& process) {
+    kv::Transaction transaction;
+    if (!process.read) {
+      process.lease_id = store_.hold(1e9, 0);
+      transaction.preconditions = {{"leader", 0}};
+      transaction.writes.push_back(
+          {"leader", encode_holder(process.self, process.lease_id), process.lease_id});
+      return transaction;
+    }
+    if (holder_of(process.read->value, process.self, process.lease_id) != Holder::predecessor) {
+      return std::nullopt;
+    }
+    transaction.preconditions = {{"leader", process.read->revision}};
+    transaction.writes.push_back({"leader", std::nullopt, std::nullopt});
+    return transaction;
+  }
+
+  void act_on_read(Process& process) {
+    if (!process.has_read) return;
+    process.has_read = false;
+    const auto transaction = next_transaction(process);
+    if (!transaction) return;
+    if (random_() % 4 == 0) {
+      delayed_.push_back(*transaction);
+      std::shuffle(delayed_.begin(), delayed_.end(), random_);
+    } else {
+      apply(*transaction);
+    }
+  }
+
+  void apply_delayed() {
+    if (delayed_.empty()) return;
+    apply(delayed_.back());
+    delayed_.pop_back();
+  }
+
+  void apply(const kv::Transaction& transaction) {
+    const std::optional<kv::Entry> before = leader_key();
+    const bool was_held = is_held(before);
+    const kv::Outcome outcome = store_.commit(transaction).outcome;
+    const bool removes = !transaction.writes.front().value;
+    if (outcome == kv::Outcome::ok && removes) RC_ASSERT(!was_held || !before);
+  }
+
+  std::mt19937_64 random_;
+  lab::StateService store_{{1000, 1000, 8, 8}, 1};
+  std::array<Process, kNodes.size()> processes_;
+  int started_ = 0;
+  std::vector<kv::Transaction> delayed_;
+};
+
+RC_GTEST_PROP(Holder, GeneratedHistoriesNeverRemoveALiveLeadersKeyNorKeepADeadOnes, ()) {
+  LeaderKeyHistory history(*rc::gen::arbitrary<std::uint64_t>());
+  for (int step = 0; step < 400; ++step) history.step();
+  history.settle();
+  const std::optional<kv::Entry> last = history.leader_key();
+  RC_ASSERT(!last || history.is_held(last));
 }
 
 }  // namespace
--- a/src/leadership/read_freshness_test.cpp
+++ b/src/leadership/read_freshness_test.cpp
@@ -1,14 +1,19 @@
-// The users' trouble: the key-value store refuses the leader, others confirm cancellations, then it
-// is down for all, for longer than cancel_s, while workers go on reporting to that leader.
+// What made it necessary: the key-value store refuses the leader, other nodes confirm
+// cancellations, then the store is down for all for longer than cancel_s, while workers go on
+// reporting to that leader.
 #include "leadership/read_freshness.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
+#include <algorithm>
+#include <array>
 #include <map>
 #include <memory>
 #include <random>
 #include <set>
+#include <string>
+#include <vector>
 
 #include "peers/recent_cancellations.h"
 
@@ -17,132 +22,198 @@
 
 constexpr settings::Workers kWorkers{1, 10, 15, 4, 30};
 
-TEST(Staleness, AnswersEndWhereALeaseCouldOutlastACancellation) {
-  ReadFreshness staleness(kWorkers, 2, 100);
-  EXPECT_TRUE(staleness.may_answer(118.5));
-  EXPECT_FALSE(staleness.may_answer(119)) << "a lease, and a moment more, before 130";
-  staleness.on_jobs_read(110);
-  EXPECT_TRUE(staleness.may_answer(128.5));
-  staleness.on_jobs_read(105);
-  EXPECT_EQ(staleness.cancellations_known_until(), 110) << "answers overtake each other";
+TEST(ReadFreshness, MayAnswerEndsBeforeALeaseCouldOutlastACancellation) {
+  ReadFreshness freshness(kWorkers, 2, 100);
+  EXPECT_TRUE(freshness.may_answer(118.5));
+  EXPECT_FALSE(freshness.may_answer(119)) << "a lease, and a moment more, before 130";
+  freshness.on_jobs_read(110);
+  EXPECT_TRUE(freshness.may_answer(128.5));
+  freshness.on_jobs_read(105);
+  EXPECT_EQ(freshness.cancellations_known_until(), 110) << "answers overtake each other";
 }
 
-TEST(Staleness, AllMembersWordsCountAndOnlyUnbroken) {
-  ReadFreshness staleness(kWorkers, 2, 100);
-  const double window = staleness.query_windows(104).front();
-  EXPECT_TRUE(staleness.apply({0, window, 50, 104, 104.1, {}}));
-  EXPECT_EQ(staleness.cancellations_known_until(), 100) << "the other has said nothing";
-  EXPECT_FALSE(staleness.apply({1, window, 2, 104, 104.1, {}})) << "it has begun two seconds ago";
-  EXPECT_FALSE(staleness.apply({1, window, 50, 104, 106, {}})) << "its answer was held up";
-  EXPECT_FALSE(staleness.apply({1, window, 50, 104, 103, {}}));
-  EXPECT_FALSE(staleness.apply({2, window, 50, 104, 104.1, {}})) << "no member";
-  EXPECT_TRUE(staleness.apply({1, window, 50, 104, 104.1, {}}));
-  EXPECT_EQ(staleness.cancellations_known_until(), 104);
+TEST(ReadFreshness, DigestsAdvanceItOnlyOnceAllMembersAnswered) {
+  ReadFreshness freshness(kWorkers, 2, 100);
+  const double window = freshness.query_windows(104).front();
+  EXPECT_TRUE(freshness.apply({0, window, 50, 104, 104.1, {}}));
+  EXPECT_EQ(freshness.cancellations_known_until(), 100) << "the other has not answered";
+  EXPECT_TRUE(freshness.apply({1, window, 50, 104, 104.1, {}}));
+  EXPECT_EQ(freshness.cancellations_known_until(), 104);
 }
 
-TEST(Staleness, SaysWhereNothingCanKeepThePromise) {
+TEST(ReadFreshness, DigestWithAGapBeforeItIsRejected) {
+  ReadFreshness freshness(kWorkers, 2, 100);
+  const double window = freshness.query_windows(104).front();
+  EXPECT_TRUE(freshness.apply({0, window, 50, 104, 104.1, {}}));
+  EXPECT_FALSE(freshness.apply({1, window, 2, 104, 104.1, {}})) << "it began two seconds ago";
+  EXPECT_FALSE(freshness.apply({1, window, 50, 104, 106, {}})) << "its answer was held up";
+  EXPECT_FALSE(freshness.apply({1, window, 50, 104, 103, {}}));
+  EXPECT_FALSE(freshness.apply({2, window, 50, 104, 104.1, {}})) << "no member";
+  EXPECT_EQ(freshness.cancellations_known_until(), 100);
+  EXPECT_TRUE(freshness.apply({1, window, 50, 104, 104.1, {}}));
+  EXPECT_EQ(freshness.cancellations_known_until(), 104);
+}
+
+TEST(ReadFreshness, BoundDoesNotHoldWhereALeaseLastsNearlyAsLongAsCancelS) {
   EXPECT_TRUE(bound_holds(kWorkers));
   EXPECT_FALSE(bound_holds({1, 10, 15, 4, 12}));
   EXPECT_FALSE(bound_holds({1, 10, 15, 4, 8}));
   EXPECT_GT(staleness_bound({1, 10, 15, 4, 8}), 0) << "or no worker would ever be answered";
 }
 
-// Histories: clocks that drift, members that restart or cannot be reached, words that are held up,
-// a service that serves all, all but the leader, or nobody. Each told cancellation has reached the
-// leader by the time of any answer, or the answer's lease ends within cancel_s of it.
-RC_GTEST_PROP(Staleness, NoLeaseOutlastsACancellation, ()) {
-  std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
-  const auto between = [&](double low, double high) {
-    return std::uniform_real_distribution<double>(low, high)(random);
+// One history: clocks that drift, members that restart or cannot be reached, digests that are held
+// up, a key-value store that serves all, all but the leader, or nobody.
+class CancellationHistory {
+ public:
+  explicit CancellationHistory(std::uint64_t seed) : random_(seed) {
+    for (std::size_t i = 0; i < kMembers; ++i) {
+      clocks_[i].speed = 1 + between(0, kDrift);
+      clocks_[i].offset = between(0, 1e6);
+      restart_member(i, 0);
+    }
+    freshness_ = std::make_unique<ReadFreshness>(kWorkers, kMembers, clock(kLeader, 0));
+  }
+
+  void step(double now) {
+    draw_outage(now);
+    cancel_job(now);
+    confirm_to_users(now);
+    for (std::size_t i = 0; i < kMembers; ++i) {
+      if (chance(0.001)) restart_member(i, now);
+    }
+    read_jobs(now);
+    poll_members(now);
+    answer_polls(now);
+    apply_digests(now);
+    check_answer(now);
+  }
+
+  // For how many seconds the leader answered workers without the key-value store.
+  double longest_without_store_s() const { return longest_without_store_s_; }
+
+ private:
+  static constexpr std::size_t kMembers = 3;
+  static constexpr std::size_t kLeader = kMembers - 1;
+
+  struct Clock {
+    double speed = 1, offset = 0;
   };
-  const auto chance = [&](double p) { return between(0, 1) < p; };
-  constexpr std::size_t kMembers = 3;
-  double speed[kMembers], offset[kMembers];
-  std::vector<std::unique_ptr<peers::RecentCancellations>> told;
-  const auto clock = [&](std::size_t member, double now) {
-    return offset[member] + now * speed[member];
+  struct Poll {
+    double arrives_at = 0, answered_at = 0;
+    CancellationDigest digest;
+    bool arrived = false;
   };
-  for (std::size_t i = 0; i < kMembers; ++i) {
-    speed[i] = 1 + between(0, kDrift);
-    offset[i] = between(0, 1e6);
-    told.push_back(std::make_unique<peers::RecentCancellations>(kWorkers.cancel_s, clock(i, 0)));
+
+  double between(double low, double high) {
+    return std::uniform_real_distribution<double>(low, high)(random_);
   }
-  const std::size_t self = kMembers - 1;
-  ReadFreshness staleness(kWorkers, kMembers, clock(self, 0));
-  std::map<std::string, double> told_at, durable_at;
-  std::set<std::string> known;
-  double refused_until = 0, out_from = 0, out_until = 0;
-  struct Asked {
-    double look_at = 0, back_at = 0;
-    CancellationDigest word;
-    bool looked = false;
-  };
-  std::vector<Asked> asked;
-  int jobs = 0;
-  double longest = 0;  // that the leader answered without the key-value store
-  double last_read = 0;
-  for (double now = 0.1; now < 300; now += 0.1) {
-    if (now > std::max(refused_until, out_until) && chance(0.01)) {
-      refused_until = now + between(0, 20);
-      out_from = now + between(0, 6);
-      out_until = chance(0.7) ? out_from + between(0, 80) : out_from;
+  bool chance(double p) { return between(0, 1) < p; }
+  double network_delay() { return chance(0.1) ? between(0, 5) : between(0, 0.2); }
+  double clock(std::size_t member, double now) const {
+    return clocks_[member].offset + now * clocks_[member].speed;
+  }
+  bool store_is_down(double now) const { return now > down_from_ && now < down_until_; }
+
+  void restart_member(std::size_t i, double now) {
+    confirmed_[i] = std::make_unique<peers::RecentCancellations>(kWorkers.cancel_s, clock(i, now));
+  }
+
+  void draw_outage(double now) {
+    if (now > std::max(refused_until_, down_until_) && chance(0.01)) {
+      refused_until_ = now + between(0, 20);
+      down_from_ = now + between(0, 6);
+      down_until_ = chance(0.7) ? down_from_ + between(0, 80) : down_from_;
     }
-    const bool all_out = now > out_from && now < out_until;
-    if (chance(0.05)) {
-      const std::string job = "j-" + std::to_string(++jobs);
-      if (!all_out) durable_at[job] = now;
+  }
+
+  void cancel_job(double now) {
+    if (!chance(0.05)) return;
+    const std::string job = "j-" + std::to_string(++jobs_);
+    if (!store_is_down(now)) stored_at_[job] = now;
+  }
+
+  void confirm_to_users(double now) {
+    for (const auto& [job, at] : stored_at_) {
+      if (confirmed_at_.contains(job) || !chance(0.3)) continue;
+      const std::size_t by = random_() % kMembers;
+      confirmed_[by]->note(job, clock(by, now));
+      confirmed_at_[job] = now;
     }
-    for (const auto& [job, at] : durable_at) {
-      if (told_at.contains(job) || !chance(0.3)) continue;
-      const std::size_t by = random() % kMembers;
-      told[by]->note(job, clock(by, now));
-      told_at[job] = now;
+  }
+
+  void read_jobs(double now) {
+    if (store_is_down(now) || now <= refused_until_ || !chance(0.3)) return;
+    const double asked_at = now - between(0, 1.5);
+    for (const auto& [job, at] : stored_at_) {
+      if (at <= asked_at) known_.insert(job);
     }
+    freshness_->on_jobs_read(clock(kLeader, asked_at));
+    last_read_at_ = now;
+  }
+
+  void poll_members(double now) {
+    if (!freshness_->should_poll_members(clock(kLeader, now))) return;
+    const std::vector<double> windows = freshness_->query_windows(clock(kLeader, now));
     for (std::size_t i = 0; i < kMembers; ++i) {
-      if (chance(0.001))
-        told[i] = std::make_unique<peers::RecentCancellations>(kWorkers.cancel_s, clock(i, now));
-    }
-    if (!all_out && now > refused_until && chance(0.3)) {
-      const double asked = now - between(0, 1.5);
-      for (const auto& [job, at] : durable_at) {
-        if (at <= asked) known.insert(job);
-      }
-      staleness.on_jobs_read(clock(self, asked));
-      last_read = now;
+      if (chance(0.1)) continue;
+      const double arrives_at = now + network_delay();
+      const double answered_at = arrives_at + network_delay();
+      polls_.push_back({arrives_at, answered_at, {i, windows[i], 0, clock(kLeader, now), 0, {}}});
     }
-    if (staleness.should_poll_members(clock(self, now))) {
-      const std::vector<double> windows = staleness.query_windows(clock(self, now));
-      for (std::size_t i = 0; i < kMembers; ++i) {
-        if (chance(0.1)) continue;
-        const auto way = [&] { return chance(0.1) ? between(0, 5) : between(0, 0.2); };
-        const double look_at = now + way();
-        asked.push_back({look_at, look_at + way(), {i, windows[i], 0, clock(self, now), 0, {}}});
-      }
-    }
-    for (Asked& one : asked) {
-      if (now < one.look_at || one.looked) continue;
-      const std::size_t i = one.word.member;
+  }
+
+  void answer_polls(double now) {
+    for (Poll& poll : polls_) {
+      if (now < poll.arrives_at || poll.arrived) continue;
+      const std::size_t i = poll.digest.member;
       const peers::RecentCancellations::Since since =
-          told[i]->since(one.word.window_s, clock(i, now));
-      one.word.covered_s = since.complete_s;
-      one.word.cancelled = since.jobs;
-      one.looked = true;
+          confirmed_[i]->since(poll.digest.window_s, clock(i, now));
+      poll.digest.covered_s = since.complete_s;
+      poll.digest.cancelled = since.jobs;
+      poll.arrived = true;
     }
-    std::erase_if(asked, [&](Asked& one) {
-      if (!one.looked || now < one.back_at) return false;
-      one.word.received_at = clock(self, now);
-      known.insert(one.word.cancelled.begin(), one.word.cancelled.end());
-      staleness.apply(one.word);
+  }
+
+  void apply_digests(double now) {
+    std::erase_if(polls_, [&](Poll& poll) {
+      if (!poll.arrived || now < poll.answered_at) return false;
+      poll.digest.received_at = clock(kLeader, now);
+      known_.insert(poll.digest.cancelled.begin(), poll.digest.cancelled.end());
+      freshness_->apply(poll.digest);
       return true;
     });
-    if (!staleness.may_answer(clock(self, now))) continue;
-    longest = std::max(longest, now - last_read);
-    for (const auto& [job, at] : told_at) {
-      if (known.contains(job)) continue;
+  }
+
+  // Each confirmed cancellation has reached the leader by the time of any answer, or the lease that
+  // the answer extends ends within cancel_s of the confirmation.
+  void check_answer(double now) {
+    if (!freshness_->may_answer(clock(kLeader, now))) return;
+    longest_without_store_s_ = std::max(longest_without_store_s_, now - last_read_at_);
+    for (const auto& [job, at] : confirmed_at_) {
+      if (known_.contains(job)) continue;
       RC_ASSERT(now + kWorkers.lease_s * (1 + kDrift) < at + kWorkers.cancel_s);
     }
   }
-  RC_TAG(longest > 25 ? "leases kept through a long outage" : "only short outages");
+
+  std::mt19937_64 random_;
+  std::array<Clock, kMembers> clocks_;
+  std::array<std::unique_ptr<peers::RecentCancellations>, kMembers> confirmed_;  // by each member
+  std::unique_ptr<ReadFreshness> freshness_;
+  std::map<std::string, double> stored_at_, confirmed_at_;  // cancelled jobs
+  std::set<std::string> known_;                             // to the leader
+  double refused_until_ = 0;                                // the leader, by the key-value store
+  double down_from_ = 0, down_until_ = 0;                   // the key-value store, for all
+  std::vector<Poll> polls_;
+  int jobs_ = 0;
+  double last_read_at_ = 0;
+  double longest_without_store_s_ = 0;
+};
+
+RC_GTEST_PROP(ReadFreshness, GeneratedHistoriesNeverLetALeaseOutlastACancellation, ()) {
+  CancellationHistory history(*rc::gen::arbitrary<std::uint64_t>());
+  for (double now = 0.1; now < 300; now += 0.1) history.step(now);
+  RC_TAG(history.longest_without_store_s() > 25 ? "leases kept through a long outage"
+                                                : "only short outages");
 }
 
 }  // namespace
