--- a/src/controller/leader_levels.cpp
+++ b/src/controller/leader_levels.cpp
@@ -51,11 +51,11 @@
   auto step = schema::next_migration(level_, claims, nodes);
   if (!step) {
     refused_step_.clear();
-  } else if (step->refused.empty()) {
+  } else if (!step->rejection_reason) {
     if (step->to.level <= speech_.newest) write_level(step->to, std::move(step->preconditions));
-  } else if (step->refused != refused_step_) {
-    refused_step_ = step->refused;
-    spdlog::error("level {} does not step back: {}", level_.level, step->refused);
+  } else if (*step->rejection_reason != refused_step_) {
+    refused_step_ = *step->rejection_reason;
+    spdlog::error("level {} does not step back: {}", level_.level, refused_step_);
   }
 }
 
--- a/src/controller/obsolete_records.cpp
+++ b/src/controller/obsolete_records.cpp
@@ -34,7 +34,7 @@
 }
 
 bool is_stale_at_any(const std::string& key, const wire::Json& value) {
-  return std::any_of(schema::kTable.begin(), schema::kTable.end(),
+  return std::any_of(schema::kSchemaLevels.begin(), schema::kSchemaLevels.end(),
                      [&](const auto& level) { return is_stale(key, value, level.number); });
 }
 
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -1,164 +1,127 @@
 #include "schema/schema.h"
 
-#include <spdlog/spdlog.h>
+#include <fmt/format.h>
 
 #include <algorithm>
 #include <charconv>
+#include <limits>
 
 namespace reachramp::schema {
 
 namespace {
 
-constexpr std::uint64_t kMostLevel = 1000;
+constexpr std::uint32_t kUnlimited = std::numeric_limits<std::uint32_t>::max();
 
-std::uint32_t level_in(const kv::Json& map, const char* field) {
-  return static_cast<std::uint32_t>(wire::count(map, field, kMostLevel));
-}
-
-std::vector<int> numbers(const std::string& version) {
-  std::vector<int> found;
-  const char* at = version.data();
-  const char* const end = at + version.size();
-  while (at < end) {
+// The numbers in a program version, up to the first part that is not a number.
+std::vector<int> version_numbers(const std::string& version) {
+  std::vector<int> numbers;
+  const char* next = version.data();
+  const char* const end = next + version.size();
+  while (next < end) {
     int number = 0;
-    const auto [stop, error] = std::from_chars(at, end, number);
+    const auto [stop, error] = std::from_chars(next, end, number);
     if (error != std::errc()) break;
-    found.push_back(number);
-    at = stop < end ? stop + 1 : stop;
+    numbers.push_back(number);
+    next = stop < end ? stop + 1 : stop;
   }
-  return found;
+  return numbers;
 }
 
-}  // namespace
-
-std::string claim_key(const std::string& node) { return kClaims + node; }
+// What the claims of all nodes of the settings allow together.
+struct ClaimSummary {
+  bool all_nodes_present = true;
+  std::uint32_t newest = kUnlimited;   // the newest level that every present node supports
+  std::uint32_t hold_at = kUnlimited;  // the lowest hold of any present node
+  std::vector<std::pair<std::string, std::uint64_t>> revisions;
+};
 
-kv::Json encode_claim(const Claim& claim) {
-  return {{"version", claim.version},
-          {"oldest", claim.oldest},
-          {"newest", claim.newest},
-          {"hold", claim.hold_at},
-          {"digest", claim.digest}};
-}
-
-Claim decode_claim(const kv::Entry& entry) {
-  if (!entry.key.starts_with(kClaims) || !entry.value.is_object()) {
-    throw wire::BadMessage("not a claim");
+ClaimSummary summarize(const std::vector<Claim>& claims, const std::vector<std::string>& nodes) {
+  ClaimSummary summary;
+  for (const std::string& node : nodes) {
+    const auto claim = std::find_if(claims.begin(), claims.end(),
+                                    [&](const Claim& candidate) { return candidate.node == node; });
+    if (claim == claims.end()) {
+      summary.all_nodes_present = false;
+      continue;
+    }
+    summary.revisions.emplace_back(claim_key(node), claim->revision);
+    summary.newest = std::min(summary.newest, claim->newest);
+    if (claim->hold_at > 0) summary.hold_at = std::min(summary.hold_at, claim->hold_at);
   }
-  Claim claim;
-  claim.node = entry.key.substr(std::string(kClaims).size());
-  claim.version = wire::text(entry.value, "version");
-  claim.oldest = level_in(entry.value, "oldest");
-  claim.newest = level_in(entry.value, "newest");
-  claim.hold_at = wire::find(entry.value, "hold") != nullptr ? level_in(entry.value, "hold") : 0;
-  claim.digest =
-      wire::find(entry.value, "digest") != nullptr ? wire::count(entry.value, "digest") : 0;
-  claim.revision = entry.revision;
-  if (claim.oldest > claim.newest || claim.newest == 0) throw wire::BadMessage("newest: too low");
-  return claim;
+  return summary;
 }
 
-PredecessorClaim disposition_of(const kv::Entry& before, const Claim& own) {
-  try {
-    decode_claim(before);
-  } catch (const std::exception&) {
-    return PredecessorClaim::leave_alone;
-  }
-  return before.lease_id != 0 && before.value == encode_claim(own) ? PredecessorClaim::adopt
-                                                                   : PredecessorClaim::replace;
+std::optional<std::string> downgrade_rejection(const StoredSchema& stored) {
+  if (stored.level > kNewest) return "this version does not know the level";
+  const auto& reason = schema_level(stored.writes).no_downgrade_because;
+  return reason ? std::optional<std::string>(*reason) : std::nullopt;
 }
 
-std::vector<Claim> decode_claims(const std::vector<kv::Entry>& entries) {
-  std::vector<Claim> claims;
-  for (const kv::Entry& entry : entries) {
-    try {
-      claims.push_back(decode_claim(entry));
-    } catch (const std::exception& error) {
-      spdlog::error("record {}: {}", entry.key, error.what());
-    }
+// Writers leave the level first; `level` itself follows once its records are gone.
+std::optional<SchemaMigration> downgrade(const StoredSchema& stored, ClaimSummary summary) {
+  if (auto reason = downgrade_rejection(stored)) {
+    return SchemaMigration{
+        {stored.level, stored.writes, false}, std::move(summary.revisions), std::move(reason)};
   }
-  return claims;
+  if (stored.writes < stored.level) return std::nullopt;  // the last one is not settled yet
+  return SchemaMigration{{stored.level, stored.writes - 1, false}, std::move(summary.revisions)};
 }
 
-bool is_later(const std::string& version, const std::string& than) {
-  return numbers(version) > numbers(than);
+std::optional<SchemaMigration> resume_upgrade(const StoredSchema& stored, ClaimSummary summary) {
+  if (std::min(summary.newest, summary.hold_at) < stored.level) return std::nullopt;
+  return SchemaMigration{{stored.level, stored.level, false}, std::move(summary.revisions)};
 }
 
-kv::Json encode_stored(const StoredSchema& stored) {
-  return {{"level", stored.level}, {"writes", stored.writes}, {"settled", stored.settled}};
+std::optional<SchemaMigration> upgrade(const StoredSchema& stored, ClaimSummary summary) {
+  const std::uint32_t target = std::min({summary.newest, summary.hold_at, kNewest});
+  if (!stored.settled || target <= stored.level) return std::nullopt;
+  return SchemaMigration{{stored.level + 1, stored.level + 1, false}, std::move(summary.revisions)};
 }
 
-StoredSchema decode_stored(const std::optional<kv::Json>& value) {
-  if (!value) return {};
-  if (!value->is_object()) throw wire::BadMessage("level: not a map");
-  StoredSchema stored;
-  stored.level = level_in(*value, "level");
-  stored.writes = level_in(*value, "writes");
-  stored.settled = wire::flag(*value, "settled");
-  if (stored.writes < kCompact || stored.level < stored.writes ||
-      stored.level > stored.writes + 1 || (stored.settled && stored.level != stored.writes)) {
-    throw wire::BadMessage("level: cannot be");
+}  // namespace
+
+PredecessorClaim disposition_of(const kv::Entry& predecessor, const Claim& own) {
+  try {
+    decode_claim(predecessor);
+  } catch (const wire::BadMessage&) {
+    return PredecessorClaim::leave_alone;
   }
-  return stored;
+  const bool same = predecessor.lease_id != 0 && predecessor.value == encode_claim(own);
+  return same ? PredecessorClaim::adopt : PredecessorClaim::replace;
 }
 
-std::string incompatibility(const StoredSchema& stored, const SupportedVersions& speech) {
-  if (stored.level >= speech.oldest && stored.level <= speech.newest) return {};
+bool is_later(const std::string& version, const std::string& than) {
+  return version_numbers(version) > version_numbers(than);
+}
+
+// The operators' page quotes this text.
+std::string incompatibility(const StoredSchema& stored, const SupportedVersions& supported) {
+  if (stored.level >= supported.oldest && stored.level <= supported.newest) return {};
   return fmt::format(
       "the stored state is at level {}, version {} speaks {} to {}: start a {} version",
-      stored.level, speech.version, speech.oldest, speech.newest,
-      stored.level > speech.newest ? "later" : "former");
+      stored.level, supported.version, supported.oldest, supported.newest,
+      stored.level > supported.newest ? "later" : "former");
 }
 
 std::optional<SchemaMigration> next_migration(const StoredSchema& stored,
                                               const std::vector<Claim>& claims,
                                               const std::vector<std::string>& nodes) {
-  SchemaMigration step;
-  bool all = true;
-  std::uint32_t speak = kMostLevel, hold = kMostLevel;
-  for (const std::string& node : nodes) {
-    const auto claim = std::find_if(claims.begin(), claims.end(),
-                                    [&](const Claim& one) { return one.node == node; });
-    if (claim == claims.end()) {
-      all = false;
-      continue;
-    }
-    step.preconditions.emplace_back(claim_key(node), claim->revision);
-    speak = std::min(speak, claim->newest);
-    if (claim->hold_at > 0) hold = std::min(hold, claim->hold_at);
-  }
-  step.to = stored;
-  step.to.settled = false;
-  // Back: whoever cannot be heard now would be let in by it, not locked out.
-  if (hold < stored.writes) {
-    if (stored.level > kNewest || *row(stored.writes).back == 0) {
-      step.refused =
-          stored.level > kNewest ? "this version does not know the level" : row(stored.writes).why;
-      return step;
-    }
-    if (stored.writes < stored.level) return std::nullopt;  // one at a time
-    step.to.writes = stored.writes - 1;
-    return step;
-  }
-  if (!all) return std::nullopt;
-  if (stored.writes < stored.level) {  // the hold is off again before the step back was through
-    if (std::min(speak, hold) < stored.level) return std::nullopt;
-    step.to.writes = stored.level;
-    return step;
-  }
-  if (!stored.settled || std::min({speak, hold, kNewest}) <= stored.level) return std::nullopt;
-  step.to.level = step.to.writes = stored.level + 1;
-  return step;
+  ClaimSummary summary = summarize(claims, nodes);
+  if (summary.hold_at < stored.writes) return downgrade(stored, std::move(summary));
+  if (!summary.all_nodes_present) return std::nullopt;
+  if (stored.writes < stored.level) return resume_upgrade(stored, std::move(summary));
+  return upgrade(stored, std::move(summary));
 }
 
 StoredSchema settled_form(const StoredSchema& stored) {
   return {stored.writes, stored.writes, true};
 }
 
-std::vector<std::string> differing(const std::vector<Claim>& claims, std::uint64_t own) {
+std::vector<std::string> nodes_with_other_settings(const std::vector<Claim>& claims,
+                                                   std::uint64_t own_digest) {
   std::vector<std::string> nodes;
   for (const Claim& claim : claims) {
-    if (claim.digest != 0 && claim.digest != own) nodes.push_back(claim.node);
+    if (claim.digest != 0 && claim.digest != own_digest) nodes.push_back(claim.node);
   }
   return nodes;
 }
--- a/src/schema/schema.h
+++ b/src/schema/schema.h
@@ -1,99 +1,77 @@
-// Which form the stored state has, who speaks it, and when it steps on or back. Decisions alone;
-// the leader carries them out, and peers ask one thing of them: has().
+// Decisions about the schema level: whether a process is compatible with what is stored, and when
+// the schema migrates to the next level or back. The leader carries migrations out; users of other
+// slices only need has().
 //
-// Records: `level` says at which level the state is, for good; `claim/<node>` says what the living
-// process on a node speaks, and ends with it (it hangs on a lease). What a new leader has to know
-// is in them and in the records that it reads anyway: no cursor is stored, since taking over reads
-// every record and so shows what is left to move.
+// Pure functions on values, for any thread. A new leader needs no more than the records of this
+// slice and those it reads anyway: no migration cursor is stored, since a failover reads every
+// record and so finds those that remain to be migrated.
 #pragma once
 
+#include <cstdint>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "kv/client.h"
 #include "schema/schema_levels.h"
+#include "schema/schema_records.h"
 
 namespace reachramp::schema {
 
-inline constexpr const char* kLevelKey = "level";
-inline constexpr const char* kClaims = "claim/";
-// A lease's life, in seconds: so long after a process has died its claim may stand.
-inline constexpr double kClaimLife_s = 20;
+// The duration of the lease of a claim, in seconds: a claim may outlive its process by as much.
+inline constexpr double kClaimLease_s = 20;
 
-// What this program speaks. Tests speak less, as older versions do, or more.
-struct SupportedVersions {
-  std::uint32_t oldest = kOldest;
-  std::uint32_t newest = kNewest;
-  std::uint32_t hold_at = 0;  // an operator's wish to stay at or below it; 0: none
-  std::string version = REACHRAMP_VERSION;
+// What a process does with the claim that its predecessor on the node left behind.
+enum class PredecessorClaim {
+  adopt,       // it announces the same: renew its lease
+  replace,     // it announces something else, or has no lease that would end it
+  leave_alone  // it is malformed, possibly of a later version
 };
+// `predecessor` is the record under the key of `own`.
+PredecessorClaim disposition_of(const kv::Entry& predecessor, const Claim& own);
 
-// What the process on a node says of itself.
-struct Claim {
-  std::string node;
-  std::string version;
-  std::uint32_t oldest = kOldest;
-  std::uint32_t newest = kWhole;
-  std::uint32_t hold_at = 0;
-  std::uint64_t digest = 0;  // of the settings that nodes must share
-  std::uint64_t revision = 0;
-};
-
-std::string claim_key(const std::string& node);
-kv::Json encode_claim(const Claim& claim);
-// Throws wire::BadMessage.
-Claim decode_claim(const kv::Entry& entry);
-// What a process does with the claim that stands under its node's name, of a process that is dead:
-// it goes on with one that says the same, replaces another, and leaves alone what it cannot read.
-enum class PredecessorClaim { adopt, replace, leave_alone };
-PredecessorClaim disposition_of(const kv::Entry& before, const Claim& own);
-// Those that can be read; the others are as good as missing, and logged.
-std::vector<Claim> decode_claims(const std::vector<kv::Entry>& entries);
-// Whether another process is of a later version than `version`: it should lead, being through with
-// the roll.
+// Whether the program version `version` is later than `than`. Both are compared number by number; a
+// text that does not begin with a number comes before all others.
 bool is_later(const std::string& version, const std::string& than);
 
-// Where the stored state stands. Readers speak `level`; writers write the form of `writes`, which
-// is lower while a step back is on its way. Settled: nothing else is left.
-struct StoredSchema {
-  std::uint32_t level = kCompact;
-  std::uint32_t writes = kCompact;
-  bool settled = true;
-  bool operator==(const StoredSchema&) const = default;
-};
-
-kv::Json encode_stored(const StoredSchema& stored);
-// Nothing stored: the levels that member/ tells of alone. Throws wire::BadMessage for what cannot
-// be read, on whose strength nothing may be written.
-StoredSchema decode_stored(const std::optional<kv::Json>& value);
-
-// The stored level and its record's revision; 0: there is no record.
+// The stored schema and the revision of its record, 0 if there is no record. Writes that depend on
+// the schema level are conditional on this revision.
 struct SchemaView {
   StoredSchema stored;
   std::uint64_t revision = 0;
 };
 
+// Whether records of `level` are written.
 inline bool has(const StoredSchema& stored, std::uint32_t level) { return stored.writes >= level; }
-// Why a process that speaks so must serve nobody; empty: it may.
-std::string incompatibility(const StoredSchema& stored, const SupportedVersions& speech);
+// Why a process with these supported versions must not serve anybody; empty if it may.
+std::string incompatibility(const StoredSchema& stored, const SupportedVersions& supported);
 
-// A change of `level`, to be written only if each of the claims still stands as it was.
+// A change of the record `level`, or the reason for which a requested one is rejected.
 struct SchemaMigration {
   StoredSchema to;
+  // Keys and revisions of the claims that the decision rests on: it is to be committed only if none
+  // of them has changed. In the form that kv::Transaction takes.
   std::vector<std::pair<std::string, std::uint64_t>> preconditions;
-  std::string refused;  // instead of a step: why there is none although it was asked for
+  // If set, nothing is to be committed.
+  std::optional<std::string> rejection_reason{};
 };
 
-// What the leader should do, nodes being all that its settings name: one step up when all of them
-// claim to speak it and none holds it back; back, when one of them holds below; nothing.
+// What the leader should commit now, if anything; `nodes` are all that its settings name.
+//  - Upgrade: one level, when all nodes have a claim that supports it and none holds it back, and
+//    the previous migration is settled.
+//  - Downgrade: one level, when the claim of any node holds the schema below what is written. Nodes
+//    without a claim do not prevent it, since a downgrade makes no process incompatible.
+//  - Resumed upgrade: a downgrade is undone when the hold is withdrawn before it is settled.
 std::optional<SchemaMigration> next_migration(const StoredSchema& stored,
                                               const std::vector<Claim>& claims,
                                               const std::vector<std::string>& nodes);
-// What is to be written when strong reads have shown that nothing stale is left.
+// What to commit once strong reads have shown that no obsolete record remains.
 StoredSchema settled_form(const StoredSchema& stored);
 
-// The claims' digests that differ from `own`, by node.
-std::vector<std::string> differing(const std::vector<Claim>& claims, std::uint64_t own);
+// The nodes whose claims have another digest of the shared settings than `own_digest`. Claims
+// without a digest are passed over.
+std::vector<std::string> nodes_with_other_settings(const std::vector<Claim>& claims,
+                                                   std::uint64_t own_digest);
 
 }  // namespace reachramp::schema
--- a/src/schema/schema_bytes_test.cpp
+++ b/src/schema/schema_bytes_test.cpp
@@ -50,25 +50,25 @@
   EXPECT_EQ(claim.digest, 4711u);
 }
 
-// In every node's claim, and compared with the others': while a fleet is changed from one version
-// to the next it must stay the same for the same settings.
+// Every node announces it in its claim and compares it with the others'. During a rolling upgrade
+// it must be the same for the same settings in both versions.
 TEST(ClaimRecordBytes, DigestOfSettingsIsFixed) {
   settings::Platform platform;
   platform.node_name = "node-1";
   platform.members = {{"node-0", "b", {}}};
   platform.teams = {{"red", 1, 2, 3, 4}};
   platform.objectives = {{settings::ServiceLevelObjective::Kind::finished, "train", 60, 1}};
-  EXPECT_EQ(digest_of(platform), 980543660533034833ull);
+  EXPECT_EQ(shared_settings_digest(platform), 980543660533034833ull);
 }
 
-// What stands in the key-value store from each level on.
-TEST(LevelTableBytes, NumbersAndVersionsAreFixed) {
-  const std::pair<std::uint32_t, const char*> rows[] = {{1, "0.2.0"}, {2, "0.3.0"}, {3, "0.4.0"},
-                                                        {4, "0.4.0"}, {5, "0.4.0"}, {6, "0.5.0"}};
-  ASSERT_EQ(kTable.size(), std::size(rows));
-  for (std::size_t i = 0; i < kTable.size(); ++i) {
-    EXPECT_EQ(kTable[i].number, rows[i].first);
-    EXPECT_STREQ(kTable[i].since, rows[i].second);
+// Stored records carry the numbers, and versions in use rely on them.
+TEST(SchemaLevelBytes, NumbersAndVersionsAreFixed) {
+  const std::pair<std::uint32_t, const char*> levels[] = {{1, "0.2.0"}, {2, "0.3.0"}, {3, "0.4.0"},
+                                                          {4, "0.4.0"}, {5, "0.4.0"}, {6, "0.5.0"}};
+  ASSERT_EQ(kSchemaLevels.size(), std::size(levels));
+  for (std::size_t i = 0; i < kSchemaLevels.size(); ++i) {
+    EXPECT_EQ(kSchemaLevels[i].number, levels[i].first);
+    EXPECT_EQ(kSchemaLevels[i].since_version, levels[i].second);
   }
 }
 
--- a/src/schema/schema_levels.h
+++ b/src/schema/schema_levels.h
@@ -1,44 +1,58 @@
-// The levels of the stored state: what is written from each on, how the data get there and come
-// back. Every change of a record's form, and all behaviour that needs one, is a row here. Low down:
-// which of its records are stale at a level is each slice's own to say, beside their codec.
+// The schema levels. "Version" is the version of the program; a schema version, the form of what is
+// stored in the key-value store, is called a level. Levels are numbered from 1 and each contains
+// the ones below it. Several program versions can read and write the same level, and every program
+// version supports a contiguous range of levels.
+//
+// This header stands below all slices that own records. Each of those decides beside its own codec
+// which of its records are obsolete at a level; every change of a record's form, and all behaviour
+// that depends on one, gets an entry in kSchemaLevels. All of it is constant, for any thread.
 #pragma once
 
 #include <array>
 #include <cstdint>
+#include <optional>
+#include <string_view>
 
 namespace reachramp::schema {
 
-struct Level {
+// Describes one level, for readers of the code and for log lines. Only `number` and
+// `no_downgrade_because` take part in decisions.
+struct SchemaLevel {
   std::uint32_t number = 0;
-  const char* since = "";  // the first version that speaks it
-  const char* what = "";   // what is written from it on
-  const char* there = "";  // how what is stored gets there
-  const char* back = "";   // how it comes back; empty: it does not, and `why` says why
-  const char* why = "";
+  std::string_view since_version;  // the first program version that supports it
+  std::string_view written;        // what is written from this level on
+  std::string_view upgrade;        // how stored records get here from the level below
+  std::string_view downgrade;      // how they get back to the level below
+  // Why the level cannot be downgraded; none where it can.
+  std::optional<std::string_view> no_downgrade_because{};
 };
 
-inline constexpr std::uint32_t kWhole = 1;        // records name tasks one by one
-inline constexpr std::uint32_t kCompact = 2;      // member/ says it; see peers/members.h
-inline constexpr std::uint32_t kAges = 3;         // "revision clock"; no whole record is left
-inline constexpr std::uint32_t kClosedPools = 4;  // a pool that is asked for nothing has no record
-inline constexpr std::uint32_t kShares = 5;       // "shares"
-inline constexpr std::uint32_t kDrains = 6;       // "drains", "drains/used", "zones"
-inline constexpr std::uint32_t kOldest = kWhole;  // the oldest level that this version speaks
+inline constexpr std::uint32_t kWhole = 1;        // a record names its tasks one by one
+inline constexpr std::uint32_t kCompact = 2;      // announced by member/; see peers/members.h
+inline constexpr std::uint32_t kAges = 3;         // the revision clock; no level 1 record remains
+inline constexpr std::uint32_t kClosedPools = 4;  // a pool without scale-out request has no record
+inline constexpr std::uint32_t kShares = 5;       // the record "shares"
+inline constexpr std::uint32_t kDrains = 6;       // the records "drains", "drains/used", "zones"
+// The range that this program version supports.
+inline constexpr std::uint32_t kOldest = kWhole;
 inline constexpr std::uint32_t kNewest = kDrains;
 
-inline constexpr std::array<Level, kNewest> kTable{{
-    {kWhole, "0.2.0", "task/<job>/<chunk>", "", "", "nothing is older"},
+// All levels that this program version supports, in ascending order.
+inline constexpr std::array<SchemaLevel, kNewest> kSchemaLevels{{
+    {kWhole, "0.2.0", "task/<job>/<chunk>", "", "", "it is the oldest level"},
     {kCompact, "0.3.0", "task/<job>/<first>-<end>, waits_on, the limits to come",
-     "as records change", "", "0.2.0 drops what it does not know and starts those tasks again"},
-    {kAges, "0.4.0", "timeline", "the leader writes whole records anew and removes them",
-     "timeline is removed; compact records stay, which 0.3.0 reads", ""},
-    {kClosedPools, "0.4.0", "pool/ only while a request is out", "the leader removes closed ones",
-     "nothing to do: an absent record reads as a closed one", ""},
-    {kShares, "0.4.0", "shares", "nothing to do", "shares is removed", ""},
+     "as records change", "", "0.2.0 drops records it does not know and restarts their tasks"},
+    {kAges, "0.4.0", "timeline", "the leader rewrites level 1 records and removes the old ones",
+     "timeline is removed; compact records remain, which 0.3.0 can read"},
+    {kClosedPools, "0.4.0", "pool/ only while a request is pending",
+     "the leader removes records of closed pools",
+     "nothing to do: an absent record is read as a closed pool"},
+    {kShares, "0.4.0", "shares", "nothing to do", "shares is removed"},
     {kDrains, "0.5.0", "drains, drains/used, zones", "nothing to do",
-     "all three are removed, and with them all drains end", ""},
+     "all three are removed, which ends all drains"},
 }};
 
-inline const Level& row(std::uint32_t level) { return kTable[level - 1]; }
+// The description of `level`, which must be from kOldest to kNewest.
+inline const SchemaLevel& schema_level(std::uint32_t level) { return kSchemaLevels[level - 1]; }
 
 }  // namespace reachramp::schema
--- a/src/schema/schema_version_tracker.cpp
+++ b/src/schema/schema_version_tracker.cpp
@@ -16,10 +16,10 @@
 
 using kv::Outcome;
 
-// A turn renews the claim once; three may fail before it ends.
-constexpr double kTurn_s = kClaimLife_s / 4;
+// Each round of run() renews the claim once, so that three renewals may fail before it ends.
+constexpr double kRound_s = kClaimLease_s / 4;
 constexpr double kRetry_s = 0.5;
-constexpr int kLookAtOthersEvery = 3;  // turns
+constexpr int kRoundsPerClaimsRead = 3;
 
 std::chrono::milliseconds millis(double seconds) {
   return std::chrono::milliseconds(static_cast<std::int64_t>(seconds * 1000));
@@ -27,8 +27,8 @@
 
 }  // namespace
 
-// Over the JSON form, whose fields are sorted: the same on every node and in every version.
-std::uint64_t digest_of(const settings::Platform& platform) {
+// Hashes the JSON form, since its fields are sorted.
+std::uint64_t shared_settings_digest(const settings::Platform& platform) {
   kv::Json shared = kv::Json::object();
   std::vector<std::string> nodes{platform.node_name};
   for (const settings::Member& member : platform.members) nodes.push_back(member.name);
@@ -37,9 +37,9 @@
   for (const settings::Team& team : platform.teams) {
     shared["teams"].push_back({team.name, team.cpus, team.cpus_max, team.gpus, team.gpus_max});
   }
-  for (const settings::ServiceLevelObjective& aim : platform.objectives) {
-    shared["objectives"].push_back(
-        {static_cast<int>(aim.kind), aim.job_class, aim.within_s, aim.times});
+  for (const settings::ServiceLevelObjective& objective : platform.objectives) {
+    shared["objectives"].push_back({static_cast<int>(objective.kind), objective.job_class,
+                                    objective.within_s, objective.times});
   }
   const settings::Workers& workers = platform.workers;
   shared["workers"] = {workers.report_s, workers.lease_s, workers.gang_wait_s, workers.gang_peer_s,
@@ -50,147 +50,172 @@
   return XXH3_64bits(text.data(), text.size());
 }
 
-SchemaVersionTracker::SchemaVersionTracker(kv::Client& state, const settings::Platform& platform,
-                                           const SupportedVersions& speech)
-    : state_(state), speech_(speech), node_(platform.node_name), digest_(digest_of(platform)) {}
+SchemaVersionTracker::SchemaVersionTracker(kv::Client& store, const settings::Platform& platform,
+                                           const SupportedVersions& supported)
+    : store_(store),
+      supported_(supported),
+      node_(platform.node_name),
+      digest_(shared_settings_digest(platform)) {}
+
+void SchemaVersionTracker::run(const std::function<void(bool incompatible)>& on_checked) {
+  for (int round = 0;; ++round) {
+    maintain_claim();
+    if (round % kRoundsPerClaimsRead == 0) read_claims();
+    if (watched_to_ == 0) watched_to_ = read().value_or(0);
+    on_checked(incompatible_);
+    const bool can_watch = watched_to_ != 0;
+    if (!can_watch || !claim_lease_id_) std::this_thread::sleep_for(kv::jittered(kRetry_s));
+    if (!can_watch) continue;
+    if (wait_for_change()) {
+      on_checked(incompatible_);
+    } else {
+      std::this_thread::sleep_for(kv::jittered(kRetry_s));
+    }
+  }
+}
+
+void SchemaVersionTracker::maintain_claim() {
+  if (claim_lease_id_ && store_.renew_lease(*claim_lease_id_) == Outcome::absent) {
+    claim_lease_id_.reset();
+  }
+  if (!claim_lease_id_) claim_lease_id_ = announce();
+}
 
-// The claim of the process before us on this node may still stand. Where it says what we would say
-// it goes on under the same lease: a process that ends again and again writes nothing and leaves
-// no leases behind, and the claim does not flicker. Else it is replaced.
-bool SchemaVersionTracker::announce() {
-  const kv::ReadResult before = state_.get(claim_key(node_));
-  if (before.outcome != Outcome::ok && before.outcome != Outcome::absent) return false;
+// The claim of this process's predecessor on the node may still exist. If it announces the same, it
+// is adopted with its lease: a process that restarts again and again writes nothing, leaves no
+// leases behind, and its claim does not come and go. Returns the lease of the claim, none if the
+// claim is not known to be stored.
+std::optional<std::uint64_t> SchemaVersionTracker::announce() {
+  const kv::ReadResult found = store_.get(claim_key(node_));
   const Claim claim{
-      node_, speech_.version, speech_.oldest, speech_.newest, speech_.hold_at, digest_, 0};
-  switch (before.outcome == Outcome::ok ? disposition_of(before.entry, claim)
-                                        : PredecessorClaim::replace) {
+      node_, supported_.version, supported_.oldest, supported_.newest, supported_.hold_at, digest_,
+      0};
+  if (found.outcome == Outcome::absent) return publish(claim, 0);
+  if (found.outcome != Outcome::ok) return std::nullopt;
+  switch (disposition_of(found.entry, claim)) {
     case PredecessorClaim::leave_alone:
-      if (!std::exchange(told_unreadable_, true)) {
-        spdlog::error("record {}: cannot be read, and is left alone", claim_key(node_));
+      if (!std::exchange(logged_malformed_claim_, true)) {
+        spdlog::error("record {}: malformed, not replaced", claim_key(node_));
       }
-      return false;
+      return std::nullopt;
     case PredecessorClaim::adopt:
-      if (state_.renew_lease(before.entry.lease_id) == Outcome::ok) {
-        lease_id_ = before.entry.lease_id;
-        return true;
-      }
-      return false;  // it has just ended; the next look shows it
+      // Where the lease has just expired, the next round finds no claim.
+      if (store_.renew_lease(found.entry.lease_id) != Outcome::ok) return std::nullopt;
+      return found.entry.lease_id;
     case PredecessorClaim::replace:
       break;
   }
-  const kv::LeaseGrant lease_id = state_.grant_lease(millis(kClaimLife_s));
-  if (lease_id.outcome != Outcome::ok) return false;
-  lease_id_ = lease_id.id;
-  kv::Transaction announcement;
-  announcement.preconditions = {
-      {claim_key(node_), before.outcome == Outcome::ok ? before.entry.revision : 0}};
-  announcement.writes.push_back({claim_key(node_), encode_claim(claim), lease_id_});
-  const Outcome outcome = state_.commit(announcement).outcome;
-  if (outcome != Outcome::ok && outcome != Outcome::unknown) lease_id_ = 0;
-  return outcome == Outcome::ok;
+  return publish(claim, found.entry.revision);
 }
 
-void SchemaVersionTracker::learn(const std::optional<kv::Json>& value, std::uint64_t revision) {
-  std::string reason;
-  StoredSchema stored;
-  try {
-    stored = decode_stored(value);
-    reason = incompatibility(stored, speech_);
-  } catch (const std::exception& error) {
-    reason =
-        fmt::format("record {}: {}: nothing is written on its strength", kLevelKey, error.what());
-  }
-  std::lock_guard lock(mutex_);
-  incompatible_ = !reason.empty();
-  revision_ = revision;
-  stored_ = stored;
-  if (reason != told_) {
-    if (reason.empty()) {
-      spdlog::info("serves again");
-    } else {
-      spdlog::error("serves nobody: {}", reason);
-    }
-    told_ = reason;
+// After an unknown outcome the next round finds the claim, if it was stored, and adopts it.
+std::optional<std::uint64_t> SchemaVersionTracker::publish(const Claim& claim,
+                                                           std::uint64_t predecessor_revision) {
+  const kv::LeaseGrant lease = store_.grant_lease(millis(kClaimLease_s));
+  if (lease.outcome != Outcome::ok) return std::nullopt;
+  kv::Transaction transaction;
+  transaction.preconditions = {{claim_key(node_), predecessor_revision}};
+  transaction.writes.push_back({claim_key(node_), encode_claim(claim), lease.id});
+  if (store_.commit(transaction).outcome != Outcome::ok) return std::nullopt;
+  return lease.id;
+}
+
+void SchemaVersionTracker::read_claims() {
+  const kv::ListResult page = store_.list(kClaims, "");
+  if (page.outcome != Outcome::ok) return;
+  const std::vector<Claim> claims = decode_claims(page.entries);
+  defers_leadership_ = std::any_of(claims.begin(), claims.end(), [&](const Claim& claim) {
+    return claim.node != node_ && is_later(claim.version, supported_.version);
+  });
+  check_shared_settings(claims);
+}
+
+void SchemaVersionTracker::check_shared_settings(const std::vector<Claim>& claims) {
+  std::string nodes;
+  for (const std::string& node : nodes_with_other_settings(claims, digest_)) nodes += " " + node;
+  if (nodes != last_logged_nodes_ && !nodes.empty()) {
+    spdlog::error("settings that nodes must share differ from those of{}", nodes);
   }
+  last_logged_nodes_ = nodes;
 }
 
-// A list, since it tells the store revision too: the record's own revision may be older than any
-// watch can reach.
-bool SchemaVersionTracker::read(std::uint64_t* store_revision) {
-  const kv::ListResult page = state_.list(kLevelKey, "");
-  if (page.outcome != Outcome::ok) return false;
-  const auto entry = std::find_if(page.entries.begin(), page.entries.end(),
-                                  [](const kv::Entry& one) { return one.key == kLevelKey; });
-  if (entry == page.entries.end()) {
-    learn(std::nullopt, 0);
-  } else {
-    learn(entry->value, entry->revision);
+// Waits for changes of the level, for one round at most. False if the watch has failed: the level
+// must be read again.
+bool SchemaVersionTracker::wait_for_change() {
+  const kv::WatchResult result = store_.watch(kLevelKey, watched_to_, millis(kRound_s));
+  if (result.outcome != Outcome::ok) {
+    watched_to_ = 0;
+    return false;
+  }
+  watched_to_ = std::max(watched_to_, result.store_revision);
+  for (const kv::KeyChange& change : result.changes) {
+    if (change.key == kLevelKey) update(change.value, change.value ? change.revision : 0);
   }
-  *store_revision = page.store_revision;
   return true;
 }
 
-std::optional<std::uint64_t> SchemaVersionTracker::read_revision() {
-  std::uint64_t store_revision = 0;
-  if (!read(&store_revision)) return std::nullopt;
-  std::lock_guard lock(mutex_);
-  return incompatible_ ? std::nullopt : revision_;
+std::optional<std::uint64_t> SchemaVersionTracker::revision() {
+  {
+    std::lock_guard lock(mutex_);
+    if (incompatible_) return std::nullopt;
+    if (latest_) return latest_->revision;
+  }
+  return read_revision();
 }
 
 std::optional<SchemaView> SchemaVersionTracker::view() {
   if (!revision()) return std::nullopt;
   std::lock_guard lock(mutex_);
-  return incompatible_ ? std::nullopt : std::optional(SchemaView{stored_, revision_.value_or(0)});
+  return incompatible_ ? std::nullopt : latest_;
 }
 
-std::optional<std::uint64_t> SchemaVersionTracker::revision() {
-  {
-    std::lock_guard lock(mutex_);
-    if (incompatible_) return std::nullopt;
-    if (revision_) return revision_;
+std::optional<std::uint64_t> SchemaVersionTracker::read_revision() {
+  if (!read()) return std::nullopt;
+  std::lock_guard lock(mutex_);
+  if (incompatible_) return std::nullopt;
+  return latest_->revision;
+}
+
+// Lists the one key, since a list also returns the store's revision: the record's own may be older
+// than any that a watch can start from.
+std::optional<std::uint64_t> SchemaVersionTracker::read() {
+  const kv::ListResult page = store_.list(kLevelKey, "");
+  if (page.outcome != Outcome::ok) return std::nullopt;
+  const auto record = std::find_if(page.entries.begin(), page.entries.end(),
+                                   [](const kv::Entry& entry) { return entry.key == kLevelKey; });
+  if (record == page.entries.end()) {
+    update(std::nullopt, 0);
+  } else {
+    update(record->value, record->revision);
   }
-  return read_revision();
+  return page.store_revision;
 }
 
-void SchemaVersionTracker::look_at_others() {
-  const kv::ListResult page = state_.list(kClaims, "");
-  if (page.outcome != Outcome::ok) return;
-  const std::vector<Claim> claims = decode_claims(page.entries);
-  defers_leadership_ = std::any_of(claims.begin(), claims.end(), [&](const Claim& claim) {
-    return claim.node != node_ && is_later(claim.version, speech_.version);
-  });
-  std::string differ;
-  for (const std::string& node : differing(claims, digest_)) differ += " " + node;
-  if (differ != differ_ && !differ.empty()) {
-    spdlog::error("settings that nodes must share differ from those of{}", differ);
+void SchemaVersionTracker::update(const std::optional<kv::Json>& value, std::uint64_t revision) {
+  std::string reason;
+  StoredSchema stored;
+  try {
+    stored = decode_stored(value);
+    reason = incompatibility(stored, supported_);
+  } catch (const wire::BadMessage& error) {
+    reason =
+        fmt::format("record {}: {}: no writes while the level is unknown", kLevelKey, error.what());
   }
-  differ_ = differ;
+  std::lock_guard lock(mutex_);
+  incompatible_ = !reason.empty();
+  latest_ = SchemaView{stored, revision};
+  log_compatibility(reason);
 }
 
-void SchemaVersionTracker::run(const std::function<void(bool)>& locked) {
-  bool claimed = false;
-  for (int turn = 0;; ++turn) {
-    if (claimed && state_.renew_lease(lease_id_) == Outcome::absent) claimed = false;
-    if (!claimed) claimed = announce();
-    if (turn % kLookAtOthersEvery == 0) look_at_others();
-    if (position_ == 0) read(&position_);
-    locked(incompatible_);
-    if (position_ == 0 || !claimed) {
-      std::this_thread::sleep_for(kv::jittered(kRetry_s));
-      if (position_ == 0) continue;
-    }
-    const kv::WatchResult changes = state_.watch(kLevelKey, position_, millis(kTurn_s));
-    if (changes.outcome != Outcome::ok) {
-      position_ = 0;
-      std::this_thread::sleep_for(kv::jittered(kRetry_s));
-      continue;
-    }
-    position_ = std::max(position_, changes.store_revision);
-    for (const kv::KeyChange& change : changes.changes) {
-      if (change.key == kLevelKey) learn(change.value, change.value ? change.revision : 0);
-    }
-    locked(incompatible_);
+// The operators' page quotes the second line. Called with mutex_ held.
+void SchemaVersionTracker::log_compatibility(const std::string& reason) {
+  if (reason == last_logged_reason_) return;
+  if (reason.empty()) {
+    spdlog::info("schema level compatible again: serving requests");
+  } else {
+    spdlog::error("serves nobody: {}", reason);
   }
+  last_logged_reason_ = reason;
 }
 
 }  // namespace reachramp::schema
--- a/src/schema/schema_version_tracker.h
+++ b/src/schema/schema_version_tracker.h
@@ -1,11 +1,14 @@
-// One node's view of the levels: announces what its process speaks for as long as it lives, and
-// follows the level that is stored.
+// A node's part in the schema protocol: it announces which levels its process supports for as long
+// as it lives, and follows the level that is stored.
 #pragma once
 
 #include <atomic>
+#include <cstdint>
 #include <functional>
 #include <mutex>
 #include <optional>
+#include <string>
+#include <vector>
 
 #include "kv/client.h"
 #include "schema/schema.h"
@@ -13,47 +16,65 @@
 
 namespace reachramp::schema {
 
-// Of the settings that nodes must share: teams, limits, objectives, who the nodes are.
-std::uint64_t digest_of(const settings::Platform& platform);
+// A digest of the settings that all nodes must share: teams, limits, objectives, names of nodes.
+// Nodes compare it to find settings that differ. It is the same on every node and in every version
+// of the program for the same settings.
+std::uint64_t shared_settings_digest(const settings::Platform& platform);
 
+// Owns this node's claim with its lease, and the latest stored schema that this node has read.
+// run() has a thread of its own; all other public functions may be called from any thread.
 class SchemaVersionTracker {
  public:
-  SchemaVersionTracker(kv::Client& state, const settings::Platform& platform,
-                       const SupportedVersions& speech);
+  // `store` must outlive the tracker.
+  SchemaVersionTracker(kv::Client& store, const settings::Platform& platform,
+                       const SupportedVersions& supported);
 
-  // For a thread of its own; never returns. `locked` is told whether this process must serve
-  // nobody.
-  void run(const std::function<void(bool)>& locked);
+  // Renews the claim and watches the level. Never returns. Calls `on_checked` after each check of
+  // the level with whether this process is incompatible with it and must not serve anybody.
+  void run(const std::function<void(bool incompatible)>& on_checked);
 
-  // What a node's write is to be conditional on; a look at the key-value store if it is not known
-  // yet. Nothing: it does not answer, or this process is locked out.
+  // The revision of the stored level, on which a node's writes are conditional; reads it from the
+  // store if it is not known yet. None if the store does not answer or this process is
+  // incompatible.
   std::optional<std::uint64_t> revision();
-  // The same with the level itself.
+  // The same, with the stored schema itself.
   std::optional<SchemaView> view();
-  // The revision, read anew: the level has changed behind our back.
+  // Reads the revision anew: for callers whose transaction failed since the level has changed.
+  // Results as for revision().
   std::optional<std::uint64_t> read_revision();
+  // Whether this process must not serve anybody, as of the latest read.
   bool incompatible() const { return incompatible_; }
-  // Whether another living process is of a later version, and should lead rather than this one.
+  // Whether another live process has a later version, and should lead rather than this one: it has
+  // been upgraded already, so that leadership changes less often during a rolling upgrade.
   bool defers_leadership() const { return defers_leadership_; }
 
  private:
-  bool announce();
-  bool read(std::uint64_t* store_revision);
-  void learn(const std::optional<kv::Json>& value, std::uint64_t revision);
-  void look_at_others();
+  // The functions down to wait_for_change() are for the thread of run().
+  void maintain_claim();
+  std::optional<std::uint64_t> announce();
+  std::optional<std::uint64_t> publish(const Claim& claim, std::uint64_t predecessor_revision);
+  void read_claims();
+  void check_shared_settings(const std::vector<Claim>& claims);
+  bool wait_for_change();
+  // Reads the stored level; returns the store's revision, none if the store does not answer.
+  std::optional<std::uint64_t> read();
+  void update(const std::optional<kv::Json>& value, std::uint64_t revision);
+  void log_compatibility(const std::string& reason);
 
-  kv::Client& state_;
-  const SupportedVersions speech_;
+  kv::Client& store_;
+  const SupportedVersions supported_;
   const std::string node_;
   const std::uint64_t digest_;
-  std::uint64_t lease_id_ = 0;
-  std::uint64_t position_ = 0;  // of the watch
+
+  // For the thread of run() only.
+  std::optional<std::uint64_t> claim_lease_id_;  // none: the claim is not announced
+  std::uint64_t watched_to_ = 0;                 // store revision; 0: the level must be read first
+  bool logged_malformed_claim_ = false;
+  std::string last_logged_nodes_;  // with other settings
+
   std::mutex mutex_;
-  std::optional<std::uint64_t> revision_;
-  StoredSchema stored_;  // with that revision
-  std::string told_;     // why it is locked out, as last logged
-  bool told_unreadable_ = false;
-  std::string differ_;  // nodes with other settings, as last logged
+  std::optional<SchemaView> latest_;  // guarded by mutex_; none: not read yet
+  std::string last_logged_reason_;    // for being incompatible; guarded by mutex_; empty: none
   std::atomic<bool> incompatible_{false};
   std::atomic<bool> defers_leadership_{false};
 };
--- a/test/simulated_cluster.cpp
+++ b/test/simulated_cluster.cpp
@@ -274,7 +274,7 @@
   node.back_at = now_ + (chance(0.4) ? between(0, 0.5) : between(1, chance(0.1) ? 60 : 6));
   if (node.left_lease_id != 0) store_.release(node.left_lease_id);
   node.left_lease_id = std::exchange(node.lease_id, 0);
-  node.left_until = now_ + between(0, schema::kClaimLife_s);
+  node.left_until = now_ + between(0, schema::kClaimLease_s);
   if (leader_ && seat_ == &node) {
     leader_.reset();
     const std::uint64_t lead = std::exchange(lease_id_, 0);
@@ -306,7 +306,7 @@
     if (after.level <= before.level) continue;
     for (const SimulatedNode& node : nodes_) {
       const bool speaks = node.alive ? node.newest >= after.level : node.claimed >= after.level;
-      const bool just_gone = now_ - node.claimed_until <= schema::kClaimLife_s;
+      const bool just_gone = now_ - node.claimed_until <= schema::kClaimLease_s;
       if (!speaks && !(just_gone && node.claimed >= after.level)) {
         break_rule("stepped to " + std::to_string(after.level) + " without " + name_of(node));
       }
