--- a/src/schema/schema_bytes_test.cpp
+++ b/src/schema/schema_bytes_test.cpp
@@ -1,7 +1,7 @@
 // The literal form of the records `level` and `claim/`.
 #include "bytes.h"
 #include "schema/schema.h"
-#include "schema/schema_version_tracker.h"
+#include "schema/shared_settings.h"
 
 namespace reachramp::schema {
 namespace {
--- a/src/schema/schema_test.cpp
+++ b/src/schema/schema_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "schema/schema_version_tracker.h"
+#include "schema/shared_settings.h"
 
 namespace reachramp::schema {
 namespace {
--- a/src/schema/schema_version_tracker.cpp
+++ b/src/schema/schema_version_tracker.cpp
@@ -1,14 +1,13 @@
 #include "schema/schema_version_tracker.h"
 
-#define XXH_INLINE_ALL
 #include <spdlog/spdlog.h>
-#include <xxhash.h>
 
 #include <algorithm>
 #include <thread>
 #include <utility>
 
 #include "kv/steady_clock.h"
+#include "schema/shared_settings.h"
 
 namespace reachramp::schema {
 
@@ -27,29 +26,6 @@
 
 }  // namespace
 
-// Hashes the JSON form, since its fields are sorted.
-std::uint64_t shared_settings_digest(const settings::Platform& platform) {
-  kv::Json shared = kv::Json::object();
-  std::vector<std::string> nodes{platform.node_name};
-  for (const settings::Member& member : platform.members) nodes.push_back(member.name);
-  std::sort(nodes.begin(), nodes.end());
-  shared["nodes"] = nodes;
-  for (const settings::Team& team : platform.teams) {
-    shared["teams"].push_back({team.name, team.cpus, team.cpus_max, team.gpus, team.gpus_max});
-  }
-  for (const settings::ServiceLevelObjective& objective : platform.objectives) {
-    shared["objectives"].push_back({static_cast<int>(objective.kind), objective.job_class,
-                                    objective.within_s, objective.times});
-  }
-  const settings::Workers& workers = platform.workers;
-  shared["workers"] = {workers.report_s, workers.lease_s, workers.gang_wait_s, workers.gang_peer_s,
-                       workers.cancel_s};
-  const settings::StateLimits& limits = platform.state_limits;
-  shared["state"] = {limits.rps, limits.write_rps, limits.value_kb, limits.txn_ops};
-  const std::string text = shared.dump();
-  return XXH3_64bits(text.data(), text.size());
-}
-
 SchemaVersionTracker::SchemaVersionTracker(kv::Client& store, const settings::Platform& platform,
                                            const SupportedVersions& supported)
     : store_(store),
--- a/src/schema/schema_version_tracker.h
+++ b/src/schema/schema_version_tracker.h
@@ -16,11 +16,6 @@
 
 namespace reachramp::schema {
 
-// A digest of the settings that all nodes must share: teams, limits, objectives, names of nodes.
-// Nodes compare it to find settings that differ. It is the same on every node and in every version
-// of the program for the same settings.
-std::uint64_t shared_settings_digest(const settings::Platform& platform);
-
 // Owns this node's claim with its lease, and the latest stored schema that this node has read.
 // run() has a thread of its own; all other public functions may be called from any thread.
 class SchemaVersionTracker {
