--- a/src/controller/leader_schema.cpp
+++ b/src/controller/leader_schema.cpp
@@ -50,15 +50,16 @@
       return claim.node == node && claim.version == supported_versions_.version;
     });
   });
-  auto step = schema::next_migration(schema_, claims, nodes);
-  if (!step) {
+  auto migration = schema::next_migration(schema_, claims, nodes);
+  if (!migration) {
     last_migration_refusal_.clear();
-  } else if (step->refused.empty()) {
-    if (step->to.level <= supported_versions_.newest)
-      write_schema(step->to, std::move(step->preconditions));
-  } else if (step->refused != last_migration_refusal_) {
-    last_migration_refusal_ = step->refused;
-    spdlog::error("level {} does not step back: {}", schema_.level, step->refused);
+  } else if (!migration->rejection_reason) {
+    if (migration->to.level <= supported_versions_.newest) {
+      write_schema(migration->to, std::move(migration->preconditions));
+    }
+  } else if (*migration->rejection_reason != last_migration_refusal_) {
+    last_migration_refusal_ = *migration->rejection_reason;
+    spdlog::error("level {} does not step back: {}", schema_.level, last_migration_refusal_);
   }
 }
 
