--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -80,7 +80,7 @@
       return 0;
     }
     std::signal(SIGHUP, [](int) { drains::PolicyFileWatcher::request_reload(); });
-    controller::Node(platform, policy, policy_path).run();
+    controller::Server(platform, policy, policy_path).run();
   } catch (const reachramp::settings::BadSettings& error) {
     std::cerr << "reachramp: " << error.what() << "\n";
     return kBadSettings;
--- /dev/null
+++ b/src/controller/cloud_worker.cpp
@@ -0,0 +1,132 @@
+#include "controller/cloud_worker.h"
+
+#include <chrono>
+#include <thread>
+
+#include "kv/steady_clock.h"
+
+namespace reachramp::controller {
+
+namespace {
+
+using kv::steady_now;
+
+constexpr double kCatalogEvery_s = 10;
+constexpr double kCatalogRetry_s = 2;
+constexpr double kListEvery_s = 2;
+constexpr double kRetry_s = 0.3;
+
+}  // namespace
+
+CloudWorker::CloudWorker(const settings::Platform& platform, leadership::LeaderElection& election,
+                         CatalogCache& catalog, EventQueue& events)
+    : election_(election),
+      catalog_(catalog),
+      events_(events),
+      cloud_(platform.cloud),
+      bucket_(platform.cloud_limits.rps * 0.8, platform.cloud_limits.rps) {}
+
+void CloudWorker::run() {
+  for (;;) {
+    take_requests();
+    // Read after the wait: what a new leader asks for at once must not be taken for an old one's.
+    const std::uint64_t fencing_token = election_.status().fencing_token;
+    std::erase_if(waiting_, [&](const QueuedCloudRequest& request) {
+      return request.fencing_token != fencing_token;
+    });
+    if (fencing_token == 0) {
+      run_as_follower();
+      continue;
+    }
+    refresh_catalog(fencing_token);
+    send_next_request(fencing_token);
+    refresh_machines(fencing_token);
+  }
+}
+
+void CloudWorker::take_requests() {
+  for (QueuedCloudRequest& request :
+       requests_.take(std::chrono::duration<double>(waiting_.empty() ? 0.5 : 0.05))) {
+    waiting_.push_back(std::move(request));
+  }
+}
+
+// Nodes that do not lead need the machine types too, to tell what can never run; they take them
+// from the key-value store, and from the cloud only while nobody has stored them.
+void CloudWorker::run_as_follower() {
+  listed_at_ = catalog_read_at_ = std::nullopt;
+  if (catalog_.get()) return;
+  wait_for_rate_limit();
+  if (const auto read = cloud_.catalog()) catalog_.set(*read);
+}
+
+void CloudWorker::refresh_catalog(std::uint64_t fencing_token) {
+  const double now = steady_now();
+  if (catalog_read_at_ && now - *catalog_read_at_ <= kCatalogEvery_s) return;
+  wait_for_rate_limit();
+  catalog_read_at_ = now;
+  if (const auto read = cloud_.catalog()) {
+    catalog_.set(*read);
+    events_.push({fencing_token, CatalogRead{*read}});
+  } else {
+    catalog_read_at_ = now - kCatalogEvery_s + kCatalogRetry_s;
+  }
+}
+
+void CloudWorker::send_next_request(std::uint64_t fencing_token) {
+  // After standing still another node may lead: nothing is rented or returned on a view from
+  // before, but for the sake of a cancellation.
+  if (!has_urgent_request(waiting_) &&
+      (waiting_.empty() || !election_.is_leadership_certain(fencing_token))) {
+    return;
+  }
+  const QueuedCloudRequest next = take_next_request(waiting_);
+  wait_for_rate_limit();
+  if (next.request.kind == CloudRequest::Kind::scale_out) {
+    const cloud::ScaleOutResult result = cloud_.scale_out(next.request.scale_out);
+    if (result.verdict == cloud::CloudOutcome::later) {
+      retry_later(next);
+    } else {
+      events_.push({fencing_token, ScaleOutCompleted{next.request.scale_out, result}});
+    }
+  } else if (cloud_.scale_in(next.request.machines)) {
+    events_.push({fencing_token, ScaleInCompleted{next.request.machines}});
+  } else {
+    retry_later(next);
+  }
+}
+
+void CloudWorker::retry_later(const QueuedCloudRequest& request) {
+  waiting_.push_back(request);
+  std::this_thread::sleep_for(kv::jittered(kRetry_s));
+}
+
+void CloudWorker::refresh_machines(std::uint64_t fencing_token) {
+  const double now = steady_now();
+  if (listed_at_ && now - *listed_at_ <= kListEvery_s) return;
+  listed_at_ = now;
+  list_machines(fencing_token);
+}
+
+void CloudWorker::list_machines(std::uint64_t fencing_token) {
+  const double asked_at = steady_now();
+  std::vector<cloud::ListedMachine> machines;
+  for (;;) {
+    wait_for_rate_limit();
+    cloud::ListPage page = cloud_.list(machines.empty() ? "" : machines.back().name);
+    if (page.verdict != cloud::CloudOutcome::ok) return;
+    const bool more = page.more && !page.machines.empty();
+    for (auto& machine : page.machines) machines.push_back(std::move(machine));
+    if (!more) break;
+  }
+  events_.push({fencing_token, MachinesListed{std::move(machines), asked_at}});
+}
+
+void CloudWorker::wait_for_rate_limit() {
+  double wait;
+  while ((wait = bucket_.take(1, steady_now())) > 0) {
+    std::this_thread::sleep_for(std::chrono::duration<double>(wait));
+  }
+}
+
+}  // namespace reachramp::controller
--- /dev/null
+++ b/src/controller/event_loop.cpp
@@ -0,0 +1,154 @@
+#include "controller/event_loop.h"
+
+#include <spdlog/spdlog.h>
+
+#include "kv/steady_clock.h"
+#include "peers/heartbeat_forwarder.h"
+
+namespace reachramp::controller {
+
+namespace {
+
+constexpr double kLeaderTick_s = 0.1;
+constexpr double kFollowerTick_s = 1.0;
+
+// Hands each result to the leader that asked for it.
+struct LeaderEvents {
+  Leader& leader;
+  double now;
+
+  // Dealt with before, since they do not need a leader.
+  void operator()(LeadershipAcquired&) const {}
+  void operator()(HeartbeatReceived&) const {}
+
+  void operator()(StatusReceived& in) const { leader.on_direct_status(in.status, now); }
+  void operator()(JobsChanged& in) const {
+    leader.on_jobs(in.changes, now);
+    leader.on_jobs_current(in.asked_at);
+  }
+  void operator()(JobsListed& in) const {
+    leader.on_job_list(in.entries, now);
+    leader.on_jobs_current(in.asked_at);
+  }
+  void operator()(CancellationsPolled& in) const {
+    leader.on_cancellation_digests(in.digests, now);
+  }
+  void operator()(JobEndRead& in) const { leader.on_end_read(in.job, in.found, now); }
+  void operator()(TransactionVerified& in) const {
+    leader.on_transaction_verified(in.found, in.leader, now);
+  }
+  void operator()(ClaimsRead& in) const { leader.on_claims(in.entries); }
+  void operator()(ObsoleteRecordsRead& in) const { leader.on_obsolete_records(in.entries, now); }
+  void operator()(DrainsRead& in) const { leader.on_drains(in.entry, now); }
+  void operator()(TransactionCompleted& in) const {
+    leader.on_transaction_completed(in.result, now);
+  }
+  void operator()(CatalogRead& in) const { leader.on_catalog(in.catalog, now); }
+  void operator()(MachinesListed& in) const { leader.on_host_list(in.machines, in.asked_at, now); }
+  void operator()(ScaleOutCompleted& in) const {
+    leader.on_scale_out_completed(in.request, in.result, now);
+  }
+  void operator()(ScaleInCompleted& in) const { leader.on_scale_in_completed(in.machines, now); }
+};
+
+}  // namespace
+
+void EventLoop::run_event_loop() {
+  for (;;) {
+    std::vector<Event> events =
+        events_.take(std::chrono::duration<double>(leader_ ? kLeaderTick_s : kFollowerTick_s));
+    const double now = kv::steady_now();
+    for (Event& event : events) {
+      try {
+        dispatch(event, now);
+      } catch (const std::exception& error) {
+        spdlog::error("event dropped: {}", error.what());
+      }
+    }
+    if (leader_) advance_leader(now);
+  }
+}
+
+void EventLoop::advance_leader(double now) {
+  if (members_.all_upgraded()) leader_->on_all_upgraded();
+  const std::uint64_t fencing_token = leader_->cluster().fencing_token;
+  if (leader_->deposed()) {
+    election_.on_deposed(fencing_token);
+    leader_.reset();
+  } else if (election_.status().fencing_token != fencing_token) {
+    leader_.reset();
+  } else {
+    execute_effects(leader_->advance(now));
+  }
+}
+
+void EventLoop::dispatch(Event& event, double now) {
+  if (auto* acquired = std::get_if<LeadershipAcquired>(&event.payload)) {
+    leader_ = std::move(acquired->leader);
+    return;
+  }
+  const bool current = leader_ && leader_->cluster().fencing_token == event.fencing_token;
+  if (auto* received = std::get_if<HeartbeatReceived>(&event.payload)) {
+    dispatch_heartbeat(*received, current, now);
+  } else if (current) {
+    std::visit(LeaderEvents{*leader_, now}, event.payload);
+  }
+}
+
+// Whoever waits for the reply is told in any case, by the leader now or later, or at once.
+void EventLoop::dispatch_heartbeat(HeartbeatReceived& received, bool current, double now) {
+  const auto reply = received.reply;
+  // No body: this node leads, but may not answer workers now. Final: whoever has forwarded the
+  // heartbeat passes that on.
+  const auto answer = [reply](const wire::Json& body) {
+    reply->set_value(body.is_null() ? wire::Reply{peers::kMisdirected, {{"error", "not current"}}}
+                                    : wire::Reply{200, body});
+  };
+  const HeartbeatVerdict verdict =
+      current ? leader_->on_heartbeat(received.heartbeat, answer, now) : HeartbeatVerdict::deposed;
+  if (verdict == HeartbeatVerdict::deposed) {
+    reply->set_value({503, {{"error", "not leading"}}});
+  }
+}
+
+void EventLoop::execute_effects(Effects effects) {
+  const std::uint64_t fencing_token = leader_->cluster().fencing_token;
+  if (effects.step_down) {
+    election_.resign(fencing_token);
+    leader_.reset();
+    return;
+  }
+  if (effects.read_jobs) executors_.jobs.request_relist();
+  if (effects.transaction) {
+    executors_.transactions.push({fencing_token, effects.transaction->transaction});
+  }
+  if (!effects.cancellation_poll_windows.empty()) {
+    executors_.cancellations.push({fencing_token, std::move(effects.cancellation_poll_windows)});
+  }
+  request_reads(effects, fencing_token);
+  for (CloudRequest& request : effects.cloud_requests) {
+    executors_.cloud.push({fencing_token, std::move(request)});
+  }
+  for (auto& [address, body] : effects.urgent_stops) {
+    executors_.prober.push({fencing_token, std::move(address), std::move(body)});
+  }
+  for (std::string& address : effects.probes) {
+    executors_.prober.push({fencing_token, std::move(address)});
+  }
+}
+
+void EventLoop::request_reads(Effects& effects, std::uint64_t fencing_token) {
+  using Kind = StrongRead::Kind;
+  StrongReader& reads = executors_.reads;
+  if (effects.verify_key) {
+    reads.push({Kind::verify_key, fencing_token, std::move(*effects.verify_key)});
+  }
+  for (std::string& job : effects.read_job_ends) {
+    reads.push({Kind::job_end, fencing_token, std::move(job)});
+  }
+  if (effects.read_claims) reads.push({Kind::claims, fencing_token});
+  if (effects.read_obsolete_records) reads.push({Kind::obsolete_records, fencing_token});
+  if (effects.read_drains) reads.push({Kind::drains, fencing_token});
+}
+
+}  // namespace reachramp::controller
--- a/src/controller/server_bytes_test.cpp
+++ b/src/controller/server_bytes_test.cpp
@@ -22,7 +22,7 @@
     if (pid_ != 0) return;
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     try {
-      Node(platform, {}, "").run();
+      Server(platform, {}, "").run();
     } catch (...) {
       ::_exit(1);
     }
