--- a/src/controller/event_loop.cpp
+++ b/src/controller/event_loop.cpp
@@ -23,17 +23,17 @@
 
   void operator()(StatusReceived& in) const { leader.on_direct_status(in.status, now); }
   void operator()(JobsChanged& in) const {
-    leader.on_jobs(in.changes, now);
-    leader.on_jobs_current(in.asked_at);
+    leader.on_job_changes(in.changes, now);
+    leader.on_jobs_read_until(in.asked_at);
   }
   void operator()(JobsListed& in) const {
     leader.on_job_list(in.entries, now);
-    leader.on_jobs_current(in.asked_at);
+    leader.on_jobs_read_until(in.asked_at);
   }
   void operator()(CancellationsPolled& in) const {
     leader.on_cancellation_digests(in.digests, now);
   }
-  void operator()(JobEndRead& in) const { leader.on_end_read(in.job, in.found, now); }
+  void operator()(JobEndRead& in) const { leader.on_job_end_read(in.job, in.found, now); }
   void operator()(TransactionVerified& in) const {
     leader.on_transaction_verified(in.found, in.leader, now);
   }
--- a/src/controller/heartbeat_router.cpp
+++ b/src/controller/heartbeat_router.cpp
@@ -35,7 +35,7 @@
     // answer. Turned away, it would try the next node, which may be gone as well: workers lost
     // their leases to two dead nodes in a row.
     const double left = give_up - steady_now();
-    if (leading || status.cut_off || !via_other_node || left <= 0) break;
+    if (leading || status.isolated || !via_other_node || left <= 0) break;
     election_.wait_for_change(status, std::min(left, kForwardAgain_s));
   }
   return {503, {{"error", "no leader answers"}}};
@@ -47,7 +47,7 @@
   // This node may answer no longer, or has given up its leadership. Refused by the key-value store
   // alone it still has the other nodes, who know of a leader: its workers need not move. Cut off
   // from all, or where they all know of none but this one, it sends them on at once.
-  if (status.fencing_token != 0 || status.cut_off) {
+  if (status.fencing_token != 0 || status.isolated) {
     return forwarder_.forward("", message, via_other_node, until);
   }
   if (status.leader.empty() || status.leader == node_name_) return std::nullopt;
--- a/src/controller/strong_reader.cpp
+++ b/src/controller/strong_reader.cpp
@@ -50,7 +50,7 @@
 
 void StrongReader::read_obsolete_records(std::uint64_t fencing_token) {
   std::vector<kv::Entry> found;
-  for (const std::string& prefix : stale_prefixes()) {
+  for (const std::string& prefix : obsolete_record_prefixes()) {
     auto entries = list_all(store_, prefix);
     if (!entries) return;
     for (kv::Entry& entry : *entries) {
