--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -240,8 +240,8 @@
     store_.revoke_lease(lease_id_);
     lease_id_ = 0;
   } else {
-    // Without an answer the claim may have been applied; the lease is kept, and reading the key
-    // again tells.
+    // Without an answer the claim may have been applied; the lease is kept, and the key
+    // is read again to find out.
     pause_before_retry();
   }
 }
@@ -291,7 +291,7 @@
 }
 
 // By a list, since its answer has the store's revision too. The key's own may be older than any
-// watch can reach: a node that joined under a leader of long standing would read the key and fail
+// watch can reach: a node that joined under a leader of many hours would read the key and fail
 // to watch it in turn, as fast as it can.
 void LeaderElection::read_leader_key() {
   const kv::ListResult page = store_.list(kLeaderKey, "");
--- a/src/leadership/read_freshness.h
+++ b/src/leadership/read_freshness.h
@@ -2,7 +2,7 @@
 // with a lease on reads. Each answer keeps the worker's tasks alive for up to a worker's lease from
 // the sending of its heartbeat; so a leader that answers only while
 //   now < cancellations known until + cancel_s - lease_s - a margin
-// keeps no task alive for longer than cancel_s after its user was told of the cancellation,
+// keeps no task alive for longer than cancel_s after the cancellation was confirmed to its user,
 // whatever the leader has not learned.
 //
 // Cancellations are known until the latest moment of which it is certain that every cancellation
@@ -31,7 +31,8 @@
 // see `bound_holds`.
 double staleness_bound(const settings::Workers& workers);
 // Whether `staleness_bound` ends tasks within cancel_s: nothing does where a worker's lease lasts
-// as long as cancel_s, or nearly. Users are then told of a cancellation only once it is complete.
+// as long as cancel_s, or nearly. A cancellation is then confirmed only once the job's end is
+// stored.
 bool bound_holds(const settings::Workers& workers);
 
 // A member's answer to the question what it has confirmed to users as cancelled.
