--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -1,7 +1,5 @@
 #include "kv/client.h"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <thread>
 
@@ -13,220 +11,111 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kLimit = 1500ms;
-constexpr std::size_t kResponseLimit = 8 * 1024 * 1024;
-
-Outcome outcome_of(const wire::Answer& answer) {
-  if (!answer.answered) return answer.sent ? Outcome::unknown : Outcome::refused;
-  switch (answer.status) {
-    case 200:
-      return Outcome::ok;
-    case 400:
-      return Outcome::malformed;
-    case 404:
-    case 410:
-      return Outcome::absent;
-    case 409:
-      return Outcome::conflict;
-    default:
-      return Outcome::refused;
-  }
-}
-
-// Runs a decoder; an answer that makes no sense tells nothing about what happened.
-template <class Result, class Decode>
-Result sensible(const wire::Answer& answer, Decode decode) {
-  Result result;
-  result.outcome = outcome_of(answer);
-  try {
-    decode(result);
-  } catch (const std::exception& error) {
-    spdlog::error("state service: {}", error.what());
-    result = Result{};
-  }
-  return result;
-}
-
-}  // namespace
-
-bool fits(const Json& value, double value_kb, std::size_t more) {
-  return static_cast<double>(wire::json_size(value) + more) <= value_kb * 1024;
-}
-
-Json encode_transaction(const Transaction& transaction) {
-  Json conditions = Json::array();
-  for (const auto& [key, revision] : transaction.preconditions) {
-    conditions.push_back({{"k", key}, {"stamp", revision}});
-  }
-  Json then = Json::array();
-  for (const Write& write : transaction.writes) {
-    if (!write.value) {
-      then.push_back({{"remove", write.key}});
-      continue;
-    }
-    Json put{{"write", write.key}, {"value", *write.value}};
-    if (write.lease_id) put["permit"] = *write.lease_id;
-    then.push_back(std::move(put));
-  }
-  Json body{{"if", std::move(conditions)}};
-  if (!then.empty()) body["then"] = std::move(then);  // without it, it only compares
-  return body;
-}
-
-CommitResult decode_committed(const wire::Answer& answer) {
-  return sensible<CommitResult>(answer, [&](CommitResult& result) {
-    if (result.outcome == Outcome::ok) result.store_revision = wire::count(answer.body, "epoch");
-    if (result.outcome == Outcome::conflict) {
-      for (const Json& key : wire::list(answer.body, "failed")) {
-        result.failed_keys.push_back(key.get<std::string>());
-      }
-    }
-    if (result.outcome == Outcome::malformed && answer.body.value("error", "") == "no such lease") {
-      result.outcome = Outcome::unknown_lease;
-    }
-  });
-}
+constexpr auto kTimeout = 1500ms;
+// A page may be 512 KiB and a watch's response has no limit; this only bounds our memory.
+constexpr std::size_t kResponseLimit_bytes = 8 * 1024 * 1024;
+constexpr std::size_t kIdleConnections = 8;
 
-ListResult decode_page(const wire::Answer& answer) {
-  return sensible<ListResult>(answer, [&](ListResult& page) {
-    if (page.outcome != Outcome::ok) return;
-    page.store_revision = wire::count(answer.body, "epoch");
-    const Json* more = wire::find(answer.body, "truncated");
-    page.more = more != nullptr && more->get<bool>();
-    for (const Json& item : wire::list(answer.body, "entries")) {
-      page.entries.push_back(
-          {wire::text(item, "k"), wire::need(item, "value"), wire::count(item, "stamp")});
-    }
-  });
-}
+// Whoever would wait longer for our own rate limit is told at once, so that it can decide anew.
+constexpr double kMaxRateWait_s = 0.5;
+// Waits for our own rate limit count as attempts, too.
+constexpr int kMaxRetries = 4;
+constexpr double kFirstRetry_s = 0.04;  // doubles with each attempt
+// When a store that has never served counts as having served last: longer ago than any limit.
+constexpr double kNeverServedAt_s = -1e9;
 
-WatchResult decode_changes(const wire::Answer& answer) {
-  return sensible<WatchResult>(answer, [&](WatchResult& result) {
-    if (result.outcome != Outcome::ok) return;
-    result.store_revision = wire::count(answer.body, "epoch");
-    for (const Json& item : wire::list(answer.body, "log")) {
-      KeyChange change;
-      change.revision = wire::count(item, "stamp");
-      if (const auto removed = wire::maybe_text(item, "remove")) {
-        change.key = *removed;
-      } else {
-        change.key = wire::text(item, "write");
-        change.value = wire::need(item, "value");
-      }
-      result.changes.push_back(std::move(change));
-    }
-  });
-}
+constexpr int kThrottled = 429;
+constexpr int kOutage = 503;
 
-ReadResult decode_found(const wire::Answer& answer) {
-  return sensible<ReadResult>(answer, [&](ReadResult& found) {
-    if (found.outcome == Outcome::ok) {
-      found.entry = {wire::text(answer.body, "k"), wire::need(answer.body, "value"),
-                     wire::count(answer.body, "stamp")};
-      if (wire::find(answer.body, "permit") != nullptr) {
-        found.entry.lease_id = wire::count(answer.body, "permit");
-      }
-    } else if (found.outcome == Outcome::absent) {
-      found.store_revision = wire::count(answer.body, "epoch");
-    }
-  });
-}
+}  // namespace
 
 Client::Client(const wire::Address& at, double rps)
-    : http_(at, 8, kResponseLimit), bucket_(rps, rps) {}
+    : http_(at, kIdleConnections, kResponseLimit_bytes), bucket_(rps, rps) {}
 
 wire::Answer Client::call(const char* method, const std::string& target, const Json* body,
-                          std::chrono::milliseconds limit, int* throttled) {
+                          std::chrono::milliseconds timeout, int* throttle_count) {
   for (int attempt = 0;; ++attempt) {
     double wait = 0;
     {
       std::lock_guard lock(mutex_);
       wait = bucket_.take(1, steady_now());
     }
-    if (wait > 0.5) return {};
+    if (wait > kMaxRateWait_s) return {};
     if (wait > 0) {
       std::this_thread::sleep_for(std::chrono::duration<double>(wait));
       continue;
     }
-    wire::Answer answer = http_.call(method, target, body, limit);
-    if (answer.answered) note(answer);
-    if (answer.status == 429 && throttled != nullptr) ++*throttled;
-    if (answer.status != 429 || attempt >= 4) return answer;
-    std::this_thread::sleep_for(jittered(0.04 * (1 << attempt)));
+    wire::Answer answer = http_.call(method, target, body, timeout);
+    if (answer.answered) record_response(answer);
+    if (answer.status == kThrottled && throttle_count != nullptr) ++*throttle_count;
+    if (answer.status != kThrottled || attempt >= kMaxRetries) return answer;
+    std::this_thread::sleep_for(jittered(kFirstRetry_s * (1 << attempt)));
   }
 }
 
-void Client::note(const wire::Answer& answer) {
-  const Json* store_revision = answer.body.is_object() ? wire::find(answer.body, "epoch") : nullptr;
+void Client::record_response(const wire::Answer& answer) {
+  const std::optional<std::uint64_t> store_revision = decode_store_revision(answer);
   const double now = steady_now();
   std::lock_guard lock(mutex_);
-  if (answer.status != 503) {
-    refused_since_ = -1;
+  if (answer.status != kOutage) {
+    refused_since_.reset();
     served_at_ = now;
-  } else if (refused_since_ < 0) {
+  } else if (!refused_since_) {
     refused_since_ = now;
   }
-  if (store_revision != nullptr && store_revision->is_number_unsigned()) {
-    timeline_.observe(store_revision->get<std::uint64_t>(), now);
-  }
+  if (store_revision) revision_clock_.observe(*store_revision, now);
 }
 
 RevisionClock Client::revision_clock() const {
   std::lock_guard lock(mutex_);
-  return timeline_;
+  return revision_clock_;
 }
 
 double Client::refused_duration_s(double now) const {
   std::lock_guard lock(mutex_);
-  return refused_since_ < 0 ? 0 : std::max(now - refused_since_, 1e-3);
+  return refused_since_ ? std::max(now - *refused_since_, 1e-3) : 0;
 }
 
 double Client::seconds_since_served(double now) const {
   std::lock_guard lock(mutex_);
-  return now - served_at_;
+  return now - served_at_.value_or(kNeverServedAt_s);
 }
 
 ReadResult Client::get(const std::string& key) {
-  return decode_found(call("GET", "/keys/" + key, nullptr, kLimit));
+  return decode_found(call("GET", encode_key_target(key), nullptr, kTimeout));
 }
 
 ListResult Client::list(const std::string& prefix, const std::string& after) {
-  std::string target = "/keys?starts=" + prefix;
-  if (!after.empty()) target += "&after=" + after;
-  return decode_page(call("GET", target + "&limit=1000", nullptr, 2 * kLimit));
+  return decode_page(call("GET", encode_list_target(prefix, after), nullptr, 2 * kTimeout));
 }
 
 CommitResult Client::commit(const Transaction& transaction) {
   const Json body = encode_transaction(transaction);
-  int throttled = 0;
-  CommitResult committed = decode_committed(call("POST", "/multi", &body, kLimit, &throttled));
-  committed.throttle_count = throttled;
+  int throttle_count = 0;
+  CommitResult committed =
+      decode_committed(call("POST", kTransactionTarget, &body, kTimeout, &throttle_count));
+  committed.throttle_count = throttle_count;
   return committed;
 }
 
-LeaseGrant Client::grant_lease(std::chrono::milliseconds life) {
-  const Json body{{"life_ms", life.count()}};
-  const wire::Answer answer = call("POST", "/holds", &body, kLimit);
-  return sensible<LeaseGrant>(answer, [&](LeaseGrant& lease_id) {
-    if (lease_id.outcome == Outcome::ok) lease_id.id = wire::count(answer.body, "permit");
-  });
+LeaseGrant Client::grant_lease(std::chrono::milliseconds lifetime) {
+  const Json body = encode_lease_request(lifetime);
+  return decode_lease_grant(call("POST", kLeasesTarget, &body, kTimeout));
 }
 
 Outcome Client::renew_lease(std::uint64_t lease_id) {
   const Json body = Json::object();
-  return outcome_of(call("POST", "/holds/" + std::to_string(lease_id) + "/renew", &body, kLimit));
+  return decode_outcome(call("POST", encode_lease_renewal_target(lease_id), &body, kTimeout));
 }
 
 void Client::revoke_lease(std::uint64_t lease_id) {
-  call("DELETE", "/holds/" + std::to_string(lease_id), nullptr, kLimit);
+  call("DELETE", encode_lease_target(lease_id), nullptr, kTimeout);
 }
 
 WatchResult Client::watch(const std::string& prefix, std::uint64_t after,
-                          std::chrono::milliseconds hold) {
-  return decode_changes(call("GET",
-                             "/follow?starts=" + prefix + "&after=" + std::to_string(after) +
-                                 "&hold_ms=" + std::to_string(hold.count()),
-                             nullptr, hold + kLimit));
+                          std::chrono::milliseconds max_wait) {
+  return decode_changes(
+      call("GET", encode_watch_target(prefix, after, max_wait), nullptr, max_wait + kTimeout));
 }
 
 }  // namespace reachramp::kv
--- a/src/kv/client.h
+++ b/src/kv/client.h
@@ -1,123 +1,102 @@
-// The key-value store: strong reads, conditional transactions, leases and watches.
+// Client of the consensus-backed key-value store, the only place where controller nodes keep state
+// that outlives them (PROTOCOL, "Controller nodes -> state service").
+//
+// Terms, used throughout the code:
+// - Store revision: the number of changes that the store has made so far. All changes of one
+//   transaction share one.
+// - Revision of a key: the store revision of the key's last change. It never repeats, so a key that
+//   has the revision it was read with has not changed since; 0 stands for a key that doesn't exist.
+// - Compare-and-swap transaction: writes that are applied, all or none, only if every key in the
+//   preconditions still has the revision named there. This is how nodes that don't know of each
+//   other never overwrite one another's changes.
+// - Lease: a claim on the store that its owner renews. Once it expires or is revoked, the store
+//   removes the keys attached to it. It never expires early, and after an outage of the store every
+//   lease has its full lifetime again. Not the lease that a worker has from the leader.
+//
+// What an Outcome means for the caller:
+// - ok: done.
+// - absent: the key or lease doesn't exist. Don't retry; a lease that has gone needs a new one. Of
+// a
+//   watch: the position is too old. Read the keys again and watch from there.
+// - conflict: nothing was applied. Don't retry as it is; read the failed keys again and decide
+// anew.
+// - refused: not executed, so a retry is safe. Pause before it (jittered, kv/steady_clock.h); the
+//   client has already repeated requests that were throttled.
+// - unknown_lease: nothing was applied. Retry with a new lease only.
+// - malformed: nothing was applied and a retry gets the same. A fault of ours, or a size limit.
+// - unknown: it may have been executed, or may yet be. Reads and watches can be repeated. A
+//   transaction can be repeated unchanged if its writes change a key of its preconditions: at most
+//   one of the two is then applied, and a conflict may mean that the first one was. Renewals can
+//   be repeated; a lease whose grant went unheard expires by itself.
 #pragma once
 
+#include <chrono>
+#include <cstdint>
 #include <mutex>
 #include <optional>
 #include <string>
-#include <vector>
 
+#include "kv/codec.h"
 #include "kv/revision_clock.h"
 #include "kv/token_bucket.h"
+#include "kv/types.h"
 #include "wire/http.h"
 
 namespace reachramp::kv {
 
-using wire::Json;
-
-enum class Outcome {
-  ok,
-  absent,         // no such key or lease
-  conflict,       // a condition failed; nothing was applied
-  refused,        // not executed: outage, rate limit
-  unknown_lease,  // a write named a lease that has ended
-  malformed,      // the service calls the request malformed
-  unknown,        // no answer: may have been, or may yet be, executed
-};
-
-struct Entry {
-  std::string key;
-  Json value;
-  std::uint64_t revision = 0;
-  std::uint64_t lease_id = 0;  // that it hangs on, as far as a read of the key alone tells; 0: none
-};
-
-struct ReadResult {
-  Outcome outcome = Outcome::unknown;
-  Entry entry;
-  std::uint64_t store_revision = 0;  // when absent
-};
-
-struct ListResult {
-  Outcome outcome = Outcome::unknown;
-  std::vector<Entry> entries;
-  bool more = false;
-  std::uint64_t store_revision = 0;
-};
-
-struct Write {
-  std::string key;
-  std::optional<Json> value;  // none: remove
-  std::optional<std::uint64_t> lease_id;
-};
-
-struct Transaction {
-  std::vector<std::pair<std::string, std::uint64_t>> preconditions;
-  std::vector<Write> writes;
-};
-
-struct CommitResult {
-  Outcome outcome = Outcome::unknown;
-  std::uint64_t store_revision = 0;
-  std::vector<std::string> failed_keys;
-  int throttle_count = 0;  // how often it was turned away for its rate before this
-};
-
-struct KeyChange {
-  std::string key;
-  std::optional<Json> value;  // none: removed
-  std::uint64_t revision = 0;
-};
-
-struct WatchResult {
-  Outcome outcome = Outcome::unknown;  // absent: the position is too old
-  std::uint64_t store_revision = 0;
-  std::vector<KeyChange> changes;
-};
-
-struct LeaseGrant {
-  Outcome outcome = Outcome::unknown;
-  std::uint64_t id = 0;
-};
-
-// Whether the value, and so many bytes more, is no longer than a value may be.
-bool fits(const Json& value, double value_kb, std::size_t more = 0);
-Json encode_transaction(const Transaction& transaction);
-CommitResult decode_committed(const wire::Answer& answer);
-ListResult decode_page(const wire::Answer& answer);
-WatchResult decode_changes(const wire::Answer& answer);
-ReadResult decode_found(const wire::Answer& answer);
-
+// Owns the connections to the store, the rate limit that this process keeps to, and what the
+// responses so far say of the store's reachability and of when revisions were assigned.
+//
+// All functions may be called by any thread, also at the same time. Requests block the caller: for
+// a response up to 1.5 s (a list 3 s, a watch 1.5 s more than it may wait), and for the pauses
+// between attempts when the rate is exceeded. None of them throws for what the store does.
 class Client {
  public:
+  // `rps`: requests per second that this client keeps to, with bursts of one second's worth; below
+  // `state.rps`, above which the service throttles.
   Client(const wire::Address& at, double rps);
 
+  // Strong read of one key.
   ReadResult get(const std::string& key);
+  // One page of the keys with the prefix, those that follow `after`; empty: from the first.
   ListResult list(const std::string& prefix, const std::string& after);
+  // Executes a compare-and-swap transaction.
   CommitResult commit(const Transaction& transaction);
-  LeaseGrant grant_lease(std::chrono::milliseconds life);
+  // Asks for a new lease. `lifetime` counts from each renewal; 100 ms to 600 s.
+  LeaseGrant grant_lease(std::chrono::milliseconds lifetime);
+  // absent: the lease has ended, and the keys attached to it are removed.
   Outcome renew_lease(std::uint64_t lease_id);
+  // Ends the lease at once, and with it its keys. Best effort: it expires anyway.
   void revoke_lease(std::uint64_t lease_id);
-  WatchResult watch(const std::string& prefix, std::uint64_t after, std::chrono::milliseconds hold);
+  // Waits up to `max_wait` (at most 60 s) until a key with the prefix changes after the store
+  // revision `after`, and returns all such changes.
+  WatchResult watch(const std::string& prefix, std::uint64_t after,
+                    std::chrono::milliseconds max_wait);
 
-  // How long all that was answered has been refused; 0 if the last answer was not a refusal.
+  // For how many seconds every response has been an outage's (503), at least 1 ms; 0 if the last
+  // response was another or there was none. `now`: steady_now().
   double refused_duration_s(double now) const;
-  // How long ago the last answer came that was no refusal.
+  // Seconds since the last response that was not an outage's; more than 1e9 if there was none yet.
+  // Unlike refused_duration_s, it grows also while no responses come at all.
   double seconds_since_served(double now) const;
-  // What the answers so far tell of when revisions were given.
+  // A copy of what the responses so far tell of when revisions were assigned.
   RevisionClock revision_clock() const;
 
  private:
+  // Sends a request at the rate the bucket allows and repeats it when throttled, a few times. Not
+  // sent at all (refused) if the bucket's queue is too long. Adds to `throttle_count`, if not null,
+  // the number of responses that were 429.
   wire::Answer call(const char* method, const std::string& target, const Json* body,
-                    std::chrono::milliseconds limit, int* throttled = nullptr);
-
-  void note(const wire::Answer& answer);
+                    std::chrono::milliseconds timeout, int* throttle_count = nullptr);
+  // Updates reachability and the revision clock.
+  void record_response(const wire::Answer& answer);
 
   wire::Client http_;
-  mutable std::mutex mutex_;
+  mutable std::mutex mutex_;  // guards all below
   TokenBucket bucket_;
-  double refused_since_ = -1;
-  double served_at_ = -1e9;
-  RevisionClock timeline_;
+  std::optional<double> refused_since_;  // steady seconds; none: the last response was no 503
+  std::optional<double> served_at_;      // steady seconds; none: not served yet
+  RevisionClock revision_clock_;
 };
 
 }  // namespace reachramp::kv
--- /dev/null
+++ b/src/kv/codec.h
@@ -0,0 +1,52 @@
+// The form of the key-value store's requests and responses on the wire; the one place that knows
+// its names (PROTOCOL, "Controller nodes -> state service"). All functions are pure and may be
+// called by any thread.
+//
+// A response that cannot be decoded says nothing about what was executed: the decoders then log the
+// reason and return a default result, whose outcome is `unknown`. They don't throw.
+#pragma once
+
+#include <chrono>
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <string>
+
+#include "kv/types.h"
+#include "wire/http.h"
+
+namespace reachramp::kv {
+
+// Whether the value, and `more` bytes by which the caller expects it to grow, stays within the size
+// limit of a value (`state.value_kb`, in KiB of the JSON form). A transaction that exceeds it is
+// malformed as a whole, so callers check before they commit.
+bool fits(const Json& value, double value_kb, std::size_t more = 0);
+
+// Request targets. Slashes in keys are not escaped, as the protocol wants it.
+inline constexpr const char* kTransactionTarget = "/multi";
+inline constexpr const char* kLeasesTarget = "/holds";
+std::string encode_key_target(const std::string& key);
+// A page of as many keys as the service allows, those after `after`; empty: from the first.
+std::string encode_list_target(const std::string& prefix, const std::string& after);
+std::string encode_lease_target(std::uint64_t lease_id);
+std::string encode_lease_renewal_target(std::uint64_t lease_id);
+std::string encode_watch_target(const std::string& prefix, std::uint64_t after,
+                                std::chrono::milliseconds max_wait);
+
+// Request bodies.
+Json encode_transaction(const Transaction& transaction);
+Json encode_lease_request(std::chrono::milliseconds lifetime);
+
+// What the status of a response says, or its absence.
+Outcome decode_outcome(const wire::Answer& answer);
+// The store revision of any response that carries one; nothing if it doesn't.
+std::optional<std::uint64_t> decode_store_revision(const wire::Answer& answer);
+
+// `throttle_count` is left to the caller: one response cannot tell it.
+CommitResult decode_committed(const wire::Answer& answer);
+ListResult decode_page(const wire::Answer& answer);
+WatchResult decode_changes(const wire::Answer& answer);
+ReadResult decode_found(const wire::Answer& answer);
+LeaseGrant decode_lease_grant(const wire::Answer& answer);
+
+}  // namespace reachramp::kv
