--- a/src/kv/revision_clock.cpp
+++ b/src/kv/revision_clock.cpp
@@ -9,98 +9,118 @@
 
 namespace {
 
-constexpr double kMarkEvery_s = 0.25;
-// Marks lie this part of their age apart, so that an hour takes a few dozen of them.
-constexpr double kApart = 1.0 / 8;
-constexpr double kLeastApart_s = 1;
-constexpr std::size_t kMostMarks = 64;
-constexpr double kLongest_s = 1e7;
+// A change sooner after the last sample isn't worth one of its own: ages are used in seconds.
+constexpr double kSampleInterval_s = 0.25;
+// Samples lie this part of their age apart, so that an hour takes a few dozen of them.
+constexpr double kSpacingByAge = 1.0 / 8;
+constexpr double kMinSpacing_s = 1;
+constexpr std::size_t kMaxSamples = 64;
+// Nearly four months. A record that claims more is taken for a damaged one.
+constexpr double kMaxAge_s = 1e7;
 
 }  // namespace
 
 void RevisionClock::observe(std::uint64_t store_revision, double now) {
-  if (!first_noted_) first_noted_ = store_revision;
-  if (marks_.empty() || store_revision > marks_.back().revision) {
-    // Between two marks close by, one or the other is soon enough.
-    if (!marks_.empty() && now - marks_.back().at < kMarkEvery_s) return;
-    marks_.push_back({store_revision, now});
-    if (marks_.size() > kMostMarks) compact(now);
+  if (!first_observed_) first_observed_ = store_revision;
+  if (samples_.empty() || store_revision > samples_.back().revision) {
+    // Between two samples close by, one or the other is soon enough.
+    if (!samples_.empty() && now - samples_.back().at < kSampleInterval_s) return;
+    samples_.push_back({store_revision, now});
+    if (samples_.size() > kMaxSamples) compact(now);
     return;
   }
-  if (store_revision < marks_.back().revision) return;  // an answer that was on its way for longer
-  const bool twice = marks_.size() > 1 && marks_[marks_.size() - 2].revision == store_revision;
-  if (twice) {
-    marks_.back().at = std::max(marks_.back().at, now);
+  if (store_revision < samples_.back().revision) return;  // a response that was overtaken
+  const bool has_two =
+      samples_.size() > 1 && samples_[samples_.size() - 2].revision == store_revision;
+  if (has_two) {
+    samples_.back().at = std::max(samples_.back().at, now);
   } else {
-    marks_.push_back({store_revision, std::max(marks_.back().at, now)});
+    samples_.push_back({store_revision, std::max(samples_.back().at, now)});
   }
 }
 
 void RevisionClock::compact(double now) {
-  std::vector<RevisionMark> kept{marks_.front()};
-  for (std::size_t i = 1; i + 1 < marks_.size(); ++i) {
-    const double apart = std::max(kLeastApart_s, (now - marks_[i + 1].at) * kApart);
-    if (marks_[i + 1].at - kept.back().at >= apart) kept.push_back(marks_[i]);
+  std::vector<RevisionSample> kept{samples_.front()};
+  for (std::size_t i = 1; i + 1 < samples_.size(); ++i) {
+    const double spacing = std::max(kMinSpacing_s, (now - samples_[i + 1].at) * kSpacingByAge);
+    if (samples_[i + 1].at - kept.back().at >= spacing) kept.push_back(samples_[i]);
   }
-  kept.push_back(marks_.back());
-  const std::size_t surplus = kept.size() - std::min(kept.size(), kMostMarks);
+  kept.push_back(samples_.back());
+  const std::size_t surplus = kept.size() - std::min(kept.size(), kMaxSamples);
   kept.erase(kept.begin(), kept.begin() + static_cast<std::ptrdiff_t>(surplus));
-  marks_ = std::move(kept);
+  samples_ = std::move(kept);
+}
+
+std::vector<RevisionClock::RevisionSample>::const_iterator RevisionClock::first_reaching(
+    std::uint64_t revision) const {
+  return std::lower_bound(
+      samples_.begin(), samples_.end(), revision,
+      [](const RevisionSample& sample, std::uint64_t sought) { return sample.revision < sought; });
 }
 
 double RevisionClock::time_of(std::uint64_t revision, double now) const {
-  const auto by =
-      std::lower_bound(marks_.begin(), marks_.end(), revision,
-                       [](const RevisionMark& mark, std::uint64_t s) { return mark.revision < s; });
-  if (by == marks_.end()) return now;
-  if (by == marks_.begin()) return by->at;
-  const RevisionMark& before = *std::prev(by);
+  const auto after = first_reaching(revision);
+  if (after == samples_.end()) return now;
+  if (after == samples_.begin()) return after->at;
+  const RevisionSample& before = *std::prev(after);
   const double part = static_cast<double>(revision - before.revision) /
-                      static_cast<double>(by->revision - before.revision);
-  return before.at + (by->at - before.at) * part;
+                      static_cast<double>(after->revision - before.revision);
+  return before.at + (after->at - before.at) * part;
 }
 
 std::optional<double> RevisionClock::earliest_time_of(std::uint64_t revision) const {
-  if (!first_noted_ || revision <= *first_noted_) return std::nullopt;
-  const auto by =
-      std::lower_bound(marks_.begin(), marks_.end(), revision,
-                       [](const RevisionMark& mark, std::uint64_t s) { return mark.revision < s; });
-  if (by == marks_.begin()) return std::nullopt;
-  return std::prev(by)->at;
+  if (!first_observed_ || revision <= *first_observed_) return std::nullopt;
+  const auto after = first_reaching(revision);
+  if (after == samples_.begin()) return std::nullopt;
+  return std::prev(after)->at;
 }
 
 wire::Json RevisionClock::encode(double now) const {
-  wire::Json marks = wire::Json::array();
-  for (const RevisionMark& mark : marks_) {
-    marks.push_back({mark.revision, static_cast<std::uint64_t>(
-                                        std::max(0.0, std::round((now - mark.at) * 1000)))});
+  wire::Json samples = wire::Json::array();
+  for (const RevisionSample& sample : samples_) {
+    const double age_ms = std::max(0.0, std::round((now - sample.at) * 1000));
+    samples.push_back({sample.revision, static_cast<std::uint64_t>(age_ms)});
   }
-  return {{"marks", std::move(marks)}};
+  return {{"marks", std::move(samples)}};
 }
 
-void RevisionClock::restore(const wire::Json& record, std::uint64_t revision, double now) {
-  if (!record.is_object()) throw wire::BadMessage("timeline: not a map");
-  const double written_at = time_of(revision, now);
-  const std::uint64_t own = marks_.empty() ? revision + 1 : marks_.front().revision;
-  std::vector<RevisionMark> found;
+RevisionClock::RevisionSample RevisionClock::decode_sample(const wire::Json& item,
+                                                           double written_at) {
+  if (!item.is_array() || item.size() != 2 || !item[0].is_number_unsigned() ||
+      !item[1].is_number_unsigned()) {
+    throw wire::BadMessage("timeline: not a mark");
+  }
+  return {item[0].get<std::uint64_t>(),
+          written_at - static_cast<double>(item[1].get<std::uint64_t>()) / 1000};
+}
+
+std::vector<RevisionClock::RevisionSample> RevisionClock::decode_samples(const wire::Json& record,
+                                                                         std::uint64_t revision,
+                                                                         double written_at,
+                                                                         std::uint64_t end) {
   const wire::Json& list = wire::list(record, "marks");
-  if (list.size() > 2 * kMostMarks) throw wire::BadMessage("timeline: too many marks");
+  if (list.size() > 2 * kMaxSamples) throw wire::BadMessage("timeline: too many marks");
+  std::vector<RevisionSample> found;
   for (const wire::Json& item : list) {
-    if (!item.is_array() || item.size() != 2 || !item[0].is_number_unsigned() ||
-        !item[1].is_number_unsigned()) {
-      throw wire::BadMessage("timeline: not a mark");
-    }
-    const RevisionMark mark{item[0].get<std::uint64_t>(),
-                            written_at - static_cast<double>(item[1].get<std::uint64_t>()) / 1000};
-    if (mark.revision > revision || written_at - mark.at > kLongest_s ||
-        (!found.empty() && (mark.revision < found.back().revision || mark.at < found.back().at))) {
+    const RevisionSample sample = decode_sample(item, written_at);
+    const bool out_of_order =
+        !found.empty() && (sample.revision < found.back().revision || sample.at < found.back().at);
+    if (sample.revision > revision || written_at - sample.at > kMaxAge_s || out_of_order) {
       throw wire::BadMessage("timeline: marks out of order");
     }
-    if (mark.revision < own) found.push_back(mark);
+    if (sample.revision < end) found.push_back(sample);
   }
+  return found;
+}
+
+void RevisionClock::restore(const wire::Json& record, std::uint64_t revision, double now) {
+  if (!record.is_object()) throw wire::BadMessage("timeline: not a map");
+  const double written_at = time_of(revision, now);
+  const std::uint64_t own = samples_.empty() ? revision + 1 : samples_.front().revision;
+  std::vector<RevisionSample> found = decode_samples(record, revision, written_at, own);
   if (revision < own) found.push_back({revision, written_at});
-  marks_.insert(marks_.begin(), found.begin(), found.end());
-  if (marks_.size() > kMostMarks) compact(now);
+  samples_.insert(samples_.begin(), found.begin(), found.end());
+  if (samples_.size() > kMaxSamples) compact(now);
 }
 
 bool is_stale(const std::string& key, const wire::Json&, std::uint32_t level) {
--- a/src/kv/revision_clock_bytes_test.cpp
+++ b/src/kv/revision_clock_bytes_test.cpp
@@ -1,11 +1,11 @@
-// The literal form of the record `revision clock`.
+// The literal form of the record `timeline`, which outlives releases.
 #include "bytes.h"
 #include "kv/revision_clock.h"
 
 namespace reachramp::kv {
 namespace {
 
-TEST(TimelineRecordBytes, RecordIsReadAndWrittenAsLiteral) {
+TEST(RevisionClockBytes, RecordIsEncodedAndDecodedAsLiteral) {
   constexpr const char* kRecord = R"({"marks":[[10,30000],[20,20000],[30,500]]})";
   RevisionClock written;
   written.observe(10, 70);
@@ -20,7 +20,7 @@
   EXPECT_STREQ(kTimelineKey, "timeline");
 }
 
-TEST(TimelineRecordBytes, RecordOfVersion040IsRead) {
+TEST(RevisionClockBytes, RecordOfVersion040IsDecoded) {
   RevisionClock read;
   read.restore(test::received(R"({"marks":[[7,4000],[9,0]]})"), 9, 50);
   EXPECT_EQ(read.time_of(7, 50), 46);
--- a/src/kv/revision_clock_test.cpp
+++ b/src/kv/revision_clock_test.cpp
@@ -1,3 +1,4 @@
+// Ages of records from the samples of the store revision, with the store's true history beside.
 #include "kv/revision_clock.h"
 
 #include <gtest/gtest.h>
@@ -8,121 +9,128 @@
 namespace reachramp::kv {
 namespace {
 
-// A service whose store revision moves in steps that nobody times, and what a leader and its
-// successors see.
-struct History {
+// A store whose revision moves at times that no node observes exactly, and when each revision was
+// truly assigned.
+struct StoreHistory {
   double now = 1000;
   std::uint64_t store_revision = 5;
-  std::vector<double> given{0, 0, 0, 0, 0, 0};  // by revision
+  std::vector<double> assigned_at{0, 0, 0, 0, 0, 0};  // steady seconds, by revision
 
-  void change() {
+  void commit() {
     ++store_revision;
-    given.push_back(now);
+    assigned_at.push_back(now);
   }
 };
 
-// What must not be taken for younger than it is: never later than the revision was given, and
-// unknown for a revision from before this process began to look, whatever an earlier leader wrote
-// of it.
-RC_GTEST_PROP(Timeline, TheEarliestTimeOfARevisionIsNeverLaterThanTheRevision, ()) {
-  History world;
+// The record as a leader wrote it, and the revision that the write got.
+struct StoredRecord {
+  wire::Json value;
+  std::uint64_t revision = 0;
+};
+
+// Guards against taking something for younger than it is: the bound is never later than the
+// revision was assigned, and there is none for a revision from before this process's first sample,
+// whatever an earlier leader wrote of it.
+RC_GTEST_PROP(RevisionClock, EarliestTimeIsNeverLaterThanTheRevisionWasAssigned, ()) {
+  StoreHistory store;
   for (int i = 0; i < 20; ++i) {
-    world.now += 1;
-    world.change();
+    store.now += 1;
+    store.commit();
   }
-  RevisionClock earlier;
-  earlier.observe(world.store_revision, world.now);
-  const std::uint64_t written = world.store_revision;
-  RevisionClock timeline;
-  world.now += 30;
-  world.change();
-  const std::uint64_t first = world.store_revision;
-  timeline.observe(first, world.now);
-  timeline.restore(earlier.encode(world.now), written, world.now);
+  RevisionClock earlier_leader;
+  earlier_leader.observe(store.store_revision, store.now);
+  const std::uint64_t recorded_revision = store.store_revision;
+  RevisionClock clock;
+  store.now += 30;
+  store.commit();
+  const std::uint64_t first_observed = store.store_revision;
+  clock.observe(first_observed, store.now);
+  clock.restore(earlier_leader.encode(store.now), recorded_revision, store.now);
   const int steps = *rc::gen::inRange(1, 200);
   for (int step = 0; step < steps; ++step) {
-    world.now += *rc::gen::inRange(1, 30) / 10.0;
-    for (int i = *rc::gen::inRange(0, 4); i > 0; --i) world.change();
-    if (*rc::gen::inRange(0, 3) > 0) timeline.observe(world.store_revision, world.now);
+    store.now += *rc::gen::inRange(1, 30) / 10.0;
+    for (int i = *rc::gen::inRange(0, 4); i > 0; --i) store.commit();
+    if (*rc::gen::inRange(0, 3) > 0) clock.observe(store.store_revision, store.now);
   }
-  for (std::uint64_t revision = 1; revision <= world.store_revision; ++revision) {
-    const auto earliest = timeline.earliest_time_of(revision);
-    RC_ASSERT(earliest.has_value() == (revision > first));
-    if (earliest) RC_ASSERT(*earliest <= world.given[revision]);
+  for (std::uint64_t revision = 1; revision <= store.store_revision; ++revision) {
+    const auto earliest = clock.earliest_time_of(revision);
+    RC_ASSERT(earliest.has_value() == (revision > first_observed));
+    if (earliest) RC_ASSERT(*earliest <= store.assigned_at[revision]);
   }
 }
 
-// Through any number of leaders who saw nothing themselves, each reading what the last one wrote:
-// no revision seems older than it is by more than marks lie apart, and none loses more than the
-// time in which nobody led and the last few seconds before.
-RC_GTEST_PROP(Timeline, AgesOutliveLeadersThatSawNothing, ()) {
-  History world;
+// Guards against ages lost in failovers. Through any number of leaders, each of which observed
+// nothing before it led and restores what the last one wrote: no revision seems older than it is by
+// more than the samples' spacing, and none loses more than the time without a leader and the last
+// few seconds before it.
+RC_GTEST_PROP(RevisionClock, AgesSurviveFailoversToNodesWithoutSamples, ()) {
+  StoreHistory store;
   double lost = 0;
-  std::optional<std::pair<wire::Json, std::uint64_t>> record;
+  std::optional<StoredRecord> record;
   const int leaders = *rc::gen::inRange(1, 6);
   for (int leader = 0; leader < leaders; ++leader) {
-    RevisionClock timeline;
-    timeline.observe(world.store_revision, world.now);
-    if (record) timeline.restore(record->first, record->second, world.now);
+    RevisionClock clock;
+    clock.observe(store.store_revision, store.now);
+    if (record) clock.restore(record->value, record->revision, store.now);
     const int steps = *rc::gen::inRange(1, 200);
-    double told_at = world.now;
+    double recorded_at = store.now;
     for (int step = 0; step < steps; ++step) {
-      world.now += *rc::gen::inRange(1, 30) / 10.0;
-      for (int i = *rc::gen::inRange(0, 4); i > 0; --i) world.change();
-      timeline.observe(world.store_revision, world.now);
-      if (world.now - told_at < 5) continue;
-      told_at = world.now;
-      const wire::Json told = timeline.encode(world.now);
-      RC_ASSERT(wire::json_size(told) <= 2048u);
-      world.change();
-      record = std::pair(told, world.store_revision);
+      store.now += *rc::gen::inRange(1, 30) / 10.0;
+      for (int i = *rc::gen::inRange(0, 4); i > 0; --i) store.commit();
+      clock.observe(store.store_revision, store.now);
+      if (store.now - recorded_at < 5) continue;
+      recorded_at = store.now;
+      const wire::Json encoded = clock.encode(store.now);
+      RC_ASSERT(wire::json_size(encoded) <= 2048u);
+      store.commit();
+      record = StoredRecord{encoded, store.store_revision};
     }
-    for (std::uint64_t revision = 6; revision <= world.store_revision; ++revision) {
-      const double age = world.now - world.given[revision];
-      const double reckoned = world.now - timeline.time_of(revision, world.now);
-      RC_ASSERT(reckoned >= 0);
-      // Marks lie at most an eighth of the age apart, on either side of a revision.
-      RC_ASSERT(reckoned <= age * 1.3 + 4);
-      if (record) RC_ASSERT(reckoned >= (age - lost) * 0.7 - 12);
+    for (std::uint64_t revision = 6; revision <= store.store_revision; ++revision) {
+      const double age = store.now - store.assigned_at[revision];
+      const double estimated = store.now - clock.time_of(revision, store.now);
+      RC_ASSERT(estimated >= 0);
+      // Samples lie at most an eighth of the age apart, on either side of a revision.
+      RC_ASSERT(estimated <= age * 1.3 + 4);
+      if (record) RC_ASSERT(estimated >= (age - lost) * 0.7 - 12);
     }
     const double gap = *rc::gen::inRange(0, 20);
-    lost += gap + (world.now - told_at);
-    world.now += gap;
+    lost += gap + (store.now - recorded_at);
+    store.now += gap;
   }
 }
 
-TEST(Timeline, WhoeverWasThereKnowsBetterThanTheRecord) {
+TEST(RevisionClock, OwnSamplesTakePrecedenceOverRestoredRecord) {
   RevisionClock leader, follower;
   for (int i = 0; i < 60; ++i) {
     leader.observe(100 + i, 10 + i);
-    follower.observe(100 + i, 500 + i);  // another steady clock
+    follower.observe(100 + i, 500 + i);  // by another steady clock
   }
-  const wire::Json told = leader.encode(70);
+  const wire::Json encoded = leader.encode(70);
   follower.observe(160, 561);
-  follower.restore(told, 160, 600);  // a long time after it was written
+  follower.restore(encoded, 160, 600);  // a long time after it was written
   EXPECT_NEAR(follower.time_of(130, 600), 530, 1.5);
-  EXPECT_EQ(follower.time_of(999, 600), 600) << "not given yet, as far as we know";
+  EXPECT_EQ(follower.time_of(999, 600), 600) << "not assigned yet, as far as the samples tell";
 }
 
-TEST(Timeline, QuietTimesDoNotStretch) {
-  RevisionClock timeline;
-  timeline.observe(10, 0);
-  for (int i = 1; i <= 60; ++i) timeline.observe(10, i);
-  timeline.observe(15, 61);
-  EXPECT_GE(timeline.time_of(11, 70), 60);
-  EXPECT_EQ(timeline.time_of(10, 70), 0);
+TEST(RevisionClock, RevisionAfterQuietPeriodIsNotDatedIntoIt) {
+  RevisionClock clock;
+  clock.observe(10, 0);
+  for (int i = 1; i <= 60; ++i) clock.observe(10, i);
+  clock.observe(15, 61);
+  EXPECT_GE(clock.time_of(11, 70), 60);
+  EXPECT_EQ(clock.time_of(10, 70), 0);
 }
 
-TEST(Timeline, RecordsThatCannotBeAreRefusedWhole) {
-  for (const char* bad :
+TEST(RevisionClock, InvalidRecordIsRejectedAsAWhole) {
+  for (const char* invalid :
        {"[]", "{}", R"({"marks":7})", R"({"marks":[7]})", R"({"marks":[[7]]})",
         R"({"marks":[[-7,1]]})", R"({"marks":[[7,"1"]]})", R"({"marks":[[7,1e300]]})",
         R"({"marks":[[99,1]]})", R"({"marks":[[7,1],[6,0]]})", R"({"marks":[[7,1],[8,5]]})",
         R"({"marks":[[7,18446744073709551615]]})"}) {
-    RevisionClock timeline;
-    timeline.observe(60, 100);
-    EXPECT_THROW(timeline.restore(wire::Json::parse(bad), 50, 100), std::exception) << bad;
-    EXPECT_EQ(timeline.time_of(7, 100), 100) << bad;
+    RevisionClock clock;
+    clock.observe(60, 100);
+    EXPECT_THROW(clock.restore(wire::Json::parse(invalid), 50, 100), std::exception) << invalid;
+    EXPECT_EQ(clock.time_of(7, 100), 100) << invalid;
   }
 }
 
