--- a/src/kv/codec_bytes_test.cpp
+++ b/src/kv/codec_bytes_test.cpp
@@ -86,5 +86,28 @@
   EXPECT_EQ(absent.store_revision, 41u);
 }
 
+// Guards against a retry of what was executed, or none of what was not.
+TEST(KeyValueCodecBytes, EachStatusIsDecodedAsItsOutcome) {
+  EXPECT_EQ(decode_outcome(response(200, "{}")), Outcome::ok);
+  EXPECT_EQ(decode_outcome(response(400, "{}")), Outcome::malformed);
+  EXPECT_EQ(decode_outcome(response(404, "{}")), Outcome::absent);
+  EXPECT_EQ(decode_outcome(response(409, "{}")), Outcome::conflict);
+  EXPECT_EQ(decode_outcome(response(410, "{}")), Outcome::absent);
+  EXPECT_EQ(decode_outcome(response(429, "{}")), Outcome::refused);
+  EXPECT_EQ(decode_outcome(response(503, "{}")), Outcome::refused);
+}
+
+TEST(KeyValueCodecBytes, MissingResponseIsUnknownOnlyIfTheRequestWasSent) {
+  wire::Answer missing;
+  EXPECT_EQ(decode_outcome(missing), Outcome::refused);
+  missing.sent = true;
+  EXPECT_EQ(decode_outcome(missing), Outcome::unknown);
+}
+
+TEST(KeyValueCodecBytes, UndecodableResponseIsUnknown) {
+  EXPECT_EQ(decode_committed(response(200, R"({"epoch":"41"})")).outcome, Outcome::unknown);
+  EXPECT_EQ(decode_page(response(200, R"({"epoch":41,"entries":[7]})")).outcome, Outcome::unknown);
+}
+
 }  // namespace
 }  // namespace reachramp::kv
