--- a/src/kv/client.h
+++ b/src/kv/client.h
@@ -47,9 +47,9 @@
 // Owns the connections to the store, the rate limit that this process keeps to, and what the
 // responses so far say of the store's reachability and of when revisions were assigned.
 //
-// All functions may be called by any thread, also at the same time. Requests block the caller: for
-// a response up to 1.5 s (a list 3 s, a watch 1.5 s more than it may wait), and for the pauses
-// between attempts when the rate is exceeded. None of them throws for what the store does.
+// All functions may be called by any thread, also at the same time. Requests block the caller: each
+// attempt for a response up to 1.5 s (a list 3 s, a watch 1.5 s longer than it may wait), besides
+// the pauses between attempts when a rate is exceeded. None of them throws for what the store does.
 class Client {
  public:
   // `rps`: requests per second that this client keeps to, with bursts of one second's worth; below
--- a/src/kv/client_test.cpp
+++ b/src/kv/client_test.cpp
@@ -1,4 +1,4 @@
-// What the client makes of throttling, outages and silence, against a store that answers as told.
+// What the client makes of throttling, outages and silence, against a store with set responses.
 #include "kv/client.h"
 
 #include <atomic>
--- a/src/kv/revision_clock.h
+++ b/src/kv/revision_clock.h
@@ -21,7 +21,7 @@
 // Whether it is a record of this slice that the schema level doesn't have, or has in another form.
 bool is_stale(const std::string& key, const wire::Json& value, std::uint32_t level);
 
-// Owns the samples of the store revision, thinned out with their age, at most 64 of them.
+// Owns the samples of the store revision: at most 64, the sparser the older.
 //
 // Not safe to share between threads. Behaves the same for the same calls: it reads no clock itself.
 class RevisionClock {
