--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -43,8 +43,8 @@
   std::vector<CloudRequest> cloud_requests;
   std::optional<std::string> verify_key;   // a key that tells whether a transaction was applied
   std::vector<std::string> read_job_ends;  // jobs whose ends are to be read
-  std::vector<std::string>
-      probes;  // machines to be told our fencing token at their own address
+  // Addresses of machines to be told this leader's fencing token.
+  std::vector<std::string> probes;
   std::vector<std::pair<std::string, kv::Json>> urgent_stops;  // addresses, bodies of /orders
   std::vector<double> cancellation_poll_windows;  // members for the cancellations they told: one
                                                   // window each; or none
