--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -23,8 +23,8 @@
   made.spec.cpus = 1;
   made.spec.ram_gb = 2;
   made.spec.image = "img-" + std::to_string(number % 18);
-  made.spec.spot = true;
-  made.spec.estimate_s = 30;
+  made.spec.allow_spot = true;
+  made.spec.estimated_duration_s = 30;
   made.spec.deadline_s = 300;
   return made;
 }
@@ -36,10 +36,10 @@
   made.spec.priority = jobs::Priority::normal;
   made.spec.cpus = 30;
   made.spec.ram_gb = 100;
-  made.spec.one_zone = true;
-  made.spec.checkpoint_s = 15;
-  made.spec.save_s = 4;
-  made.spec.estimate_s = 150;
+  made.spec.single_zone = true;
+  made.spec.checkpoint_interval_s = 15;
+  made.spec.checkpoint_duration_s = 4;
+  made.spec.estimated_duration_s = 150;
   made.spec.deadline_s = std::nullopt;
   return made;
 }
@@ -51,9 +51,9 @@
   p.teams = {{"red", 0, 0, 0, 0}};
   p.objectives = {{settings::ServiceLevelObjective::Kind::wait, "tally", 90, 1},
                   {settings::ServiceLevelObjective::Kind::finished, "render", 150, 1}};
-  p.workers = {4, 24, 30, 5, 45};
-  p.state_limits = {500, 60, 4, 8};
-  p.state_next = p.state_limits;
+  p.worker_timings = {4, 24, 30, 5, 45};
+  p.store_limits = {500, 60, 4, 8};
+  p.upcoming_store_limits = p.store_limits;
   p.cloud_limits = {5, 5};
   return p;
 }
@@ -72,7 +72,7 @@
   for (std::size_t i = 0; i < size.machines; ++i) {
     const Index host = cluster.add_host(machine_name(i), now);
     const bool large = i % kLargeOneIn == 0;
-    cluster.describe_host(host, large ? "large" : "small", kZones[i % 3], i % 2 == 0);
+    cluster.set_host_type(host, large ? "large" : "small", kZones[i % 3], i % 2 == 0);
     cluster.hosts[host]->phase = placement::HostPhase::up;
     cluster.hosts[host]->last_heartbeat_at = now;
     if (i >= busy) continue;
@@ -95,7 +95,7 @@
     for (auto& [placed, attempt] : job->attempts) {
       cluster.mark_persisted(*job, placed);
       attempt.start_sent = true;
-      attempt.observed = placement::ObservedState::running;
+      attempt.observed_state = placement::ObservedState::running;
       attempt.running_since = now;
     }
   }
@@ -106,17 +106,17 @@
 
 World::World(const Size& size) {
   const settings::Platform p = platform();
-  placement::Cluster cluster(p, kFencingToken, jobs::Format::compact);
+  placement::Cluster cluster(p, kFencingToken, jobs::TaskRecordFormat::compact);
   fill(cluster, size, 0);
   for (const auto& job : cluster.jobs) {
     snapshot.jobs.push_back({jobs::job_key(job->spec.id),
                              jobs::encode_header({job->spec, false, 0, 0, job->revision}),
                              job->revision});
     for (std::size_t i = 0; i < job->task_ranges.size(); ++i) {
-      const jobs::ChunkRecord record = cluster.chunk_record(*job, i);
+      const jobs::TaskRangeRecord record = cluster.make_range_record(*job, i);
       if (record.placements.empty()) continue;
       snapshot.tasks.push_back(
-          {cluster.chunk_key(*job, i), cluster.encode_chunk(record), job->revision});
+          {cluster.task_range_key(*job, i), cluster.encode_task_range(record), job->revision});
     }
   }
   snapshot.catalog = kv::Entry{controller::kCatalogKey, cloud::encode_catalog(catalog()), 1};
--- a/bench/lab_bench.cpp
+++ b/bench/lab_bench.cpp
@@ -22,7 +22,7 @@
   server().with([](lab::StateService& model) {
     model.commit({{}, {{"job/j-1", wire::Json{{"a", std::string(300, 'x')}}, std::nullopt}}});
   });
-  wire::Client client({"127.0.0.1", kPort}, 1, wire::kBodyLimit);
+  wire::Client client({"127.0.0.1", kPort}, 1, wire::kMaxBody_bytes);
   for (auto _ : state) {
     if (client.call("GET", "/keys/job/j-1", nullptr, kLimit).status != 200) {
       state.SkipWithError("no answer");
@@ -33,7 +33,7 @@
 
 void write(benchmark::State& state) {
   server();
-  wire::Client client({"127.0.0.1", kPort}, 1, wire::kBodyLimit);
+  wire::Client client({"127.0.0.1", kPort}, 1, wire::kMaxBody_bytes);
   const std::string key = "k/" + std::to_string(state.thread_index());
   for (auto _ : state) {
     const wire::Json body{{"then", {{{"write", key}, {"value", {{"a", std::string(300, 'x')}}}}}}};
--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -20,7 +20,7 @@
 // All machines are busy and many jobs wait: what a burst looks like, ten times a second.
 void plan_full(benchmark::State& state) {
   const settings::Platform p = platform();
-  placement::Cluster cluster(p, 1, jobs::Format::compact);
+  placement::Cluster cluster(p, 1, jobs::TaskRecordFormat::compact);
   fill(cluster, size_of(state), 0);
   for (auto _ : state) benchmark::DoNotOptimize(placement::plan(cluster, kWaited_s));
   state.SetComplexityN(state.range(0));
@@ -31,7 +31,7 @@
   const settings::Platform p = platform();
   for (auto _ : state) {
     state.PauseTiming();
-    placement::Cluster cluster(p, 1, jobs::Format::compact);
+    placement::Cluster cluster(p, 1, jobs::TaskRecordFormat::compact);
     fill(cluster, size_of(state), 0);
     for (std::size_t i = 1; i < cluster.hosts.size(); i += 100) {
       const auto attempts = cluster.hosts[i]->attempts;
@@ -46,14 +46,14 @@
 
 void buy(benchmark::State& state) {
   const settings::Platform p = platform();
-  placement::Cluster cluster(p, 1, jobs::Format::compact);
+  placement::Cluster cluster(p, 1, jobs::TaskRecordFormat::compact);
   Size size = size_of(state);
   size.filled = 0.9;  // some are idle and may go back
   fill(cluster, size, 0);
   acquire::Autoscaler buyer{settings::Policy{}};
-  buyer.note_prices(cluster, 0);
+  buyer.record_prices(cluster, 0);
   for (auto _ : state) {
-    buyer.note_exposure(cluster, 100);
+    buyer.update_exposure(cluster, 100);
     benchmark::DoNotOptimize(buyer.scale_in_candidates(cluster, 100));
     benchmark::DoNotOptimize(buyer.scale_out_requests(cluster, 100));
   }
@@ -86,7 +86,7 @@
 void second(benchmark::State& state) {
   Led led(size_of(state));
   const std::size_t machines = led.world.reports.size();
-  const double each_s = platform().workers.report_s / static_cast<double>(machines);
+  const double each_s = platform().worker_timings.report_interval_s / static_cast<double>(machines);
   std::size_t next = 0;
   for (auto _ : state) {
     for (const double end = led.now + 1; led.now < end;) {
--- a/lab/checker/placing_rules.cpp
+++ b/lab/checker/placing_rules.cpp
@@ -55,7 +55,8 @@
   }
   const bool type_allowed = !spec.types || std::find(spec.types->begin(), spec.types->end(),
                                                      place.type) != spec.types->end();
-  if (!type_allowed || (spec.zone && *spec.zone != place.zone) || (place.spot && !spec.spot)) {
+  if (!type_allowed || (spec.zone && *spec.zone != place.zone) ||
+      (place.spot && !spec.allow_spot)) {
     note("wrong_place", task, "on " + place.machine + ", a " + place.type + " in " + place.zone,
          {place.machine}, now);
   }
@@ -64,14 +65,14 @@
        at != machines_of_.end() && at->first.job == task.job; ++at) {
     for (const std::string& machine : at->second) {
       const std::string& zone = places_.at(machine).zone;
-      if (spec.one_zone && zone != place.zone) {
+      if (spec.single_zone && zone != place.zone) {
         note("wrong_place", task, "in " + place.zone + " beside tasks in " + zone,
              {place.machine, machine}, now);
       }
       in_zone += zone == place.zone ? 1 : 0;
     }
   }
-  if (spec.spread && in_zone > (spec.tasks + 1) / 2) {
+  if (spec.spread_over_zones && in_zone > (spec.tasks + 1) / 2) {
     note("wrong_place", task, "with more than half of its job in " + place.zone, {place.machine},
          now);
   }
@@ -107,8 +108,8 @@
   }
   for (const settings::Team& team : teams_) {
     const Use& use = used[team.name];
-    if ((team.cpus_max > 0 && use.cpus > team.cpus_max + 1e-6) ||
-        (team.gpus_max > 0 && use.gpus > team.gpus_max + 1e-6)) {
+    if ((team.max_cpus > 0 && use.cpus > team.max_cpus + 1e-6) ||
+        (team.max_gpus > 0 && use.gpus > team.max_gpus + 1e-6)) {
       note("quota", last,
            fmt::format("and others of {}: {} cpus, {} gpus", team.name, use.cpus, use.gpus), {},
            now);
--- a/lab/cli/main.cpp
+++ b/lab/cli/main.cpp
@@ -53,13 +53,13 @@
 settings::Platform common(const Up& up) {
   settings::Platform p;
   p.teams = {{"crew", 0, 0, 0, 0}};
-  p.workers = {1, 10, 30, 5, 30};
-  p.state_limits = {500, 60, 8, 8};
+  p.worker_timings = {1, 10, 30, 5, 30};
+  p.store_limits = {500, 60, 8, 8};
   p.cloud_limits = {10, 2};
   p.fd_limit = 700;
   p.ram_mb = 128;
-  p.state = at(up.base_port);
-  p.cloud = at(up.base_port + 1);
+  p.store_address = at(up.base_port);
+  p.cloud_address = at(up.base_port + 1);
   return p;
 }
 
@@ -78,7 +78,7 @@
   fleet.cloud.limits = p.cloud_limits;
   fleet.cloud.spot_per_hour = 1;
   fleet.cloud.silent = 0.3;
-  fleet.workers = p.workers;
+  fleet.workers = p.worker_timings;
   fleet.teams = p.teams;
   fleet.worker_port = static_cast<std::uint16_t>(up.base_port + 3);
   return fleet;
@@ -139,7 +139,7 @@
   for (int i = 0; i < up.nodes; ++i) {
     settings::Platform one = p;
     one.node_name = node_name(i);
-    one.domain = i % 2 == 0 ? "north" : "south";
+    one.failure_domain = i % 2 == 0 ? "north" : "south";
     one.serve_on = at(up.base_port + 10 + 2 * i);
     one.cluster_listen = at(up.base_port + 11 + 2 * i);
     controllers[one.node_name] = one.serve_on;
@@ -148,23 +148,24 @@
   for (auto& one : platforms) {
     for (const auto& other : platforms) {
       if (other.node_name != one.node_name) {
-        one.members.push_back({other.node_name, other.domain, other.cluster_listen});
+        one.members.push_back({other.node_name, other.failure_domain, other.cluster_listen});
       }
     }
   }
-  lab::StateServer state(p.state_limits, up.seed);
-  state.open("all", p.state.port);
+  lab::StateServer state(p.store_limits, up.seed);
+  state.open("all", p.store_address.port);
   lab::FleetSpec spec = fleet_of(up, p);
   spec.controllers = controllers;
-  lab::FleetServer fleet(spec, p.cloud.port, up.seed);
-  lab::Balancer balancer(static_cast<std::uint16_t>(up.base_port + 2), controllers, fleet,
-                         [](const jobs::Spec& job) { return std::max(job.estimate_s, 0.1); });
+  lab::FleetServer fleet(spec, p.cloud_address.port, up.seed);
+  lab::Balancer balancer(
+      static_cast<std::uint16_t>(up.base_port + 2), controllers, fleet,
+      [](const jobs::Spec& job) { return std::max(job.estimated_duration_s, 0.1); });
   lab::Nodes nodes(up.program, up.folder, platforms);
   for (const auto& one : platforms) nodes.start(one.node_name);
 
   std::cout << "users:         http://" << address(static_cast<std::uint16_t>(up.base_port + 2))
-            << "/submissions (MessagePack)\nstate service: http://" << address(p.state.port)
-            << "\ncloud:         http://" << address(p.cloud.port) << "\n";
+            << "/submissions (MessagePack)\nstate service: http://" << address(p.store_address.port)
+            << "\ncloud:         http://" << address(p.cloud_address.port) << "\n";
   for (const auto& one : platforms) {
     std::cout << one.node_name << ":    http://" << address(one.serve_on.port) << "\n";
   }
--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -48,7 +48,7 @@
 Load::Load(LoadSpec spec, std::uint64_t seed)
     : spec_(std::move(spec)),
       random_(seed),
-      client_(spec_.to, kKept, wire::kBodyLimit),
+      client_(spec_.to, kKept, wire::kMaxBody_bytes),
       accepted_ms_(make()),
       done_s_(make()) {}
 
@@ -77,7 +77,7 @@
   const double give_up = due + spec_.wait_s;
   bool accepted = false;
   while (!stop && !accepted && steady_now() < due + kRepeatFor_s) {
-    const wire::Answer answer = client_.call("POST", "/submissions", &body, kSubmitLimit);
+    const wire::CallResult answer = client_.call("POST", "/submissions", &body, kSubmitLimit);
     accepted = answer.status == 200 || answer.status == 201;
     if (!accepted) sleep(std::max<double>(kRepeatAfter_s, answer.retry_after_s));
   }
@@ -91,7 +91,7 @@
   }
   while (accepted && !stop && steady_now() < give_up) {
     const std::string path = "/submissions/" + id;
-    const wire::Answer answer =
+    const wire::CallResult answer =
         withdraws ? client_.call("POST", path + "/withdraw", nullptr, kSubmitLimit)
                   : client_.call("GET", path, nullptr, kPollLimit);
     const bool told = answer.status == 200 && answer.body.is_object();
--- a/lab/loopback/balancer.cpp
+++ b/lab/loopback/balancer.cpp
@@ -17,7 +17,7 @@
                    FleetServer& fleet, RunTime run_time)
     : fleet_(fleet), run_time_(std::move(run_time)), budget_(kMostConnections) {
   for (const auto& [name, address] : nodes) {
-    nodes_.push_back(std::make_unique<wire::Client>(address, kKept, wire::kBodyLimit));
+    nodes_.push_back(std::make_unique<wire::Client>(address, kKept, wire::kMaxBody_bytes));
   }
   door_ = std::make_unique<wire::Server>(
       wire::Address{"127.0.0.1", port}, budget_, wire::ClientKind::user,
@@ -25,7 +25,7 @@
       [this](const wire::Request& request) { return serve(request); });
 }
 
-wire::Reply Balancer::serve(const wire::Request& request) {
+wire::Response Balancer::serve(const wire::Request& request) {
   std::optional<wire::Json> body;
   if (!request.body.empty()) body = wire::decode_map(request.body);
   if (request.path == "/submissions" && body) {
@@ -38,11 +38,11 @@
   }
   for (std::size_t i = 0; i < std::min(kTries, nodes_.size()); ++i) {
     wire::Client& node = *nodes_[next_++ % nodes_.size()];
-    const wire::Answer answer =
+    const wire::CallResult answer =
         node.call(request.method.c_str(), request.path, body ? &*body : nullptr, kLimit);
-    if (answer.answered) return {answer.status, answer.body, answer.retry_after_s};
+    if (answer.received_response) return {answer.status, answer.body, answer.retry_after_s};
     // What a node may have begun is not for another one to repeat: users do that, by the same id.
-    if (answer.sent) break;
+    if (answer.may_have_been_sent) break;
   }
   return {504, {{"error", "no node answers"}}, 1};
 }
--- a/lab/loopback/balancer.h
+++ b/lab/loopback/balancer.h
@@ -20,7 +20,7 @@
            FleetServer& fleet, RunTime run_time);
 
  private:
-  wire::Reply serve(const wire::Request& request);
+  wire::Response serve(const wire::Request& request);
 
   FleetServer& fleet_;
   RunTime run_time_;
--- a/lab/loopback/fleet_server.cpp
+++ b/lab/loopback/fleet_server.cpp
@@ -24,7 +24,7 @@
 constexpr double kToldBefore_s = 20;
 constexpr double kToldAfter_s = 2;
 
-wire::Server::Sender anybody() {
+wire::Server::ClientClassifier anybody() {
   return [](const wire::Request&) { return wire::ClientKind::user; };
 }
 
@@ -108,7 +108,7 @@
   return told;
 }
 
-void FleetServer::note_cloud_request(const wire::Request& request, const wire::Reply& reply,
+void FleetServer::note_cloud_request(const wire::Request& request, const wire::Response& reply,
                                      double now) {
   if (request.method != "POST" || reply.status == 400) return;
   const wire::Json body = wire::decode_map(request.body);
@@ -123,10 +123,10 @@
   }
 }
 
-wire::Reply FleetServer::serve_cloud(const wire::Request& request) {
+wire::Response FleetServer::serve_cloud(const wire::Request& request) {
   std::lock_guard lock(mutex_);
   const double now = steady_now();
-  wire::Reply reply = cloud_.ask(request, now);
+  wire::Response reply = cloud_.ask(request, now);
   note_cloud_request(request, reply, now);
   // Before the answer: by then what was returned is gone.
   handle_cloud_events(now);
@@ -149,12 +149,12 @@
   return hung;
 }
 
-wire::Reply FleetServer::serve_worker(Member& member, const wire::Request& request) {
+wire::Response FleetServer::serve_worker(Member& member, const wire::Request& request) {
   std::unique_lock lock(mutex_);
   member.changed.wait(lock, [&] { return member.gone || !member.worker->hangs(); });
   if (member.gone) return {503, {{"error", "gone"}}};
   const double now = steady_now();
-  wire::Reply reply = member.worker->ask(request, now);
+  wire::Response reply = member.worker->ask(request, now);
   if (request.method == "POST") {
     history_.note(
         now, member.place.machine,
@@ -217,9 +217,9 @@
 }
 
 void FleetServer::note_report(const Member& member, const std::string& node, double sent_at,
-                              const wire::Answer& answer, double now) {
-  const bool ordinary = answer.answered && answer.status == 200 && now - sent_at < kNotedReport_s &&
-                        answer.body.is_object() &&
+                              const wire::CallResult& answer, double now) {
+  const bool ordinary = answer.received_response && answer.status == 200 &&
+                        now - sent_at < kNotedReport_s && answer.body.is_object() &&
                         answer.body.value("orders", wire::Json::array()).empty();
   if (ordinary) return;
   history_.note(now, member.place.machine,
@@ -306,11 +306,12 @@
     }
     auto& client = clients[sending->node];
     if (!client) {
-      client =
-          std::make_unique<wire::Client>(spec_.controllers.at(sending->node), 1, wire::kBodyLimit);
+      client = std::make_unique<wire::Client>(spec_.controllers.at(sending->node), 1,
+                                              wire::kMaxBody_bytes);
     }
     lock.unlock();
-    const wire::Answer answer = client->call("POST", "/v1/report", &sending->report, kAnswerLimit);
+    const wire::CallResult answer =
+        client->call("POST", "/v1/report", &sending->report, kAnswerLimit);
     lock.lock();
     if (member->gone) break;
     const double heard = steady_now();
--- a/lab/loopback/fleet_server.h
+++ b/lab/loopback/fleet_server.h
@@ -21,7 +21,7 @@
 
 struct FleetSpec {
   CloudSpec cloud;
-  settings::Workers workers;
+  settings::WorkerTimings workers;
   std::vector<settings::Team> teams;
   std::map<std::string, wire::Address> controllers;  // by name: where they serve
   std::uint16_t worker_port = 0;  // for direct orders, on addresses from 127.16.0.1 on; 0: none
@@ -70,8 +70,8 @@
   };
   using Shared = std::shared_ptr<Member>;
 
-  wire::Reply serve_cloud(const wire::Request& request);
-  wire::Reply serve_worker(Member& member, const wire::Request& request);
+  wire::Response serve_cloud(const wire::Request& request);
+  wire::Response serve_worker(Member& member, const wire::Request& request);
   void keep_time();
   void come_up(const std::string& machine, double now);
   void go(const std::string& machine, double now);
@@ -82,8 +82,8 @@
   void observe(Member& member, double now);
   void note_changes(Member& member, double now);
   void note_report(const Member& member, const std::string& node, double sent_at,
-                   const wire::Answer& answer, double now);
-  void note_cloud_request(const wire::Request& request, const wire::Reply& reply, double now);
+                   const wire::CallResult& answer, double now);
+  void note_cloud_request(const wire::Request& request, const wire::Response& reply, double now);
 
   FleetSpec spec_;
   std::mutex mutex_;
--- a/lab/loopback/fleet_server_test.cpp
+++ b/lab/loopback/fleet_server_test.cpp
@@ -31,8 +31,8 @@
     spec.controllers["node-0"] = controller;
     spec.worker_port = ports_.reserve();
     fleet_ = std::make_unique<FleetServer>(spec, cloud_port, 1);
-    cloud_ =
-        std::make_unique<wire::Client>(wire::Address{"127.0.0.1", cloud_port}, 1, wire::kBodyLimit);
+    cloud_ = std::make_unique<wire::Client>(wire::Address{"127.0.0.1", cloud_port}, 1,
+                                            wire::kMaxBody_bytes);
     jobs::Spec job;
     job.id = "j-1";
     job.team = "red";
@@ -45,7 +45,7 @@
   std::vector<std::string> rent(int count) {
     const Json hire{
         {"hire", "r-1"}, {"rig", "small"}, {"hall", "a"}, {"loaner", false}, {"how_many", count}};
-    const wire::Answer answer = cloud_->call("POST", "/hosts", &hire, 3000ms);
+    const wire::CallResult answer = cloud_->call("POST", "/hosts", &hire, 3000ms);
     EXPECT_EQ(answer.status, 200);
     return answer.body.at("hosts").get<std::vector<std::string>>();
   }
@@ -54,7 +54,7 @@
   void start(const std::string& machine, int task) {
     const std::string address = fleet_->with_cloud(
         [&](const Cloud& cloud) { return cloud.machines().at(machine).address; });
-    wire::Client worker(wire::parse_address(address), 0, wire::kBodyLimit);
+    wire::Client worker(wire::parse_address(address), 0, wire::kMaxBody_bytes);
     const Json order{{"verb", "start"}, {"piece", "j-1/" + std::to_string(task)}, {"try", 1}};
     const Json body{{"baton", 1}, {"tenure", 1}, {"orders", {order}}};
     for (int i = 0; i < 100; ++i) {
--- a/lab/loopback/nodes.cpp
+++ b/lab/loopback/nodes.cpp
@@ -21,25 +21,26 @@
 std::string platform_file(const settings::Platform& p) {
   std::string file =
       fmt::format("node_name = \"{}\"\ndomain = \"{}\"\nserve_on = {}\ncluster_listen = {}\n",
-                  p.node_name, p.domain, text(p.serve_on), text(p.cluster_listen));
+                  p.node_name, p.failure_domain, text(p.serve_on), text(p.cluster_listen));
   for (const settings::Member& member : p.members) {
     file += fmt::format("[[members]]\nnode_name = \"{}\"\ndomain = \"{}\"\naddr = {}\n",
-                        member.name, member.domain, text(member.address));
+                        member.name, member.failure_domain, text(member.address));
   }
-  file += fmt::format("[services]\ncloud = {}\nstate = {}\n", text(p.cloud), text(p.state));
+  file += fmt::format("[services]\ncloud = {}\nstate = {}\n", text(p.cloud_address),
+                      text(p.store_address));
   for (const settings::Team& team : p.teams) {
     file += fmt::format(
         "[[facts.teams]]\nname = \"{}\"\ncpus = {}\ncpus_max = {}\ngpus = {}\ngpus_max = {}\n",
-        team.name, team.cpus, team.cpus_max, team.gpus, team.gpus_max);
+        team.name, team.guaranteed_cpus, team.max_cpus, team.guaranteed_gpus, team.max_gpus);
   }
   file += fmt::format(
       "[facts.workers]\nreport_s = {}\nlease_s = {}\ngang_wait_s = {}\ngang_peer_s = {}\n"
       "cancel_s = {}\n",
-      p.workers.report_s, p.workers.lease_s, p.workers.gang_wait_s, p.workers.gang_peer_s,
-      p.workers.cancel_s);
+      p.worker_timings.report_interval_s, p.worker_timings.lease_s, p.worker_timings.gang_wait_s,
+      p.worker_timings.gang_peer_s, p.worker_timings.cancel_s);
   file += fmt::format("[facts.state]\nrps = {}\nwrite_rps = {}\nvalue_kb = {}\ntxn_ops = {}\n",
-                      p.state_limits.rps, p.state_limits.write_rps, p.state_limits.value_kb,
-                      p.state_limits.txn_ops);
+                      p.store_limits.rps, p.store_limits.write_rps, p.store_limits.value_kb,
+                      p.store_limits.txn_ops);
   file += fmt::format("[facts.cloud]\nrps = {}\nlist_lag_s = {}\n", p.cloud_limits.rps,
                       p.cloud_limits.list_lag_s);
   file += fmt::format("[facts.limits]\nram_mb = {}\nfd_limit = {}\n", p.ram_mb, p.fd_limit);
--- a/lab/loopback/state_server.cpp
+++ b/lab/loopback/state_server.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-StateServer::StateServer(const settings::StateLimits& limits, std::uint64_t seed)
+StateServer::StateServer(const settings::StoreLimits& limits, std::uint64_t seed)
     : model_(limits, seed), clock_([this] { keep_time(); }) {}
 
 StateServer::~StateServer() {
@@ -38,15 +38,15 @@
       [this, node](const wire::Request& request) { return serve(node, request); }));
 }
 
-wire::Reply StateServer::serve(const std::string& node, const wire::Request& request) {
-  std::future<wire::Reply> told;
+wire::Response StateServer::serve(const std::string& node, const wire::Request& request) {
+  std::future<wire::Response> told;
   {
     std::lock_guard lock(mutex_);
     if (stopping_) return {503, {{"error", "stopping"}}};
     if (refuse_if_ && refuse_if_(request)) return {503, {{"error", "refused"}}};
     const double now = steady_now();
     auto answer = model_.ask(node, request, now);
-    if (auto* reply = std::get_if<wire::Reply>(&answer)) {
+    if (auto* reply = std::get_if<wire::Response>(&answer)) {
       if (request.path == "/multi") {
         history_.note(now, node,
                       fmt::format("{} -> {} {}", wire::decode_map(request.body).dump(),
--- a/lab/loopback/state_server.h
+++ b/lab/loopback/state_server.h
@@ -18,7 +18,7 @@
 
 class StateServer {
  public:
-  StateServer(const settings::StateLimits& limits, std::uint64_t seed);
+  StateServer(const settings::StoreLimits& limits, std::uint64_t seed);
   ~StateServer();
   StateServer(const StateServer&) = delete;
 
@@ -49,7 +49,7 @@
   }
 
  private:
-  wire::Reply serve(const std::string& node, const wire::Request& request);
+  wire::Response serve(const std::string& node, const wire::Request& request);
   void keep_time();
   void tell(double now);
 
@@ -62,7 +62,7 @@
   StateService model_;
   EventHistory history_{kMostTransactionsNoted};
   std::function<bool(const wire::Request&)> refuse_if_;
-  std::map<std::uint64_t, std::promise<wire::Reply>> watches_;
+  std::map<std::uint64_t, std::promise<wire::Response>> watches_;
   bool stopping_ = false;
   wire::ConnectionLimiter budget_{kMostConnections};
   std::vector<std::unique_ptr<wire::Server>> doors_;
--- a/lab/model/cloud.cpp
+++ b/lab/model/cloud.cpp
@@ -10,8 +10,8 @@
 namespace reachramp::lab {
 
 using wire::Json;
-using wire::Reply;
 using wire::Request;
+using wire::Response;
 
 namespace {
 
@@ -41,7 +41,7 @@
   return std::uniform_real_distribution<double>(low, high)(random_);
 }
 
-Reply Cloud::ask(const Request& request, double now) {
+Response Cloud::ask(const Request& request, double now) {
   if (stopped_) return {503, {{"error", "trouble"}}};
   if (requests_.take(1, now) > 0) return {429, {{"error", "too many requests"}}};
   try {
@@ -49,7 +49,7 @@
     const bool post = request.method == "POST";
     if (get && request.path == "/catalog") {
       cloud::Catalog catalog = spec_.catalog;
-      for (auto& type : catalog) type.spot_price = spot_price(type, now);
+      for (auto& type : catalog) type.spot_price_per_hour = spot_price(type, now);
       return {200, cloud::encode_catalog(catalog)};
     }
     if (post && request.path == "/hosts") return hire(wire::decode_map(request.body), now);
@@ -68,7 +68,7 @@
   const auto place = std::find_if(spec_.catalog.begin(), spec_.catalog.end(),
                                   [&](const auto& other) { return other.name == type.name; });
   const double shift = static_cast<double>(place - spec_.catalog.begin());
-  return type.spot_price *
+  return type.spot_price_per_hour *
          (1 + kPriceMoves * std::sin(phase_ + shift + 2 * std::numbers::pi * now / kPricePeriod_s));
 }
 
@@ -86,7 +86,7 @@
   }));
 }
 
-Reply Cloud::hire(const Json& body, double now) {
+Response Cloud::hire(const Json& body, double now) {
   const std::string name = wire::text(body, "hire");
   const auto known = hires_.find(name);
   if (known != hires_.end()) return {200, {{"hosts", known->second}}};
@@ -129,9 +129,9 @@
   return machines_[machine.name] = machine;
 }
 
-Reply Cloud::give_back(const Json& body, double now) {
+Response Cloud::give_back(const Json& body, double now) {
   const Json& names = wire::list(body, "hosts");
-  if (names.size() > cloud::kMostPerReturn) return {400, {{"error", "hosts: too many"}}};
+  if (names.size() > cloud::kMaxMachinesPerReturn) return {400, {{"error", "hosts: too many"}}};
   for (const Json& name : names) {
     if (!name.is_string()) return {400, {{"error", "hosts: not text"}}};
   }
@@ -142,7 +142,7 @@
   return {200, Json::object()};
 }
 
-Reply Cloud::list(const Request& request, double now) {
+Response Cloud::list(const Request& request, double now) {
   const std::string after = parameter(request.query, "after");
   const std::uint64_t most =
       std::min(number_or(parameter(request.query, "limit"), "limit", kMostPerList), kMostPerList);
@@ -228,7 +228,7 @@
   const double end = std::min({machine.gone_at, machine.died_at, now});
   double seconds = std::max(0.0, end - machine.rented_at);
   if (machine.gone_at <= now) seconds = std::max(seconds, kLeastCharge_s);
-  if (!machine.spot) return seconds * type->price / 3600;
+  if (!machine.spot) return seconds * type->price_per_hour / 3600;
   // Spot machines are charged the current price all along: its mean over the time.
   constexpr int kSteps = 16;
   double mean = 0;
--- a/lab/model/cloud.h
+++ b/lab/model/cloud.h
@@ -62,7 +62,7 @@
 
   Cloud(CloudSpec spec, std::uint64_t seed);
 
-  wire::Reply ask(const wire::Request& request, double now);
+  wire::Response ask(const wire::Request& request, double now);
   // What has happened to machines since, in the order of time.
   std::vector<Event> pass(double now);
   double due() const;
@@ -81,9 +81,9 @@
   double spent(double now) const;
 
  private:
-  wire::Reply hire(const wire::Json& body, double now);
-  wire::Reply give_back(const wire::Json& body, double now);
-  wire::Reply list(const wire::Request& request, double now);
+  wire::Response hire(const wire::Json& body, double now);
+  wire::Response give_back(const wire::Json& body, double now);
+  wire::Response list(const wire::Request& request, double now);
   const cloud::MachineType* type_of(const std::string& name) const;
   int rented(const PoolName& pool, double now) const;
   Machine& rent(const cloud::MachineType& type, const PoolName& pool, double now);
--- a/lab/model/cloud_test.cpp
+++ b/lab/model/cloud_test.cpp
@@ -22,17 +22,17 @@
   return made;
 }
 
-wire::Reply post(Cloud& model, const std::string& path, const Json& body, double now) {
+wire::Response post(Cloud& model, const std::string& path, const Json& body, double now) {
   return model.ask({"POST", path, "", wire::encode(body)}, now);
 }
 
-wire::Reply hire(Cloud& model, const std::string& name, int count, const PoolName& pool,
-                 double now) {
+wire::Response hire(Cloud& model, const std::string& name, int count, const PoolName& pool,
+                    double now) {
   const auto& [type, zone, spot] = pool;
   return post(model, "/hosts", cloud::encode_scale_out({name, type, zone, spot, count}), now);
 }
 
-std::vector<std::string> names(const wire::Reply& reply) {
+std::vector<std::string> names(const wire::Response& reply) {
   return reply.body.at("hosts").get<std::vector<std::string>>();
 }
 
@@ -40,9 +40,10 @@
   std::vector<cloud::ListedMachine> found;
   for (bool more = true; more;) {
     const std::string after = found.empty() ? "" : found.back().name;
-    const wire::Reply reply =
+    const wire::Response reply =
         model.ask({"GET", "/hosts", "after=" + after + "&limit=" + std::to_string(limit), ""}, now);
-    for (const Json& item : reply.body.at("hosts")) found.push_back(cloud::decode_listed(item));
+    for (const Json& item : reply.body.at("hosts"))
+      found.push_back(cloud::decode_listed_machine(item));
     more = reply.body.at("truncated").get<bool>();
   }
   return found;
@@ -60,7 +61,7 @@
     now += *rc::gen::inRange(0, 30) / 10.0;
     const std::string request = "r-" + std::to_string(*rc::gen::inRange(0, 25));
     if (*rc::gen::inRange(0, 3) > 0) {
-      const wire::Reply reply = hire(model, request, *rc::gen::inRange(1, 8), kSpot, now);
+      const wire::Response reply = hire(model, request, *rc::gen::inRange(1, 8), kSpot, now);
       if (granted.contains(request)) {
         RC_ASSERT(reply.status == 200 && names(reply) == granted[request]);
       } else if (reply.status == 200) {
@@ -169,7 +170,7 @@
   EXPECT_EQ(model.ask({"GET", "/catalog", "", ""}, 0).status, 429) << "two seconds' worth is gone";
   EXPECT_EQ(model.ask({"GET", "/catalog", "", ""}, 1).status, 200);
   model.stop();
-  const wire::Reply out = model.ask({"GET", "/catalog", "", ""}, 9);
+  const wire::Response out = model.ask({"GET", "/catalog", "", ""}, 9);
   EXPECT_EQ(out.status, 503);
   EXPECT_EQ(out.body.at("error"), "trouble");
 }
@@ -179,7 +180,7 @@
   double low = 9, high = 0;
   for (double now = 0; now < 3000; now += 10) {
     const auto reply = model.ask({"GET", "/catalog", "", ""}, now);
-    const double price = cloud::decode_catalog(reply.body).front().spot_price;
+    const double price = cloud::decode_catalog(reply.body).front().spot_price_per_hour;
     low = std::min(low, price);
     high = std::max(high, price);
   }
--- a/lab/model/field.cpp
+++ b/lab/model/field.cpp
@@ -74,7 +74,7 @@
   double last = -kForever;
   for (const auto& [task, member] : gang.members) {
     if (!member.present || member.told_at > gang.stopped_at + rules_.gang_peer_s) return kForever;
-    last = std::max(last, member.told_at + job.spec.save_s);
+    last = std::max(last, member.told_at + job.spec.checkpoint_duration_s);
   }
   return last;
 }
@@ -82,7 +82,7 @@
 // Progress since the last checkpoint is lost.
 void Field::break_up(Gang& gang, const std::string& id, double now) {
   if (gang.started_at == kForever || gang.broken_at != kForever) return;
-  const double every = jobs_.at(id).spec.checkpoint_s;
+  const double every = jobs_.at(id).spec.checkpoint_interval_s;
   if (every > 0) save(whole(id), std::floor(progress(gang, now) / every) * every);
   gang.broken_at = now;
 }
--- a/lab/model/field.h
+++ b/lab/model/field.h
@@ -32,7 +32,7 @@
   // What becomes of a gang's task next.
   enum class Fate { wait, run, done, halted, mates_gone, incomplete };
 
-  explicit Field(const settings::Workers& rules) : rules_(rules) {}
+  explicit Field(const settings::WorkerTimings& rules) : rules_(rules) {}
 
   void upload(const Job& job);
   const Job* find(const std::string& job) const;
@@ -84,7 +84,7 @@
   void settle(Gang& gang, const std::string& id, double now);
   const Gang* gang(const TaskId& task, std::uint64_t attempt) const;
 
-  settings::Workers rules_;
+  settings::WorkerTimings rules_;
   std::map<std::string, Job> jobs_;
   std::set<TaskId> done_;
   std::map<TaskId, double> saved_;
--- a/lab/model/state_service.cpp
+++ b/lab/model/state_service.cpp
@@ -9,8 +9,8 @@
 
 using kv::Json;
 using kv::Outcome;
-using wire::Reply;
 using wire::Request;
+using wire::Response;
 
 namespace {
 
@@ -26,7 +26,7 @@
 constexpr std::uint64_t kMostLife_ms = 600000;
 constexpr std::uint64_t kMostHold_ms = 60000;
 
-Reply malformed(const std::string& why) { return {400, {{"error", why}}}; }
+Response malformed(const std::string& why) { return {400, {{"error", why}}}; }
 
 bool is_key(const std::string& key) {
   return !key.empty() && key.size() <= kLongestKey && key.find(' ') == std::string::npos;
@@ -59,7 +59,7 @@
       transaction.writes.push_back({key_of(item, "remove"), std::nullopt, std::nullopt});
       continue;
     }
-    kv::Write write{key_of(item, "write"), wire::need(item, "value"), std::nullopt};
+    kv::Write write{key_of(item, "write"), wire::require(item, "value"), std::nullopt};
     if (wire::find(item, "permit") != nullptr) write.lease_id = wire::count(item, "permit");
     transaction.writes.push_back(std::move(write));
   }
@@ -68,13 +68,13 @@
 
 }  // namespace
 
-StateService::StateService(const settings::StateLimits& limits, std::uint64_t seed)
+StateService::StateService(const settings::StoreLimits& limits, std::uint64_t seed)
     : limits_(limits),
       requests_(limits.rps, limits.rps),
       writes_(limits.write_rps, limits.write_rps),
       random_(seed) {}
 
-void StateService::limit(const settings::StateLimits& limits) {
+void StateService::limit(const settings::StoreLimits& limits) {
   if (limits.rps != limits_.rps) requests_ = kv::TokenBucket(limits.rps, limits.rps);
   if (limits.write_rps != limits_.write_rps) {
     writes_ = kv::TokenBucket(limits.write_rps, limits.write_rps);
@@ -107,14 +107,15 @@
          std::uniform_real_distribution<double>(0, kLatestExpiry_s)(random_);
 }
 
-std::variant<Reply, StateService::Watching> StateService::ask(const std::string& from,
-                                                              const Request& request, double now) {
+std::variant<Response, StateService::Watching> StateService::ask(const std::string& from,
+                                                                 const Request& request,
+                                                                 double now) {
   ++asked_;
   const auto refused = refused_.find(from);
   if (stopped_at_ || (refused != refused_.end() && refused->second)) {
-    return Reply{503, {{"error", "trouble"}}};
+    return Response{503, {{"error", "trouble"}}};
   }
-  if (requests_.take(1, now) > 0) return Reply{429, {{"error", "too many requests"}}};
+  if (requests_.take(1, now) > 0) return Response{429, {{"error", "too many requests"}}};
   try {
     const bool get = request.method == "GET";
     if (get && request.path.starts_with("/keys/")) return read(request.path.substr(6));
@@ -128,16 +129,16 @@
   return malformed("no such request");
 }
 
-Reply StateService::read(const std::string& key) const {
+Response StateService::read(const std::string& key) const {
   if (!is_key(key)) return malformed("not a key");
   const auto at = items_.find(key);
   if (at == items_.end()) return {404, {{"epoch", store_revision_}}};
-  Reply reply{200, {{"k", key}, {"value", at->second.value}, {"stamp", at->second.revision}}};
+  Response reply{200, {{"k", key}, {"value", at->second.value}, {"stamp", at->second.revision}}};
   if (at->second.lease_id != 0) reply.body["permit"] = at->second.lease_id;
   return reply;
 }
 
-Reply StateService::read_many(const Request& request) const {
+Response StateService::read_many(const Request& request) const {
   const std::string prefix = parameter(request.query, "starts");
   const std::string after = parameter(request.query, "after");
   const auto most = std::min<std::uint64_t>(
@@ -158,7 +159,7 @@
           {{"entries", std::move(entries)}, {"truncated", more()}, {"epoch", store_revision_}}};
 }
 
-Reply StateService::multi(const Request& request, double now) {
+Response StateService::multi(const Request& request, double now) {
   const Json body = wire::decode_map(request.body);
   if (wire::json_size(body) > kMostTransactionBytes) return malformed("too large");
   const kv::Transaction transaction = decode(body);
@@ -268,7 +269,7 @@
   for (const std::string& key : attached) erase(key);
 }
 
-Reply StateService::leases(const Request& request, double now) {
+Response StateService::leases(const Request& request, double now) {
   if (request.path == "/holds") {
     if (request.method != "POST") return malformed("no such request");
     const std::uint64_t life = wire::count(wire::decode_map(request.body), "life_ms");
@@ -291,21 +292,21 @@
   return {200, Json::object()};
 }
 
-std::variant<Reply, StateService::Watching> StateService::follow(const Request& request,
-                                                                 double now) {
+std::variant<Response, StateService::Watching> StateService::follow(const Request& request,
+                                                                    double now) {
   const std::uint64_t hold = number_or(parameter(request.query, "hold_ms"), "hold_ms", 0);
   if (hold > kMostHold_ms) return malformed("hold_ms: out of range");
   const Watch watch{parameter(request.query, "starts"),
                     number_or(parameter(request.query, "after"), "after", 0),
                     now + static_cast<double>(hold) / 1000};
   const auto found = changes(watch.prefix, watch.after);
-  if (!found) return Reply{410, {{"epoch", store_revision_}}};
+  if (!found) return Response{410, {{"epoch", store_revision_}}};
   if (!found->empty() || hold == 0) return watched(watch);
   watches_[++last_watch_] = watch;
   return Watching{last_watch_};
 }
 
-Reply StateService::watched(const Watch& watch) const {
+Response StateService::watched(const Watch& watch) const {
   const auto found = changes(watch.prefix, watch.after);
   if (!found) return {410, {{"epoch", store_revision_}}};
   Json log = Json::array();
--- a/lab/model/state_service.h
+++ b/lab/model/state_service.h
@@ -29,7 +29,7 @@
   };
   struct Told {
     std::uint64_t id = 0;
-    wire::Reply reply;
+    wire::Response reply;
   };
   // What the service holds, to be put back later: data that are older than what was answered.
   struct Backup {
@@ -38,17 +38,17 @@
     std::deque<kv::KeyChange> log;
   };
 
-  StateService(const settings::StateLimits& limits, std::uint64_t seed);
+  StateService(const settings::StoreLimits& limits, std::uint64_t seed);
 
-  std::variant<wire::Reply, Watching> ask(const std::string& from, const wire::Request& request,
-                                          double now);
+  std::variant<wire::Response, Watching> ask(const std::string& from, const wire::Request& request,
+                                             double now);
   // Lets time pass: leases end, watches are answered. All replies that are due.
   std::vector<Told> pass(double now);
   // By when time has to pass again; the infinite future if nothing waits.
   double due() const;
 
   // Troubles.
-  void limit(const settings::StateLimits& limits);
+  void limit(const settings::StoreLimits& limits);
   void stop(double now) { stopped_at_ = now; }
   void go_on(double now);
   void refuse(const std::string& node, bool yes);
@@ -78,18 +78,18 @@
     double until = 0;
   };
 
-  wire::Reply read(const std::string& key) const;
-  wire::Reply read_many(const wire::Request& request) const;
-  wire::Reply multi(const wire::Request& request, double now);
-  wire::Reply leases(const wire::Request& request, double now);
-  std::variant<wire::Reply, Watching> follow(const wire::Request& request, double now);
-  wire::Reply watched(const Watch& watch) const;
+  wire::Response read(const std::string& key) const;
+  wire::Response read_many(const wire::Request& request) const;
+  wire::Response multi(const wire::Request& request, double now);
+  wire::Response leases(const wire::Request& request, double now);
+  std::variant<wire::Response, Watching> follow(const wire::Request& request, double now);
+  wire::Response watched(const Watch& watch) const;
   bool too_large(const kv::Transaction& transaction) const;
   void remember(kv::KeyChange change);
   void erase(const std::string& key);
   double end_of(const Permit& lease_id, double now);
 
-  settings::StateLimits limits_;
+  settings::StoreLimits limits_;
   kv::TokenBucket requests_, writes_;
   std::mt19937_64 random_;
   std::map<std::string, Item> items_;
--- a/lab/model/state_service_test.cpp
+++ b/lab/model/state_service_test.cpp
@@ -10,23 +10,23 @@
 using kv::Outcome;
 using wire::Json;
 
-constexpr settings::StateLimits kWide{1e6, 1e6, 8, 8};
+constexpr settings::StoreLimits kWide{1e6, 1e6, 8, 8};
 
 wire::Request request(const char* method, const std::string& path, const std::string& query = "",
                       const std::optional<Json>& body = std::nullopt) {
   return {method, path, query, body ? wire::encode(*body) : ""};
 }
 
-wire::Answer answer(const wire::Reply& reply) {
+wire::CallResult answer(const wire::Response& reply) {
   return {true, true, reply.status, reply.body, reply.retry_after_s};
 }
 
-wire::Answer ask(StateService& service, const wire::Request& what, double now = 0) {
-  return answer(std::get<wire::Reply>(service.ask("node", what, now)));
+wire::CallResult ask(StateService& service, const wire::Request& what, double now = 0) {
+  return answer(std::get<wire::Response>(service.ask("node", what, now)));
 }
 
 kv::CommitResult commit(StateService& service, const kv::Transaction& transaction, double now = 0) {
-  return kv::decode_committed(
+  return kv::decode_commit_result(
       ask(service, request("POST", "/multi", "", kv::encode_transaction(transaction)), now));
 }
 
@@ -36,7 +36,7 @@
 }
 
 kv::WatchResult follow(StateService& service, std::uint64_t after, const std::string& prefix = "") {
-  return kv::decode_changes(ask(
+  return kv::decode_watch_result(ask(
       service, request("GET", "/follow", "starts=" + prefix + "&after=" + std::to_string(after))));
 }
 
@@ -98,7 +98,7 @@
     RC_ASSERT(followed.size() == expected.size());
     for (const auto& [name, item] : expected) {
       RC_ASSERT(followed.at(name) == item.second);
-      const auto found = kv::decode_found(ask(service, request("GET", "/keys/" + name)));
+      const auto found = kv::decode_read_result(ask(service, request("GET", "/keys/" + name)));
       RC_ASSERT(found.entry.revision == item.second && found.entry.value.at("v") == item.first);
     }
   }
@@ -149,7 +149,7 @@
   service.refuse("node", true);
   EXPECT_EQ(ask(service, request("GET", "/keys/a")).status, 503);
   EXPECT_EQ(
-      answer(std::get<wire::Reply>(service.ask("other", request("GET", "/keys/a"), 0))).status,
+      answer(std::get<wire::Response>(service.ask("other", request("GET", "/keys/a"), 0))).status,
       404);
 }
 
@@ -185,13 +185,13 @@
   std::size_t found = 0;
   std::string after;
   for (bool more = true; more;) {
-    const kv::ListResult page = kv::decode_page(
+    const kv::ListResult page = kv::decode_list_result(
         ask(service, request("GET", "/keys", "starts=c/&after=" + after + "&limit=1000")));
     ASSERT_EQ(page.outcome, Outcome::ok);
     EXPECT_LE(page.entries.size(), 1000u);
     found += page.entries.size();
     after = page.entries.back().key;
-    more = page.more;
+    more = page.has_more;
   }
   EXPECT_EQ(found, 1500u);
 }
--- a/lab/model/worker.cpp
+++ b/lab/model/worker.cpp
@@ -7,7 +7,7 @@
 namespace reachramp::lab {
 
 using wire::Json;
-using wire::Reply;
+using wire::Response;
 
 namespace {
 
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-Worker::Worker(Machine machine, const settings::Workers& rules, std::vector<std::string> nodes,
-               Field& field, std::uint64_t seed, double now)
+Worker::Worker(Machine machine, const settings::WorkerTimings& rules,
+               std::vector<std::string> nodes, Field& field, std::uint64_t seed, double now)
     : machine_(std::move(machine)),
       rules_(rules),
       nodes_(std::move(nodes)),
@@ -150,7 +150,7 @@
 void Worker::stop(const Key& key, Piece& piece, double wind_down_s, double now) {
   if (piece.state == State::exited) return;
   const jobs::Spec& spec = field_.find(key.first.job)->spec;
-  const bool saves = spec.checkpoint_s > 0 && wind_down_s >= spec.save_s;
+  const bool saves = spec.checkpoint_interval_s > 0 && wind_down_s >= spec.checkpoint_duration_s;
   changed_ = true;
   if (piece.state == State::running && saves) {
     if (is_gang(key)) {
@@ -159,7 +159,7 @@
       piece.progress = progress(key, piece, now);
     }
     piece.state = State::saving;
-    piece.since = now + spec.save_s;
+    piece.since = now + spec.checkpoint_duration_s;
     return;
   }
   // A task that is saving goes on, unless it is told to end at once.
@@ -245,7 +245,7 @@
       continue;
     }
     const double reached = progress(key, piece, now);
-    const double every = job.spec.checkpoint_s;
+    const double every = job.spec.checkpoint_interval_s;
     if (every > 0) field_.save(key.first, std::floor(reached / every) * every);
     if (job.spec.shape != jobs::Shape::service && reached >= job.run_s - kCrumb) {
       field_.finish(key.first);
@@ -293,8 +293,8 @@
   in_flight_ = true;
   sent_incarnation_ = incarnation_;
   sent_at_ = last_report_at_ = now;
-  report_at_ = now + rules_.report_s * std::uniform_real_distribution<double>(
-                                           1 - kReportSpread, 1 + kReportSpread)(random_);
+  report_at_ = now + rules_.report_interval_s * std::uniform_real_distribution<double>(
+                                                    1 - kReportSpread, 1 + kReportSpread)(random_);
   return Sending{nodes_[node_], report(now)};
 }
 
@@ -332,20 +332,20 @@
   report_at_ = not_before_ = now + kNextNodeAfter_s;
 }
 
-void Worker::answered(const wire::Answer& answer, double now) {
+void Worker::answered(const wire::CallResult& answer, double now) {
   expire_lease(now);
   if (over_ || hangs_ || !in_flight_ || sent_incarnation_ != incarnation_) return;
   in_flight_ = false;
-  if (answer.answered && answer.status == 421) {
+  if (answer.received_response && answer.status == 421) {
     const auto upstream =
-        answer.body.is_object() ? wire::maybe_text(answer.body, "upstream") : std::nullopt;
+        answer.body.is_object() ? wire::optional_text(answer.body, "upstream") : std::nullopt;
     const auto named = std::find(nodes_.begin(), nodes_.end(), upstream.value_or(""));
     if (named == nodes_.end() || *named == nodes_[node_]) return next_node(now);
     node_ = static_cast<std::size_t>(named - nodes_.begin());
     report_at_ = now + std::uniform_real_distribution<double>(0, kFollowWithin_s)(random_);
     return;
   }
-  if (!answer.answered || answer.status != 200) return next_node(now);
+  if (!answer.received_response || answer.status != 200) return next_node(now);
   try {
     // A lower token or none: dropped, and the lease is not renewed.
     const Json* fencing_token = wire::find(answer.body, "baton");
@@ -363,7 +363,7 @@
   }
 }
 
-Reply Worker::ask(const wire::Request& request, double now) {
+Response Worker::ask(const wire::Request& request, double now) {
   expire_lease(now);
   if (request.method == "GET" && request.path == "/status") return {200, report(now)};
   if (request.method != "POST" || request.path != "/orders") return {404, Json::object()};
--- a/lab/model/worker.h
+++ b/lab/model/worker.h
@@ -34,7 +34,7 @@
   };
 
   // `nodes`: the names of all controllers.
-  Worker(Machine machine, const settings::Workers& rules, std::vector<std::string> nodes,
+  Worker(Machine machine, const settings::WorkerTimings& rules, std::vector<std::string> nodes,
          Field& field, std::uint64_t seed, double now);
 
   // Kills and forgets all tasks if the lease has ended by now. pass(), answered() and ask() do so
@@ -42,9 +42,9 @@
   void expire_lease(double now);
   std::optional<Sending> pass(double now);
   // The answer to the report in flight; not answered: none within 4 s, or no connection.
-  void answered(const wire::Answer& answer, double now);
+  void answered(const wire::CallResult& answer, double now);
   // /orders and /status.
-  wire::Reply ask(const wire::Request& request, double now);
+  wire::Response ask(const wire::Request& request, double now);
   double due() const;
 
   // Troubles.
@@ -96,7 +96,7 @@
   bool is_gang(const Key& key) const;
 
   Machine machine_;
-  settings::Workers rules_;
+  settings::WorkerTimings rules_;
   std::vector<std::string> nodes_;
   Field& field_;
   std::mt19937_64 random_;
--- a/lab/model/worker_test.cpp
+++ b/lab/model/worker_test.cpp
@@ -12,7 +12,7 @@
 
 using wire::Json;
 
-constexpr settings::Workers kRules{1, 10, 15, 4, 30};
+constexpr settings::WorkerTimings kRules{1, 10, 15, 4, 30};
 
 class WorkerModel : public ::testing::Test {
  protected:
@@ -36,8 +36,8 @@
     job.spec.cpus = cpus;
     job.spec.image = image;
     job.spec.image_gb = 2;
-    job.spec.checkpoint_s = checkpoint_s;
-    job.spec.save_s = 3;
+    job.spec.checkpoint_interval_s = checkpoint_s;
+    job.spec.checkpoint_duration_s = 3;
     job.run_s = run_s;
     field_.upload(job);
   }
@@ -74,7 +74,7 @@
   std::map<std::string, std::string> pieces(Worker& worker, double now) {
     looked_at_.insert(&worker);
     pass(now);
-    const wire::Reply status = worker.ask({"GET", "/status", "", ""}, now);
+    const wire::Response status = worker.ask({"GET", "/status", "", ""}, now);
     workers::decode_heartbeat(status.body);
     std::map<std::string, std::string> found;
     for (const Json& piece : status.body.at("pieces")) {
@@ -284,9 +284,9 @@
     change(made.spec);
     field_.upload(made);
   };
-  add("j-1", [](jobs::Spec& spec) { spec.spot = true; });
-  add("j-2", [](jobs::Spec& spec) { spec.one_zone = true; });
-  add("j-3", [](jobs::Spec& spec) { spec.spread = true; });
+  add("j-1", [](jobs::Spec& spec) { spec.allow_spot = true; });
+  add("j-2", [](jobs::Spec& spec) { spec.single_zone = true; });
+  add("j-3", [](jobs::Spec& spec) { spec.spread_over_zones = true; });
   add("j-4", [](jobs::Spec& spec) { spec.depends_on = {"j-1"}; });
   add("j-5", [](jobs::Spec& spec) { spec.types = std::vector<std::string>{"large"}; });
   const PlacingRules::Place a{"n-1", "small", "a", false}, b{"n-2", "small", "b", false},
--- a/src/acquire/autoscaler.cpp
+++ b/src/acquire/autoscaler.cpp
@@ -14,21 +14,21 @@
 
 namespace {
 
-constexpr int kMostPerHire = 50;  // the cloud's limit
-constexpr double kFirstRefusal = 10;
-constexpr int kMostRefusals = 3;
+constexpr int kMaxMachinesPerRequest = 50;  // the cloud's limit
+constexpr double kFirstRefusalPause_s = 10;
+constexpr int kMaxRefusalsCounted = 3;
 // Reclaims are forgotten over this many horizons.
-constexpr double kMemoryHorizons = 30;
-constexpr double kLeastCharge_s = 60;
+constexpr double kReclaimDecay_horizons = 30;
+constexpr double kMinBilledTime_s = 60;
 // Work that comes while a machine is idle saves a boot. Measured on four days: 20 s and 3 s cost
 // more.
-constexpr double kIdleKeep_s = 8;
+constexpr double kMinIdleBeforeReturn_s = 8;
 
-double price_per_hour(const cloud::MachineType& type, bool spot) {
-  return spot ? type.spot_price : type.price;
+double hourly_machine_price(const cloud::MachineType& type, bool spot) {
+  return spot ? type.spot_price_per_hour : type.price_per_hour;
 }
 
-Amounts amounts(const Resources& need, int slots) {
+Amounts amounts_for_slots(const Resources& need, int slots) {
   return {need.cpus * slots, need.gpus * slots, need.ram_gb * slots};
 }
 
@@ -36,11 +36,12 @@
 
 Autoscaler::Autoscaler(const settings::Policy& policy) : policy_(policy) {}
 
-void Autoscaler::note_prices(const Cluster& cluster, double now) {
+void Autoscaler::record_prices(const Cluster& cluster, double now) {
   for (const auto& type : cluster.catalog) {
     for (const auto& zone : type.zones) {
-      auto& prices = books_[{cluster.types.find(type.name), cluster.zones.find(zone), true}].prices;
-      prices.emplace_back(now, type.spot_price);
+      auto& prices =
+          pool_histories_[{cluster.types.find(type.name), cluster.zones.find(zone), true}].prices;
+      prices.emplace_back(now, type.spot_price_per_hour);
       while (!prices.empty() && prices.front().first < now - policy_.price_window_s) {
         prices.pop_front();
       }
@@ -50,68 +51,77 @@
 
 // V takes a pool to fall whole; the cloud takes machines one by one. One of thirty counts as a
 // thirtieth, or the chance of a large pool nears one, and no number of machines meets the target.
-void Autoscaler::note_reclaim(const Cluster& cluster, const Pool& pool) {
-  const auto held = std::count_if(cluster.hosts.begin(), cluster.hosts.end(), [&](const auto& h) {
-    return h && h->phase != HostPhase::terminating && Pool{h->type, h->zone, h->spot} == pool;
-  });
-  books_[pool].events += 1.0 / static_cast<double>(std::max<std::ptrdiff_t>(held, 1));
+void Autoscaler::record_reclaim(const Cluster& cluster, const Pool& pool) {
+  const auto held_machines =
+      std::count_if(cluster.hosts.begin(), cluster.hosts.end(), [&](const auto& h) {
+        return h && h->phase != HostPhase::terminating && Pool{h->type, h->zone, h->spot} == pool;
+      });
+  pool_histories_[pool].decayed_reclaims +=
+      1.0 / static_cast<double>(std::max<std::ptrdiff_t>(held_machines, 1));
 }
 
-void Autoscaler::note_exposure(const Cluster& cluster, double now) {
-  const double horizons = exposed_at_ < 0 ? 0 : (now - exposed_at_) / policy_.horizon_s;
-  exposed_at_ = now;
-  const double kept = std::exp(-horizons / kMemoryHorizons);
-  for (auto& [pool, book] : books_) {
-    book.events *= kept;
-    book.exposure *= kept;
+void Autoscaler::update_exposure(const Cluster& cluster, double now) {
+  const double horizons =
+      exposure_updated_at_ < 0 ? 0 : (now - exposure_updated_at_) / policy_.horizon_s;
+  exposure_updated_at_ = now;
+  const double decay = std::exp(-horizons / kReclaimDecay_horizons);
+  for (auto& [pool, book] : pool_histories_) {
+    book.decayed_reclaims *= decay;
+    book.exposure_horizons *= decay;
   }
-  std::map<Pool, bool> held;
+  std::map<Pool, bool> held_pools;
   for (const auto& host : cluster.hosts) {
     if (host && host->spot && host->type != kNone && host->phase != HostPhase::terminating) {
-      held[{host->type, host->zone, true}] = true;
+      held_pools[{host->type, host->zone, true}] = true;
     }
   }
-  for (const auto& [pool, yes] : held) books_[pool].exposure += horizons;
+  for (const auto& [pool, yes] : held_pools) pool_histories_[pool].exposure_horizons += horizons;
 }
 
-void Autoscaler::note_refused(const Pool& pool, double now) {
-  PoolHistory& book = books_[pool];
-  book.refusals = std::min(book.refusals + 1, kMostRefusals);
-  book.refused_until = now + kFirstRefusal * (1 << (book.refusals - 1));
+void Autoscaler::record_refusal(const Pool& pool, double now) {
+  PoolHistory& history = pool_histories_[pool];
+  history.refusals = std::min(history.refusals + 1, kMaxRefusalsCounted);
+  history.refused_until = now + kFirstRefusalPause_s * (1 << (history.refusals - 1));
 }
 
-void Autoscaler::note_filled(const Pool& pool) { books_[pool].refusals = 0; }
-void Autoscaler::note_requested(const Pool& pool, int machines) { books_[pool].asked = machines; }
-void Autoscaler::note_answered(const Pool& pool) { books_[pool].asked = 0; }
+void Autoscaler::reset_refusals(const Pool& pool) { pool_histories_[pool].refusals = 0; }
+void Autoscaler::set_pending_request(const Pool& pool, int machines) {
+  pool_histories_[pool].requested_machines = machines;
+}
+void Autoscaler::clear_pending_request(const Pool& pool) {
+  pool_histories_[pool].requested_machines = 0;
+}
 
 // The decayed rate, with the prior worth one horizon of watching.
-double Autoscaler::reclaim_chance(const Pool& pool) const {
+double Autoscaler::reclaim_probability(const Pool& pool) const {
   if (!pool.spot) return 0;
-  const auto at = books_.find(pool);
-  if (at == books_.end()) return policy_.prior;
-  return std::min(1.0, (policy_.prior + at->second.events) / (1 + at->second.exposure));
+  const auto at = pool_histories_.find(pool);
+  if (at == pool_histories_.end()) return policy_.prior_reclaim_probability;
+  return std::min(1.0, (policy_.prior_reclaim_probability + at->second.decayed_reclaims) /
+                           (1 + at->second.exposure_horizons));
 }
 
-double Autoscaler::price(const Cluster& cluster, const Pool& pool) const {
+double Autoscaler::hourly_price(const Cluster& cluster, const Pool& pool) const {
   const auto* type = cluster.machine_type(pool.type);
-  return type == nullptr ? 1 : price_per_hour(*type, pool.spot);
+  return type == nullptr ? 1 : hourly_machine_price(*type, pool.spot);
 }
 
-void Autoscaler::close(std::set<Pool> pools) { closed_ = std::move(pools); }
+void Autoscaler::set_closed_pools(std::set<Pool> pools) { closed_pools_ = std::move(pools); }
 
-bool Autoscaler::refuses(const Pool& pool, double now) const {
-  const auto book = books_.find(pool);
-  return book != books_.end() && now < book->second.refused_until;
+bool Autoscaler::recently_refused(const Pool& pool, double now) const {
+  const auto history = pool_histories_.find(pool);
+  return history != pool_histories_.end() && now < history->second.refused_until;
 }
 
-bool Autoscaler::may_ask(const Pool& pool, double now) const {
-  if (closed_.contains(pool)) return false;
-  const auto book = books_.find(pool);
-  return book == books_.end() || (book->second.asked == 0 && now >= book->second.refused_until);
+bool Autoscaler::may_request(const Pool& pool, double now) const {
+  if (closed_pools_.contains(pool)) return false;
+  const auto history = pool_histories_.find(pool);
+  return history == pool_histories_.end() ||
+         (history->second.requested_machines == 0 && now >= history->second.refused_until);
 }
 
-void Autoscaler::cover(const Cluster& cluster, double now, const std::vector<bool>& without,
-                       std::vector<DemandGroup>& groups) const {
+void Autoscaler::count_slots(const Cluster& cluster, double now, const std::vector<bool>& excluded,
+                             std::vector<DemandGroup>& groups) const {
   struct Room {
     Pool pool;
     Resources left;
@@ -119,13 +129,14 @@
   std::vector<Room> rooms;
   for (Index i = 0; i < cluster.hosts.size(); ++i) {
     const auto& host = cluster.hosts[i];
-    if (!host || (i < without.size() && without[i]) || !counts(cluster, *host, now)) continue;
+    if (!host || (i < excluded.size() && excluded[i]) || !provides_capacity(cluster, *host, now))
+      continue;
     const auto* type = cluster.type_of(*host);
     rooms.push_back({{host->type, host->zone, host->spot}, {type->cpus, type->gpus, type->ram_gb}});
   }
-  for (const auto& [pool, book] : books_) {
+  for (const auto& [pool, book] : pool_histories_) {
     const auto* type = cluster.machine_type(pool.type);
-    for (int i = 0; type != nullptr && i < book.asked; ++i) {
+    for (int i = 0; type != nullptr && i < book.requested_machines; ++i) {
       rooms.push_back({pool, {type->cpus, type->gpus, type->ram_gb}});
     }
   }
@@ -133,46 +144,48 @@
   std::stable_sort(rooms.begin(), rooms.end(),
                    [](const Room& a, const Room& b) { return a.left.cpus < b.left.cpus; });
   for (DemandGroup& group : groups) {
-    group.slots.assign(group.pools.size(), 0);
-    group.machines.assign(group.pools.size(), 0);
+    group.slots_by_pool.assign(group.pools.size(), 0);
+    group.machines_by_pool.assign(group.pools.size(), 0);
     double uncovered = group.tasks;
     for (Room& room : rooms) {
       const auto at = std::find(group.pools.begin(), group.pools.end(), room.pool);
       if (at == group.pools.end()) continue;
-      const int slots = static_cast<int>(room.left.copies(group.need));
+      const int slots = static_cast<int>(room.left.capacity_for(group.mean_task_resources));
       if (slots == 0) continue;
-      group.slots[at - group.pools.begin()] += slots;
-      ++group.machines[at - group.pools.begin()];
+      group.slots_by_pool[at - group.pools.begin()] += slots;
+      ++group.machines_by_pool[at - group.pools.begin()];
       const int claimed_slots = std::min<int>(slots, static_cast<int>(std::ceil(uncovered)));
-      room.left -= group.need.times(claimed_slots);
+      room.left -= group.mean_task_resources.scaled(claimed_slots);
       uncovered -= claimed_slots;
     }
   }
 }
 
-std::vector<PoolOffer> Autoscaler::holdings(const Cluster& cluster, const DemandGroup& group,
-                                            double now) const {
+std::vector<PoolOffer> Autoscaler::pool_offers(const Cluster& cluster, const DemandGroup& group,
+                                               double now) const {
   std::vector<PoolOffer> pools;
   for (std::size_t i = 0; i < group.pools.size(); ++i) {
     const Pool& pool = group.pools[i];
     const auto* type = cluster.machine_type(pool.type);
-    PoolOffer holding;
-    holding.held = amounts(group.need, group.slots[i]);
-    holding.machines = group.machines[i];
-    holding.unit = amounts(group.need, copies_in(*type, group.need));
-    holding.beta = reclaim_chance(pool);
-    holding.price = price(cluster, pool);
-    holding.obtainable = may_ask(pool, now) ? kMostPerHire : 0;
-    pools.push_back(holding);
+    PoolOffer offer;
+    offer.held_amounts = amounts_for_slots(group.mean_task_resources, group.slots_by_pool[i]);
+    offer.machines = group.machines_by_pool[i];
+    offer.amounts_per_machine = amounts_for_slots(
+        group.mean_task_resources, tasks_per_machine(*type, group.mean_task_resources));
+    offer.reclaim_probability = reclaim_probability(pool);
+    offer.hourly_price = hourly_price(cluster, pool);
+    offer.max_new_machines = may_request(pool, now) ? kMaxMachinesPerRequest : 0;
+    pools.push_back(offer);
   }
   return pools;
 }
 
-std::vector<std::vector<double>> Autoscaler::correlations(const std::vector<Pool>& pools) const {
+std::vector<std::vector<double>> Autoscaler::price_correlations(
+    const std::vector<Pool>& pools) const {
   const auto series = [&](const Pool& pool) {
     std::vector<double> values;
-    const auto book = books_.find(pool);
-    if (pool.spot && book != books_.end()) {
+    const auto book = pool_histories_.find(pool);
+    if (pool.spot && book != pool_histories_.end()) {
       for (const auto& [at, price] : book->second.prices) values.push_back(price);
     }
     return values;
@@ -189,20 +202,22 @@
 std::vector<ScaleOutRequest> Autoscaler::scale_out_requests(const Cluster& cluster,
                                                             double now) const {
   std::map<Pool, int> wanted;
-  std::vector<DemandGroup> groups = demand(cluster, now, Waiting::left_out);
-  cover(cluster, now, {}, groups);
+  std::vector<DemandGroup> groups = demand_groups(cluster, now, BlockedJobs::excluded);
+  count_slots(cluster, now, {}, groups);
   for (const DemandGroup& group : groups) {
-    const TributaryParameters terms{policy_.target, policy_.gamma, policy_.horizon_s};
-    const Amounts goal = group.goal();
-    std::vector<PoolOffer> pools = holdings(cluster, group, now);
+    const TributaryParameters parameters{policy_.target_utility, policy_.gamma, policy_.horizon_s};
+    const Amounts goal = group.total_amounts();
+    std::vector<PoolOffer> pools = pool_offers(cluster, group, now);
     const bool spot = std::any_of(group.pools.begin(), group.pools.end(),
                                   [](const Pool& pool) { return pool.spot; });
     if (spot) {
       std::vector<PoolOffer> spot_only = pools;
       for (std::size_t i = 0; i < pools.size(); ++i) {
-        if (!group.pools[i].spot || wanted.contains(group.pools[i])) spot_only[i].obtainable = 0;
+        if (!group.pools[i].spot || wanted.contains(group.pools[i]))
+          spot_only[i].max_new_machines = 0;
       }
-      for (const Purchase& purchase : greedy(spot_only, group.rho, goal, terms)) {
+      for (const Purchase& purchase :
+           choose_purchases(spot_only, group.price_correlation, goal, parameters)) {
         wanted[group.pools[purchase.pool]] += purchase.machines;
       }
       pools = spot_only;
@@ -210,35 +225,37 @@
     // Exception to the design: ordinary machines for work that may not use spot, and where spot
     // pools refuse, for what even the machines at hand would not hold if none were reclaimed.
     for (std::size_t i = 0; i < pools.size(); ++i) {
-      pools[i].beta = 0;
-      pools[i].obtainable =
-          !group.pools[i].spot && may_ask(group.pools[i], now) && !wanted.contains(group.pools[i])
-              ? kMostPerHire
-              : 0;
+      pools[i].reclaim_probability = 0;
+      pools[i].max_new_machines = !group.pools[i].spot && may_request(group.pools[i], now) &&
+                                          !wanted.contains(group.pools[i])
+                                      ? kMaxMachinesPerRequest
+                                      : 0;
     }
     const bool any = std::any_of(pools.begin(), pools.end(),
                                  [](const PoolOffer& pool) { return pool.machines > 0; });
-    const double share = any ? group.ordinary_tasks / group.tasks : 1;
-    Amounts served_goal = goal;
-    for (double& amount : served_goal) amount *= share;
-    const TributaryParameters served{policy_.target, 0, policy_.horizon_s};
-    for (const Purchase& purchase : greedy(pools, group.rho, served_goal, served)) {
+    const double ordinary_share = any ? group.ordinary_machine_tasks / group.tasks : 1;
+    Amounts ordinary_goal = goal;
+    for (double& amount : ordinary_goal) amount *= ordinary_share;
+    const TributaryParameters ordinary_parameters{policy_.target_utility, 0, policy_.horizon_s};
+    for (const Purchase& purchase :
+         choose_purchases(pools, group.price_correlation, ordinary_goal, ordinary_parameters)) {
       wanted[group.pools[purchase.pool]] += purchase.machines;
     }
   }
   std::vector<ScaleOutRequest> found;
   for (const auto& [pool, machines] : wanted) {
-    found.push_back({pool, std::min(machines, kMostPerHire)});
+    found.push_back({pool, std::min(machines, kMaxMachinesPerRequest)});
   }
   return found;
 }
 
-std::vector<double> Autoscaler::values(const Cluster& cluster, double now,
-                                       const std::vector<DemandGroup>& groups) const {
+std::vector<double> Autoscaler::lowest_utilities(const Cluster& cluster, double now,
+                                                 const std::vector<DemandGroup>& groups) const {
   std::vector<double> least;
   for (const DemandGroup& group : groups) {
     const Amounts values =
-        utilities(holdings(cluster, group, now), group.rho, policy_.gamma, group.goal());
+        expected_utilities(pool_offers(cluster, group, now), group.price_correlation, policy_.gamma,
+                           group.total_amounts());
     least.push_back(*std::min_element(values.begin(), values.end()));
   }
   return least;
@@ -249,11 +266,12 @@
   for (Index i = 0; i < cluster.hosts.size(); ++i) {
     const auto& host = cluster.hosts[i];
     if (!host || host->phase != HostPhase::up || !host->attempts.empty() || host->type == kNone ||
-        host->reserved > 0) {
+        host->reserved_tasks > 0) {
       continue;
     }
     // What is charged already is kept: a machine costs its least charge in any case.
-    if (now - host->idle_since >= kIdleKeep_s && now - host->rented_at >= kLeastCharge_s) {
+    if (now - host->idle_since >= kMinIdleBeforeReturn_s &&
+        now - host->rented_at >= kMinBilledTime_s) {
       idle.push_back(i);
     }
   }
@@ -263,33 +281,33 @@
   for (const Index i : idle) {
     const Host& host = *cluster.hosts[i];
     const Pool pool{host.type, host.zone, host.spot};
-    by_pool[{reclaim_chance(pool), pool}].push_back(i);
+    by_pool[{reclaim_probability(pool), pool}].push_back(i);
   }
-  std::vector<bool> without(cluster.hosts.size());
-  std::vector<DemandGroup> groups = demand(cluster, now, Waiting::counts);
-  cover(cluster, now, without, groups);
-  const std::vector<double> with = values(cluster, now, groups);
+  std::vector<bool> excluded(cluster.hosts.size());
+  std::vector<DemandGroup> groups = demand_groups(cluster, now, BlockedJobs::included);
+  count_slots(cluster, now, excluded, groups);
+  const std::vector<double> utilities_before = lowest_utilities(cluster, now, groups);
   const auto can_spare = [&](const std::vector<Index>& machines, std::size_t count) {
-    std::vector<bool> less = without;
+    std::vector<bool> less = excluded;
     for (std::size_t i = 0; i < count; ++i) less[machines[i]] = true;
-    cover(cluster, now, less, groups);
-    const std::vector<double> left = values(cluster, now, groups);
+    count_slots(cluster, now, less, groups);
+    const std::vector<double> left = lowest_utilities(cluster, now, groups);
     for (std::size_t g = 0; g < left.size(); ++g) {
       // A machine that does nothing for a group that lacks others is no loss to it.
-      if (left[g] <= policy_.target && left[g] < with[g] - 1e-9) return false;
+      if (left[g] <= policy_.target_utility && left[g] < utilities_before[g] - 1e-9) return false;
     }
     return true;
   };
   std::vector<Index> surplus;
   for (const auto& [pool, machines] : by_pool) {
     // Each question costs a look at the whole fleet, so the number is found by halving.
-    std::size_t spared = 0, beyond = machines.size() + 1;
-    while (beyond - spared > 1) {
-      const std::size_t middle = spared + (beyond - spared) / 2;
-      (can_spare(machines, middle) ? spared : beyond) = middle;
+    std::size_t spared = 0, too_many = machines.size() + 1;
+    while (too_many - spared > 1) {
+      const std::size_t middle = spared + (too_many - spared) / 2;
+      (can_spare(machines, middle) ? spared : too_many) = middle;
     }
     for (std::size_t i = 0; i < spared; ++i) {
-      without[machines[i]] = true;
+      excluded[machines[i]] = true;
       surplus.push_back(machines[i]);
     }
   }
--- a/src/acquire/autoscaler_test.cpp
+++ b/src/acquire/autoscaler_test.cpp
@@ -11,7 +11,8 @@
 
 class BuyerTest : public ::testing::Test {
  protected:
-  BuyerTest() : cluster_(platform_, 1, jobs::Format::compact), buyer_(settings::Policy{}) {
+  BuyerTest()
+      : cluster_(platform_, 1, jobs::TaskRecordFormat::compact), buyer_(settings::Policy{}) {
     cluster_.set_catalog({{"large", 32, 0, 128, 50, 1, 3.2, 0.8, 30, {"a", "b", "c"}}});
   }
 
@@ -21,7 +22,7 @@
 
   void gang(std::uint32_t tasks) {
     jobs::Header made = test::make_gang(cluster_, "red", tasks);
-    made.spec.estimate_s = 100;
+    made.spec.estimated_duration_s = 100;
     cluster_.add_job(made, cluster_.jobs.size() + 1, 0);
   }
 
@@ -46,7 +47,7 @@
 TEST_F(BuyerTest, GangsThatAFullZoneCannotHoldAreRentedForInOthers) {
   for (int i = 0; i < 4; ++i) machine("a", false);
   const Pool full{0, cluster_.zones.find("a"), false};
-  buyer_.note_refused(full, 0);
+  buyer_.record_refusal(full, 0);
   gang(2);
   gang(2);
   EXPECT_TRUE(buyer_.scale_out_requests(cluster_, 1).empty()) << "two gangs of two fit the zone";
@@ -60,9 +61,9 @@
 TEST_F(BuyerTest, AMachineLostFromALargePoolIsAShareOfIt) {
   for (int i = 0; i < 30; ++i) machine("a", true);
   const Pool pool{0, cluster_.zones.find("a"), true};
-  const double before = buyer_.reclaim_chance(pool);
-  for (int i = 0; i < 3; ++i) buyer_.note_reclaim(cluster_, pool);
-  EXPECT_NEAR(buyer_.reclaim_chance(pool), before + 0.1, 0.01);
+  const double before = buyer_.reclaim_probability(pool);
+  for (int i = 0; i < 3; ++i) buyer_.record_reclaim(cluster_, pool);
+  EXPECT_NEAR(buyer_.reclaim_probability(pool), before + 0.1, 0.01);
 }
 
 TEST_F(BuyerTest, AllIdleMachinesBeyondTheNeedAreFoundAtOnce) {
--- a/src/acquire/demand.h
+++ b/src/acquire/demand.h
@@ -6,9 +6,9 @@
 namespace reachramp::acquire {
 
 // A machine that work can be expected to run on.
-bool counts(const placement::Cluster& cluster, const placement::Host& host, double now);
+bool provides_capacity(const placement::Cluster& cluster, const placement::Host& host, double now);
 
 // Tasks of that size on an empty machine.
-int copies_in(const cloud::MachineType& type, const placement::Resources& need);
+int tasks_per_machine(const cloud::MachineType& type, const placement::Resources& need);
 
 }  // namespace reachramp::acquire
--- a/src/acquire/tributary.h
+++ b/src/acquire/tributary.h
@@ -9,17 +9,17 @@
 namespace reachramp::acquire {
 
 // Cores, GPUs, memory.
-inline constexpr std::size_t kKinds = 3;
-using Amounts = std::array<double, kKinds>;
+inline constexpr std::size_t kResourceKinds = 3;
+using Amounts = std::array<double, kResourceKinds>;
 
 // One pool as the choice sees it.
 struct PoolOffer {
-  Amounts held{};    // what its machines give
-  Amounts unit{};    // what one more gives
-  double beta = 0;   // observed reclaim chance per horizon
-  double price = 0;  // per machine and hour
+  Amounts held_amounts{};          // what its machines give
+  Amounts amounts_per_machine{};   // what one more gives
+  double reclaim_probability = 0;  // observed reclaim chance per horizon
+  double hourly_price = 0;         // per machine and hour
   int machines = 0;
-  int obtainable = 0;  // how many more may be asked for
+  int max_new_machines = 0;  // how many more may be asked for
 };
 
 struct Purchase {
@@ -31,13 +31,13 @@
 double pearson(const std::vector<double>& xs, const std::vector<double>& ys);
 
 // min(1, beta + lambda) of each pool for one kind. `rho` is the correlation matrix.
-std::vector<double> reclaim_chances(const std::vector<PoolOffer>& pools,
-                                    const std::vector<std::vector<double>>& rho, double gamma,
-                                    std::size_t kind);
+std::vector<double> reclaim_probabilities(const std::vector<PoolOffer>& pools,
+                                          const std::vector<std::vector<double>>& rho, double gamma,
+                                          std::size_t kind);
 
 struct PoolBatch {
   double amount = 0;
-  double chance = 0;  // of being reclaimed, whole
+  double reclaim_probability = 0;  // of being reclaimed, whole
 };
 
 struct Outcome {
@@ -46,25 +46,26 @@
 };
 
 // P(R = r), folded pool by pool; ascending amounts. Amounts above `enough` count as `enough`.
-std::vector<Outcome> survivors(const std::vector<PoolBatch>& shares, double enough);
+std::vector<Outcome> surviving_amounts(const std::vector<PoolBatch>& shares, double enough);
 
 // Sum of P(R = r) * min(1, r / wanted); 1 if nothing is wanted.
 double expected_utility(const std::vector<PoolBatch>& shares, double wanted);
 
 // V for each kind.
-Amounts utilities(const std::vector<PoolOffer>& pools, const std::vector<std::vector<double>>& rho,
-                  double gamma, const Amounts& wanted);
+Amounts expected_utilities(const std::vector<PoolOffer>& pools,
+                           const std::vector<std::vector<double>>& rho, double gamma,
+                           const Amounts& wanted);
 
 struct TributaryParameters {
-  double target = 0.95;
+  double target_utility = 0.95;
   double gamma = 0.01;
   double horizon_s = 60;
 };
 
 // Adds, while V is below the target for some kind, the one-pool batch of the missing amount with
 // the most V per expected cost. `pools` is updated with what is bought.
-std::vector<Purchase> greedy(std::vector<PoolOffer>& pools,
-                             const std::vector<std::vector<double>>& rho, const Amounts& wanted,
-                             const TributaryParameters& terms);
+std::vector<Purchase> choose_purchases(std::vector<PoolOffer>& pools,
+                                       const std::vector<std::vector<double>>& rho,
+                                       const Amounts& wanted, const TributaryParameters& terms);
 
 }  // namespace reachramp::acquire
--- a/src/acquire/tributary_test.cpp
+++ b/src/acquire/tributary_test.cpp
@@ -13,7 +13,7 @@
     double probability = 1, amount = 0;
     for (std::size_t i = 0; i < shares.size(); ++i) {
       const bool reclaimed = (subset >> i) & 1;
-      probability *= reclaimed ? shares[i].chance : 1 - shares[i].chance;
+      probability *= reclaimed ? shares[i].reclaim_probability : 1 - shares[i].reclaim_probability;
       amount += reclaimed ? 0 : shares[i].amount;
     }
     utility += probability * std::min(1.0, amount / wanted);
@@ -42,16 +42,16 @@
 
 TEST(Tributary, PenaltyByHand) {
   std::vector<PoolOffer> pools(2);
-  pools[0].held = {30, 0, 0};
-  pools[0].beta = 0.1;
-  pools[1].held = {10, 0, 0};
-  pools[1].beta = 0.2;
+  pools[0].held_amounts = {30, 0, 0};
+  pools[0].reclaim_probability = 0.1;
+  pools[1].held_amounts = {10, 0, 0};
+  pools[1].reclaim_probability = 0.2;
   const std::vector<std::vector<double>> rho{{1, 0.5}, {0.5, 1}};
-  const auto chances = reclaim_chances(pools, rho, 0.1, 0);
+  const auto chances = reclaim_probabilities(pools, rho, 0.1, 0);
   // lambda_0 = 0.1 * (1 * 60/80 + 0.5 * 40/80); lambda_1 = 0.1 * (0.5 * 40/80 + 1 * 20/80)
   EXPECT_NEAR(chances[0], 0.1 + 0.1, 1e-12);
   EXPECT_NEAR(chances[1], 0.2 + 0.05, 1e-12);
-  EXPECT_EQ(reclaim_chances(pools, {{0, 0}, {0, 0}}, 0.1, 0)[0], 0.1) << "cold price windows";
+  EXPECT_EQ(reclaim_probabilities(pools, {{0, 0}, {0, 0}}, 0.1, 0)[0], 0.1) << "cold price windows";
 }
 
 TEST(Tributary, PearsonByHand) {
@@ -64,34 +64,35 @@
 TEST(Tributary, GreedyTakesTheCheaperPoolAndSpreadsForTheTarget) {
   std::vector<PoolOffer> pools(2);
   for (auto& pool : pools) {
-    pool.unit = {4, 0, 8};
-    pool.beta = 0.1;
-    pool.obtainable = 50;
+    pool.amounts_per_machine = {4, 0, 8};
+    pool.reclaim_probability = 0.1;
+    pool.max_new_machines = 50;
   }
-  pools[0].price = 0.2;
-  pools[1].price = 0.1;
+  pools[0].hourly_price = 0.2;
+  pools[1].hourly_price = 0.1;
   const std::vector<std::vector<double>> rho{{0, 0}, {0, 0}};
   const Amounts wanted{16, 0, 16};
-  const auto bought = greedy(pools, rho, wanted, {0.95, 0.01, 60});
+  const auto bought = choose_purchases(pools, rho, wanted, {0.95, 0.01, 60});
   ASSERT_FALSE(bought.empty());
   EXPECT_EQ(bought[0].pool, 1u);
   EXPECT_EQ(bought[0].machines, 4);
-  for (const double v : utilities(pools, rho, 0.01, wanted)) EXPECT_GE(v, 0.95);
+  for (const double v : expected_utilities(pools, rho, 0.01, wanted)) EXPECT_GE(v, 0.95);
   EXPECT_GT(pools[0].machines, 0) << "one pool that may fall whole cannot reach the target";
 }
 
 RC_GTEST_PROP(Tributary, GreedyEndsAndNeverExceedsWhatMayBeAsked, ()) {
   std::vector<PoolOffer> pools(*rc::gen::inRange<std::size_t>(0, 6));
   for (auto& pool : pools) {
-    pool.unit = {double(*rc::gen::inRange(0, 9)), 0, double(*rc::gen::inRange(0, 9))};
-    pool.beta = *rc::gen::inRange(0, 101) / 100.0;
-    pool.price = *rc::gen::inRange(0, 50) / 10.0;
-    pool.obtainable = *rc::gen::inRange(0, 10);
+    pool.amounts_per_machine = {double(*rc::gen::inRange(0, 9)), 0,
+                                double(*rc::gen::inRange(0, 9))};
+    pool.reclaim_probability = *rc::gen::inRange(0, 101) / 100.0;
+    pool.hourly_price = *rc::gen::inRange(0, 50) / 10.0;
+    pool.max_new_machines = *rc::gen::inRange(0, 10);
   }
   const std::vector<std::vector<double>> rho(pools.size(), std::vector<double>(pools.size(), 0.5));
   std::vector<int> limits;
-  for (const auto& pool : pools) limits.push_back(pool.obtainable);
-  greedy(pools, rho, {double(*rc::gen::inRange(0, 99)), 0, 10}, {});
+  for (const auto& pool : pools) limits.push_back(pool.max_new_machines);
+  choose_purchases(pools, rho, {double(*rc::gen::inRange(0, 99)), 0, 10}, {});
   for (std::size_t i = 0; i < pools.size(); ++i) RC_ASSERT(pools[i].machines <= limits[i]);
 }
 
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr int kBadSettings = 2;
-constexpr int kCannotServe = 1;
+constexpr int kExitBadSettings = 2;
+constexpr int kExitFailure = 1;
 
-void set_up_logs() {
+void configure_logging() {
   spdlog::set_default_logger(spdlog::stderr_logger_mt("reachramp"));
   spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
   const char* level = std::getenv("LOG_LEVEL");
@@ -31,7 +31,7 @@
 }
 
 // Controllers get little memory: threads share one heap and have stacks of a fixed, small size.
-void live_small() {
+void limit_memory_use() {
   mallopt(M_ARENA_MAX, 2);
   mallopt(M_TRIM_THRESHOLD, 1024 * 1024);
 #ifndef __SANITIZE_THREAD__  // whose thread-local storage alone is larger: no thread could start
@@ -61,18 +61,18 @@
   with_settings(app.add_subcommand("check", "read the settings and say what is wrong with them"));
   CLI11_PARSE(app, argc, argv);
 
-  set_up_logs();
-  live_small();
+  configure_logging();
+  limit_memory_use();
   std::signal(SIGPIPE, SIG_IGN);
   try {
     using namespace reachramp;
     const settings::Platform platform = settings::load_platform(config);
     const settings::Policy policy =
         policy_path.empty() ? settings::Policy{} : settings::load_policy(policy_path);
-    if (policy.drains) drains::read_rules(*policy.drains, platform, policy_path);
+    if (policy.drains) drains::parse_drain_policy(*policy.drains, platform, policy_path);
     if (!serve->parsed()) {
       std::cout << "settings are valid\n";
-      if (!leadership::bound_holds(platform.workers)) {
+      if (!leadership::staleness_bound_holds(platform.worker_timings)) {
         std::cout << config
                   << ": facts.workers.cancel_s: less than lease_s and 4 s more: users are told of "
                      "a cancellation only once all tasks of the job are proven to have ended\n";
@@ -83,9 +83,9 @@
     controller::Server(platform, policy, policy_path).run();
   } catch (const reachramp::settings::BadSettings& error) {
     std::cerr << "reachramp: " << error.what() << "\n";
-    return kBadSettings;
+    return kExitBadSettings;
   } catch (const std::exception& error) {
     std::cerr << "reachramp: " << error.what() << "\n";
-    return kCannotServe;
+    return kExitFailure;
   }
 }
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr auto kLimit = std::chrono::milliseconds(4000);
-constexpr std::size_t kResponseLimit = 1024 * 1024;
+constexpr auto kCloudTimeout = std::chrono::milliseconds(4000);
+constexpr std::size_t kMaxCloudResponse_bytes = 1024 * 1024;
 
 }  // namespace
 
@@ -17,13 +17,14 @@
     MachineType type;
     type.name = wire::text(item, "label");
     type.cpus = wire::amount(item, "vcpus");
-    type.gpus = wire::maybe_amount(item, "accelerators").value_or(0);
+    type.gpus = wire::optional_amount(item, "accelerators").value_or(0);
     type.ram_gb = wire::amount(item, "ram_gb");
-    type.cache_gb = wire::maybe_amount(item, "cache_gb").value_or(0);
-    type.fetch_gb_per_s = wire::maybe_amount(item, "pull_gb_per_s").value_or(1);
-    type.price = wire::amount(item, "rate");
-    type.spot_price = wire::maybe_amount(item, "low_price").value_or(type.price);
-    type.boot_s = wire::maybe_amount(item, "boot_s").value_or(60);
+    type.cache_gb = wire::optional_amount(item, "cache_gb").value_or(0);
+    type.fetch_gb_per_s = wire::optional_amount(item, "pull_gb_per_s").value_or(1);
+    type.price_per_hour = wire::amount(item, "rate");
+    type.spot_price_per_hour =
+        wire::optional_amount(item, "low_price").value_or(type.price_per_hour);
+    type.boot_s = wire::optional_amount(item, "boot_s").value_or(60);
     for (const Json& zone : wire::list(item, "halls")) {
       if (!zone.is_string()) throw wire::BadMessage("halls: not text");
       type.zones.push_back(zone.get<std::string>());
@@ -43,23 +44,23 @@
                     {"ram_gb", type.ram_gb},
                     {"cache_gb", type.cache_gb},
                     {"pull_gb_per_s", type.fetch_gb_per_s},
-                    {"rate", type.price},
-                    {"low_price", type.spot_price},
+                    {"rate", type.price_per_hour},
+                    {"low_price", type.spot_price_per_hour},
                     {"boot_s", type.boot_s},
                     {"halls", type.zones}});
   }
   return {{"rigs", std::move(rigs)}};
 }
 
-Json encode_scale_out(const ScaleOutRequest& hire) {
-  return {{"hire", hire.name},
-          {"rig", hire.type},
-          {"hall", hire.zone},
-          {"loaner", hire.spot},
-          {"how_many", hire.count}};
+Json encode_scale_out(const ScaleOutRequest& request) {
+  return {{"hire", request.name},
+          {"rig", request.type},
+          {"hall", request.zone},
+          {"loaner", request.spot},
+          {"how_many", request.count}};
 }
 
-ListedMachine decode_listed(const Json& body) {
+ListedMachine decode_listed_machine(const Json& body) {
   ListedMachine listed;
   listed.name = wire::text(body, "ref");
   // A machine without one that can be used is there all the same. To drop the list for it would be
@@ -73,14 +74,14 @@
   listed.phase = phase == "failed"    ? MachinePhase::failed
                  : phase == "running" ? MachinePhase::running
                                       : MachinePhase::starting;
-  listed.held_s = wire::maybe_amount(body, "held_s").value_or(0);
+  listed.rented_for_s = wire::optional_amount(body, "held_s").value_or(0);
   return listed;
 }
 
-Client::Client(const wire::Address& at) : http_(at, 1, kResponseLimit) {}
+Client::Client(const wire::Address& address) : http_(address, 1, kMaxCloudResponse_bytes) {}
 
 std::optional<Catalog> Client::catalog() {
-  const wire::Answer answer = http_.call("GET", "/catalog", nullptr, kLimit);
+  const wire::CallResult answer = http_.call("GET", "/catalog", nullptr, kCloudTimeout);
   if (answer.status != 200) return std::nullopt;
   try {
     return decode_catalog(answer.body);
@@ -90,46 +91,46 @@
   }
 }
 
-ScaleOutResult Client::scale_out(const ScaleOutRequest& hire) {
-  const Json body = encode_scale_out(hire);
-  const wire::Answer answer = http_.call("POST", "/hosts", &body, kLimit);
-  ScaleOutResult hired;
+ScaleOutResult Client::scale_out(const ScaleOutRequest& request) {
+  const Json body = encode_scale_out(request);
+  const wire::CallResult answer = http_.call("POST", "/hosts", &body, kCloudTimeout);
+  ScaleOutResult result;
   try {
     if (answer.status == 200) {
       for (const Json& name : wire::list(answer.body, "hosts")) {
-        hired.machines.push_back(name.get<std::string>());
+        result.machines.push_back(name.get<std::string>());
       }
-      hired.verdict = CloudOutcome::ok;
+      result.outcome = CloudOutcome::ok;
     } else if (answer.status == 503 && answer.body.value("error", "") == "no capacity") {
-      hired.verdict = CloudOutcome::no_capacity;
+      result.outcome = CloudOutcome::no_capacity;
     } else if (answer.status == 400) {
-      hired.verdict = CloudOutcome::bad;
+      result.outcome = CloudOutcome::malformed;
     }
   } catch (const std::exception& error) {
-    spdlog::error("cloud hire {}: {}", hire.name, error.what());
-    hired = {};
+    spdlog::error("cloud hire {}: {}", request.name, error.what());
+    result = {};
   }
-  return hired;
+  return result;
 }
 
 bool Client::scale_in(const std::vector<std::string>& machines) {
   const Json body{{"hosts", machines}};
-  return http_.call("POST", "/hosts/return", &body, kLimit).status == 200;
+  return http_.call("POST", "/hosts/return", &body, kCloudTimeout).status == 200;
 }
 
-ListPage Client::list(const std::string& after) {
+ListPage Client::list_machines(const std::string& after) {
   std::string target = "/hosts?limit=500";
   if (!after.empty()) target += "&after=" + after;
-  const wire::Answer answer = http_.call("GET", target, nullptr, kLimit);
+  const wire::CallResult answer = http_.call("GET", target, nullptr, kCloudTimeout);
   ListPage page;
   if (answer.status != 200) return page;
   try {
     for (const Json& item : wire::list(answer.body, "hosts")) {
-      page.machines.push_back(decode_listed(item));
+      page.machines.push_back(decode_listed_machine(item));
     }
     const Json* more = wire::find(answer.body, "truncated");
-    page.more = more != nullptr && more->get<bool>();
-    page.verdict = CloudOutcome::ok;
+    page.has_more = more != nullptr && more->get<bool>();
+    page.outcome = CloudOutcome::ok;
   } catch (const std::exception& error) {
     spdlog::error("cloud list: {}", error.what());
     page = {};
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -17,8 +17,8 @@
   double ram_gb = 0;
   double cache_gb = 0;
   double fetch_gb_per_s = 0;
-  double price = 0;       // per hour
-  double spot_price = 0;  // per hour, as of this reading
+  double price_per_hour = 0;       // per hour
+  double spot_price_per_hour = 0;  // per hour, as of this reading
   double boot_s = 0;
   std::vector<std::string> zones;
 };
@@ -34,7 +34,7 @@
   std::string zone;
   bool spot = false;
   MachinePhase phase = MachinePhase::starting;
-  double held_s = 0;
+  double rented_for_s = 0;
 };
 
 struct ScaleOutRequest {
@@ -48,37 +48,37 @@
 enum class CloudOutcome {
   ok,
   no_capacity,  // this pool has nothing now
-  bad,          // malformed: repeating it will not help
-  later,        // outage, rate limit or no answer: repeat the same request
+  malformed,    // malformed: repeating it will not help
+  retry_later,  // outage, rate limit or no answer: repeat the same request
 };
 
 struct ScaleOutResult {
-  CloudOutcome verdict = CloudOutcome::later;
+  CloudOutcome outcome = CloudOutcome::retry_later;
   std::vector<std::string> machines;
 };
 
 struct ListPage {
-  CloudOutcome verdict = CloudOutcome::later;
+  CloudOutcome outcome = CloudOutcome::retry_later;
   std::vector<ListedMachine> machines;
-  bool more = false;
+  bool has_more = false;
 };
 
 // Machines that one call may give back.
-inline constexpr std::size_t kMostPerReturn = 100;
+inline constexpr std::size_t kMaxMachinesPerReturn = 100;
 
 Catalog decode_catalog(const Json& body);
 Json encode_catalog(const Catalog& catalog);
-Json encode_scale_out(const ScaleOutRequest& hire);
-ListedMachine decode_listed(const Json& body);
+Json encode_scale_out(const ScaleOutRequest& request);
+ListedMachine decode_listed_machine(const Json& body);
 
 class Client {
  public:
-  explicit Client(const wire::Address& at);
+  explicit Client(const wire::Address& address);
 
   std::optional<Catalog> catalog();
-  ScaleOutResult scale_out(const ScaleOutRequest& hire);
+  ScaleOutResult scale_out(const ScaleOutRequest& request);
   bool scale_in(const std::vector<std::string>& machines);
-  ListPage list(const std::string& after);
+  ListPage list_machines(const std::string& after);
 
  private:
   wire::Client http_;
--- a/src/cloud/client_bytes_test.cpp
+++ b/src/cloud/client_bytes_test.cpp
@@ -24,8 +24,8 @@
   EXPECT_EQ(read[0].ram_gb, 768.5);
   EXPECT_EQ(read[0].cache_gb, 200.5);
   EXPECT_EQ(read[0].fetch_gb_per_s, 1.5);
-  EXPECT_EQ(read[0].price, 12.5);
-  EXPECT_EQ(read[0].spot_price, 4.5);
+  EXPECT_EQ(read[0].price_per_hour, 12.5);
+  EXPECT_EQ(read[0].spot_price_per_hour, 4.5);
   EXPECT_EQ(read[0].boot_s, 45.5);
   EXPECT_EQ(read[0].zones, (std::vector<std::string>{"a", "b"}));
 }
@@ -37,7 +37,7 @@
 }
 
 TEST(CloudBytes, ListedMachineIsReadFromLiteral) {
-  const ListedMachine listed = decode_listed(received(
+  const ListedMachine listed = decode_listed_machine(received(
       R"({"ref":"n-1","address":"10.0.0.1:9000","rig":"g8","hall":"a","loaner":true,
           "phase":"running","held_s":12.5})"));
   EXPECT_EQ(listed.name, "n-1");
@@ -46,18 +46,18 @@
   EXPECT_EQ(listed.zone, "a");
   EXPECT_TRUE(listed.spot);
   EXPECT_EQ(listed.phase, MachinePhase::running);
-  EXPECT_EQ(listed.held_s, 12.5);
+  EXPECT_EQ(listed.rented_for_s, 12.5);
   const std::pair<const char*, MachinePhase> phases[] = {{"starting", MachinePhase::starting},
                                                          {"running", MachinePhase::running},
                                                          {"failed", MachinePhase::failed}};
   for (const auto& [word, phase] : phases) {
     Json body{{"ref", "n-1"}, {"rig", "g8"}, {"hall", "a"}, {"loaner", false}, {"phase", word}};
-    EXPECT_EQ(decode_listed(body).phase, phase) << word;
+    EXPECT_EQ(decode_listed_machine(body).phase, phase) << word;
   }
 }
 
 TEST(CloudBytes, EachCallSendsItsLiteralRequestAndReadsItsLiteralAnswer) {
-  test::Recorder service([](const wire::Request& request) -> wire::Reply {
+  test::Recorder service([](const wire::Request& request) -> wire::Response {
     if (request.path == "/catalog") return {200, received(kCatalog), 0};
     if (request.path == "/hosts/return") return {200, Json::object(), 0};
     if (request.method == "POST") return {200, received(R"({"hosts":["n-1","n-2"]})"), 0};
@@ -68,14 +68,14 @@
   Client client(service.at());
   ASSERT_TRUE(client.catalog());
   const ScaleOutResult hired = client.scale_out({"r-40-1", "g8", "a", false, 3});
-  EXPECT_EQ(hired.verdict, CloudOutcome::ok);
+  EXPECT_EQ(hired.outcome, CloudOutcome::ok);
   EXPECT_EQ(hired.machines, (std::vector<std::string>{"n-1", "n-2"}));
   EXPECT_TRUE(client.scale_in({"n-1", "n-2"}));
-  const ListPage page = client.list("");
-  EXPECT_EQ(page.verdict, CloudOutcome::ok);
+  const ListPage page = client.list_machines("");
+  EXPECT_EQ(page.outcome, CloudOutcome::ok);
   EXPECT_EQ(page.machines.size(), 1u);
-  EXPECT_TRUE(page.more);
-  client.list("n-1");
+  EXPECT_TRUE(page.has_more);
+  client.list_machines("n-1");
   const std::pair<const char*, const char*> expected[] = {
       {"GET /catalog", nullptr},
       {"POST /hosts", R"({"hire":"r-40-1","rig":"g8","hall":"a","loaner":false,"how_many":3})"},
@@ -91,14 +91,14 @@
 }
 
 TEST(CloudBytes, RefusalsOfHireAreReadFromLiteral) {
-  wire::Reply reply{503, received(R"({"error":"no capacity"})"), 0};
+  wire::Response reply{503, received(R"({"error":"no capacity"})"), 0};
   test::Recorder service([&](const wire::Request&) { return reply; });
   Client client(service.at());
-  EXPECT_EQ(client.scale_out({}).verdict, CloudOutcome::no_capacity);
+  EXPECT_EQ(client.scale_out({}).outcome, CloudOutcome::no_capacity);
   reply = {503, received(R"({"error":"outage"})"), 0};
-  EXPECT_EQ(client.scale_out({}).verdict, CloudOutcome::later);
+  EXPECT_EQ(client.scale_out({}).outcome, CloudOutcome::retry_later);
   reply = {400, received(R"({"error":"bad"})"), 0};
-  EXPECT_EQ(client.scale_out({}).verdict, CloudOutcome::bad);
+  EXPECT_EQ(client.scale_out({}).outcome, CloudOutcome::malformed);
 }
 
 }  // namespace
--- a/src/cloud/client_test.cpp
+++ b/src/cloud/client_test.cpp
@@ -13,12 +13,13 @@
   for (const Json& address : {Json(), Json(""), Json(7), Json(std::string(300, 'x'))}) {
     Json listed = machine;
     listed["address"] = address;
-    EXPECT_EQ(decode_listed(listed).name, "n-1");
+    EXPECT_EQ(decode_listed_machine(listed).name, "n-1");
   }
-  EXPECT_EQ(decode_listed(machine).address, "");
+  EXPECT_EQ(decode_listed_machine(machine).address, "");
   Json nameless = machine;
   nameless["ref"] = "";
-  EXPECT_THROW(decode_listed(nameless), wire::BadMessage) << "whatever it is, it cannot be told";
+  EXPECT_THROW(decode_listed_machine(nameless), wire::BadMessage)
+      << "whatever it is, it cannot be told";
 }
 
 }  // namespace
--- a/src/controller/cancellation_poller.cpp
+++ b/src/controller/cancellation_poller.cpp
@@ -7,7 +7,7 @@
     for (const CancellationPoll& poll : polls_.take(std::chrono::hours(1))) {
       if (election_.status().fencing_token != poll.fencing_token) continue;
       events_.push(
-          {poll.fencing_token, CancellationsPolled{health_.poll_cancellations(poll.windows)}});
+          {poll.fencing_token, CancellationsPolled{health_.poll_cancellations(poll.windows_s)}});
     }
   }
 }
--- a/src/controller/cancellation_poller.h
+++ b/src/controller/cancellation_poller.h
@@ -14,7 +14,7 @@
 // back it is asked.
 struct CancellationPoll {
   std::uint64_t fencing_token = 0;
-  std::vector<double> windows;
+  std::vector<double> windows_s;
 };
 
 // Owns the rounds that wait. A thread of its own, since a member that is gone holds a round up.
--- a/src/controller/catalog_cache.cpp
+++ b/src/controller/catalog_cache.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double kReadAgain_s = 0.5;
+constexpr double kCatalogReadInterval_s = 0.5;
 
 }  // namespace
 
@@ -19,8 +19,9 @@
   {
     std::lock_guard lock(mutex_);
     const double now = kv::steady_now();
-    if (catalog_ || (read_at_ && now - *read_at_ < kReadAgain_s)) return catalog_;
-    read_at_ = now;
+    if (catalog_ || (store_read_at_ && now - *store_read_at_ < kCatalogReadInterval_s))
+      return catalog_;
+    store_read_at_ = now;
   }
   const kv::ReadResult found = store_.get(kCatalogKey);
   try {
--- a/src/controller/catalog_cache.h
+++ b/src/controller/catalog_cache.h
@@ -25,7 +25,7 @@
   kv::Client& store_;
   std::mutex mutex_;
   std::shared_ptr<const cloud::Catalog> catalog_;
-  std::optional<double> read_at_;  // when the store was last asked (steady seconds)
+  std::optional<double> store_read_at_;  // when the store was last asked (steady seconds)
 };
 
 }  // namespace reachramp::controller
--- a/src/controller/cloud_requests.cpp
+++ b/src/controller/cloud_requests.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-enum class Rank { urgent_return, rental, other_return };
+enum class RequestPriority { urgent_scale_in, scale_out, ordinary_scale_in };
 
-Rank rank_of(const QueuedCloudRequest& call) {
-  if (call.request.urgent) return Rank::urgent_return;
-  return call.request.kind == CloudRequest::Kind::scale_out ? Rank::rental : Rank::other_return;
+RequestPriority priority_of(const QueuedCloudRequest& queued) {
+  if (queued.request.urgent) return RequestPriority::urgent_scale_in;
+  return queued.request.kind == CloudRequest::Kind::scale_out ? RequestPriority::scale_out
+                                                              : RequestPriority::ordinary_scale_in;
 }
 
 }  // namespace
@@ -25,21 +26,21 @@
 QueuedCloudRequest take_next_request(std::deque<QueuedCloudRequest>& waiting) {
   const auto first = std::min_element(waiting.begin(), waiting.end(),
                                       [](const QueuedCloudRequest& a, const QueuedCloudRequest& b) {
-                                        return rank_of(a) < rank_of(b);
+                                        return priority_of(a) < priority_of(b);
                                       });
-  const Rank rank = rank_of(*first);
+  const RequestPriority priority = priority_of(*first);
   QueuedCloudRequest next = std::move(*first);
   waiting.erase(first);
-  if (rank == Rank::rental) return next;
-  std::vector<std::string>& machines = next.request.machines;
+  if (priority == RequestPriority::scale_out) return next;
+  std::vector<std::string>& machines = next.request.scale_in_machines;
   for (auto at = waiting.begin(); at != waiting.end();) {
-    const std::vector<std::string>& more = at->request.machines;
-    const bool fits = machines.size() + more.size() <= cloud::kMostPerReturn;
-    if (rank_of(*at) != rank || !fits) {
+    const std::vector<std::string>& additional = at->request.scale_in_machines;
+    const bool fits = machines.size() + additional.size() <= cloud::kMaxMachinesPerReturn;
+    if (priority_of(*at) != priority || !fits) {
       ++at;
       continue;
     }
-    machines.insert(machines.end(), more.begin(), more.end());
+    machines.insert(machines.end(), additional.begin(), additional.end());
     at = waiting.erase(at);
   }
   return next;
--- a/src/controller/cloud_requests.h
+++ b/src/controller/cloud_requests.h
@@ -13,7 +13,7 @@
 struct CloudRequest {
   enum class Kind { scale_out, scale_in } kind = Kind::scale_out;
   cloud::ScaleOutRequest scale_out;
-  std::vector<std::string> machines;
+  std::vector<std::string> scale_in_machines;
   // A return before all other calls: a rule depends on it (workers/cancelled_tasks.h).
   bool urgent = false;
 };
--- a/src/controller/cloud_requests_test.cpp
+++ b/src/controller/cloud_requests_test.cpp
@@ -22,21 +22,24 @@
                                          give_back({"n-2"}, true), rental("r-2"),
                                          give_back({"n-3"}),       give_back({"n-4"}, true)};
   EXPECT_TRUE(has_urgent_request(waiting));
-  EXPECT_EQ(take_next_request(waiting).request.machines, (std::vector<std::string>{"n-2", "n-4"}));
+  EXPECT_EQ(take_next_request(waiting).request.scale_in_machines,
+            (std::vector<std::string>{"n-2", "n-4"}));
   EXPECT_FALSE(has_urgent_request(waiting));
   EXPECT_EQ(take_next_request(waiting).request.scale_out.name, "r-1");
   EXPECT_EQ(take_next_request(waiting).request.scale_out.name, "r-2");
-  EXPECT_EQ(take_next_request(waiting).request.machines, (std::vector<std::string>{"n-1", "n-3"}));
+  EXPECT_EQ(take_next_request(waiting).request.scale_in_machines,
+            (std::vector<std::string>{"n-1", "n-3"}));
   EXPECT_TRUE(waiting.empty());
 }
 
 TEST(CloudCalls, AReturnNamesNoMoreMachinesThanACallMay) {
   std::deque<QueuedCloudRequest> waiting;
-  for (std::size_t i = 0; i <= cloud::kMostPerReturn; ++i) {
+  for (std::size_t i = 0; i <= cloud::kMaxMachinesPerReturn; ++i) {
     waiting.push_back(give_back({"n-" + std::to_string(i)}, true));
   }
-  EXPECT_EQ(take_next_request(waiting).request.machines.size(), cloud::kMostPerReturn);
-  EXPECT_EQ(take_next_request(waiting).request.machines.size(), 1u);
+  EXPECT_EQ(take_next_request(waiting).request.scale_in_machines.size(),
+            cloud::kMaxMachinesPerReturn);
+  EXPECT_EQ(take_next_request(waiting).request.scale_in_machines.size(), 1u);
 }
 
 }  // namespace
--- a/src/controller/cloud_worker.cpp
+++ b/src/controller/cloud_worker.cpp
@@ -11,10 +11,10 @@
 
 using kv::steady_now;
 
-constexpr double kCatalogEvery_s = 10;
-constexpr double kCatalogRetry_s = 2;
-constexpr double kListEvery_s = 2;
-constexpr double kRetry_s = 0.3;
+constexpr double kCatalogInterval_s = 10;
+constexpr double kCatalogRetryDelay_s = 2;
+constexpr double kMachineListInterval_s = 2;
+constexpr double kCloudRetryDelay_s = 0.3;
 
 }  // namespace
 
@@ -23,8 +23,8 @@
     : election_(election),
       catalog_(catalog),
       events_(events),
-      cloud_(platform.cloud),
-      bucket_(platform.cloud_limits.rps * 0.8, platform.cloud_limits.rps) {}
+      cloud_(platform.cloud_address),
+      rate_limit_(platform.cloud_limits.rps * 0.8, platform.cloud_limits.rps) {}
 
 void CloudWorker::run() {
   for (;;) {
@@ -54,7 +54,7 @@
 // Nodes that do not lead need the machine types too, to tell what can never run; they take them
 // from the key-value store, and from the cloud only while nobody has stored them.
 void CloudWorker::run_as_follower() {
-  listed_at_ = catalog_read_at_ = std::nullopt;
+  machines_listed_at_ = catalog_read_at_ = std::nullopt;
   if (catalog_.get()) return;
   wait_for_rate_limit();
   if (const auto read = cloud_.catalog()) catalog_.set(*read);
@@ -62,14 +62,14 @@
 
 void CloudWorker::refresh_catalog(std::uint64_t fencing_token) {
   const double now = steady_now();
-  if (catalog_read_at_ && now - *catalog_read_at_ <= kCatalogEvery_s) return;
+  if (catalog_read_at_ && now - *catalog_read_at_ <= kCatalogInterval_s) return;
   wait_for_rate_limit();
   catalog_read_at_ = now;
   if (const auto read = cloud_.catalog()) {
     catalog_.set(*read);
     events_.push({fencing_token, CatalogRead{*read}});
   } else {
-    catalog_read_at_ = now - kCatalogEvery_s + kCatalogRetry_s;
+    catalog_read_at_ = now - kCatalogInterval_s + kCatalogRetryDelay_s;
   }
 }
 
@@ -84,13 +84,13 @@
   wait_for_rate_limit();
   if (next.request.kind == CloudRequest::Kind::scale_out) {
     const cloud::ScaleOutResult result = cloud_.scale_out(next.request.scale_out);
-    if (result.verdict == cloud::CloudOutcome::later) {
+    if (result.outcome == cloud::CloudOutcome::retry_later) {
       retry_later(next);
     } else {
       events_.push({fencing_token, ScaleOutCompleted{next.request.scale_out, result}});
     }
-  } else if (cloud_.scale_in(next.request.machines)) {
-    events_.push({fencing_token, ScaleInCompleted{next.request.machines}});
+  } else if (cloud_.scale_in(next.request.scale_in_machines)) {
+    events_.push({fencing_token, ScaleInCompleted{next.request.scale_in_machines}});
   } else {
     retry_later(next);
   }
@@ -98,33 +98,33 @@
 
 void CloudWorker::retry_later(const QueuedCloudRequest& request) {
   waiting_.push_back(request);
-  std::this_thread::sleep_for(kv::jittered(kRetry_s));
+  std::this_thread::sleep_for(kv::jittered(kCloudRetryDelay_s));
 }
 
 void CloudWorker::refresh_machines(std::uint64_t fencing_token) {
   const double now = steady_now();
-  if (listed_at_ && now - *listed_at_ <= kListEvery_s) return;
-  listed_at_ = now;
+  if (machines_listed_at_ && now - *machines_listed_at_ <= kMachineListInterval_s) return;
+  machines_listed_at_ = now;
   list_machines(fencing_token);
 }
 
 void CloudWorker::list_machines(std::uint64_t fencing_token) {
-  const double asked_at = steady_now();
+  const double requested_at = steady_now();
   std::vector<cloud::ListedMachine> machines;
   for (;;) {
     wait_for_rate_limit();
-    cloud::ListPage page = cloud_.list(machines.empty() ? "" : machines.back().name);
-    if (page.verdict != cloud::CloudOutcome::ok) return;
-    const bool more = page.more && !page.machines.empty();
+    cloud::ListPage page = cloud_.list_machines(machines.empty() ? "" : machines.back().name);
+    if (page.outcome != cloud::CloudOutcome::ok) return;
+    const bool more = page.has_more && !page.machines.empty();
     for (auto& machine : page.machines) machines.push_back(std::move(machine));
     if (!more) break;
   }
-  events_.push({fencing_token, MachinesListed{std::move(machines), asked_at}});
+  events_.push({fencing_token, MachinesListed{std::move(machines), requested_at}});
 }
 
 void CloudWorker::wait_for_rate_limit() {
   double wait;
-  while ((wait = bucket_.take(1, steady_now())) > 0) {
+  while ((wait = rate_limit_.take(1, steady_now())) > 0) {
     std::this_thread::sleep_for(std::chrono::duration<double>(wait));
   }
 }
--- a/src/controller/cloud_worker.h
+++ b/src/controller/cloud_worker.h
@@ -42,12 +42,12 @@
   CatalogCache& catalog_;
   EventQueue& events_;
   cloud::Client cloud_;
-  kv::TokenBucket bucket_;
+  kv::TokenBucket rate_limit_;
   Queue<QueuedCloudRequest> requests_;
   // The rest is for run() alone. Times in steady seconds; none: not yet by this leader.
   std::deque<QueuedCloudRequest> waiting_;
   std::optional<double> catalog_read_at_;
-  std::optional<double> listed_at_;
+  std::optional<double> machines_listed_at_;
 };
 
 }  // namespace reachramp::controller
--- a/src/controller/event_loop.cpp
+++ b/src/controller/event_loop.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr double kLeaderTick_s = 0.1;
-constexpr double kFollowerTick_s = 1.0;
+constexpr double kLeaderMaxWait_s = 0.1;
+constexpr double kFollowerMaxWait_s = 1.0;
 
 // Hands each result to the leader that asked for it.
-struct LeaderEvents {
+struct LeaderEventVisitor {
   Leader& leader;
   double now;
 
@@ -24,11 +24,11 @@
   void operator()(StatusReceived& in) const { leader.on_direct_status(in.status, now); }
   void operator()(JobsChanged& in) const {
     leader.on_job_changes(in.changes, now);
-    leader.on_jobs_read_until(in.asked_at);
+    leader.on_jobs_read_until(in.requested_at);
   }
   void operator()(JobsListed& in) const {
     leader.on_job_list(in.entries, now);
-    leader.on_jobs_read_until(in.asked_at);
+    leader.on_jobs_read_until(in.requested_at);
   }
   void operator()(CancellationsPolled& in) const {
     leader.on_cancellation_digests(in.digests, now);
@@ -44,7 +44,9 @@
     leader.on_transaction_completed(in.result, now);
   }
   void operator()(CatalogRead& in) const { leader.on_catalog(in.catalog, now); }
-  void operator()(MachinesListed& in) const { leader.on_host_list(in.machines, in.asked_at, now); }
+  void operator()(MachinesListed& in) const {
+    leader.on_host_list(in.machines, in.requested_at, now);
+  }
   void operator()(ScaleOutCompleted& in) const {
     leader.on_scale_out_completed(in.request, in.result, now);
   }
@@ -53,10 +55,10 @@
 
 }  // namespace
 
-void EventLoop::run_event_loop() {
+void EventLoop::run() {
   for (;;) {
-    std::vector<Event> events =
-        events_.take(std::chrono::duration<double>(leader_ ? kLeaderTick_s : kFollowerTick_s));
+    std::vector<Event> events = events_.take(
+        std::chrono::duration<double>(leader_ ? kLeaderMaxWait_s : kFollowerMaxWait_s));
     const double now = kv::steady_now();
     for (Event& event : events) {
       try {
@@ -87,26 +89,29 @@
     leader_ = std::move(acquired->leader);
     return;
   }
-  const bool current = leader_ && leader_->cluster().fencing_token == event.fencing_token;
+  const bool is_current_leader = leader_ && leader_->cluster().fencing_token == event.fencing_token;
   if (auto* received = std::get_if<HeartbeatReceived>(&event.payload)) {
-    dispatch_heartbeat(*received, current, now);
-  } else if (current) {
-    std::visit(LeaderEvents{*leader_, now}, event.payload);
+    dispatch_heartbeat(*received, is_current_leader, now);
+  } else if (is_current_leader) {
+    std::visit(LeaderEventVisitor{*leader_, now}, event.payload);
   }
 }
 
 // Whoever waits for the reply is told in any case, by the leader now or later, or at once.
-void EventLoop::dispatch_heartbeat(HeartbeatReceived& received, bool current, double now) {
+void EventLoop::dispatch_heartbeat(HeartbeatReceived& received, bool is_current_leader,
+                                   double now) {
   const auto reply = received.reply;
   // No body: this node leads, but may not answer workers now. Final: whoever has forwarded the
   // heartbeat passes that on.
   const auto answer = [reply](const wire::Json& body) {
-    reply->set_value(body.is_null() ? wire::Reply{peers::kMisdirected, {{"error", "not current"}}}
-                                    : wire::Reply{200, body});
+    reply->set_value(body.is_null() ? wire::Response{peers::kStatusMisdirectedRequest,
+                                                     {{"error", "not current"}}}
+                                    : wire::Response{200, body});
   };
-  const HeartbeatVerdict verdict =
-      current ? leader_->on_heartbeat(received.heartbeat, answer, now) : HeartbeatVerdict::deposed;
-  if (verdict == HeartbeatVerdict::deposed) {
+  const HeartbeatResult result = is_current_leader
+                                     ? leader_->on_heartbeat(received.heartbeat, answer, now)
+                                     : HeartbeatResult::deposed;
+  if (result == HeartbeatResult::deposed) {
     reply->set_value({503, {{"error", "not leading"}}});
   }
 }
@@ -118,37 +123,38 @@
     leader_.reset();
     return;
   }
-  if (effects.read_jobs) executors_.jobs.request_relist();
+  if (effects.relist_jobs) executors_.job_watcher.request_relist();
   if (effects.transaction) {
-    executors_.transactions.push({fencing_token, effects.transaction->transaction});
+    executors_.transaction_sender.push({fencing_token, effects.transaction->transaction});
   }
-  if (!effects.cancellation_poll_windows.empty()) {
-    executors_.cancellations.push({fencing_token, std::move(effects.cancellation_poll_windows)});
+  if (!effects.cancellation_poll_windows_s.empty()) {
+    executors_.cancellation_poller.push(
+        {fencing_token, std::move(effects.cancellation_poll_windows_s)});
   }
   request_reads(effects, fencing_token);
   for (CloudRequest& request : effects.cloud_requests) {
-    executors_.cloud.push({fencing_token, std::move(request)});
+    executors_.cloud_worker.push({fencing_token, std::move(request)});
   }
   for (auto& [address, body] : effects.urgent_stops) {
-    executors_.prober.push({fencing_token, std::move(address), std::move(body)});
+    executors_.machine_prober.push({fencing_token, std::move(address), std::move(body)});
   }
   for (std::string& address : effects.probes) {
-    executors_.prober.push({fencing_token, std::move(address)});
+    executors_.machine_prober.push({fencing_token, std::move(address)});
   }
 }
 
 void EventLoop::request_reads(Effects& effects, std::uint64_t fencing_token) {
-  using Kind = StrongRead::Kind;
-  StrongReader& reads = executors_.reads;
+  using Kind = StrongReadRequest::Kind;
+  StrongReader& strong_reader = executors_.strong_reader;
   if (effects.verify_key) {
-    reads.push({Kind::verify_key, fencing_token, std::move(*effects.verify_key)});
+    strong_reader.push({Kind::verify_key, fencing_token, std::move(*effects.verify_key)});
   }
   for (std::string& job : effects.read_job_ends) {
-    reads.push({Kind::job_end, fencing_token, std::move(job)});
+    strong_reader.push({Kind::job_end, fencing_token, std::move(job)});
   }
-  if (effects.read_claims) reads.push({Kind::claims, fencing_token});
-  if (effects.read_obsolete_records) reads.push({Kind::obsolete_records, fencing_token});
-  if (effects.read_drains) reads.push({Kind::drains, fencing_token});
+  if (effects.read_claims) strong_reader.push({Kind::claims, fencing_token});
+  if (effects.read_obsolete_records) strong_reader.push({Kind::obsolete_records, fencing_token});
+  if (effects.read_drains) strong_reader.push({Kind::drains, fencing_token});
 }
 
 }  // namespace reachramp::controller
--- a/src/controller/event_loop.h
+++ b/src/controller/event_loop.h
@@ -17,12 +17,12 @@
 
 // The threads that carry out what the leader has decided.
 struct EffectExecutors {
-  JobWatcher& jobs;
-  TransactionSender& transactions;
-  CancellationPoller& cancellations;
-  StrongReader& reads;
-  CloudWorker& cloud;
-  MachineProber& prober;
+  JobWatcher& job_watcher;
+  TransactionSender& transaction_sender;
+  CancellationPoller& cancellation_poller;
+  StrongReader& strong_reader;
+  CloudWorker& cloud_worker;
+  MachineProber& machine_prober;
 };
 
 // Owns the leader, while this node has one. One thread runs it, and nothing else touches the
@@ -36,11 +36,11 @@
   // Takes events, lets the leader act on them and hands what it wants done to the executors. An
   // event that throws is logged and dropped. For a thread of its own; it never blocks but for
   // events.
-  [[noreturn]] void run_event_loop();
+  [[noreturn]] void run();
 
  private:
   void dispatch(Event& event, double now);
-  void dispatch_heartbeat(HeartbeatReceived& received, bool current, double now);
+  void dispatch_heartbeat(HeartbeatReceived& received, bool is_current_leader, double now);
   // Gives up the leader whose time is over, or lets it act.
   void advance_leader(double now);
   void execute_effects(Effects effects);
--- a/src/controller/events.h
+++ b/src/controller/events.h
@@ -29,7 +29,7 @@
 // waits for it.
 struct HeartbeatReceived {
   workers::Heartbeat heartbeat;
-  std::shared_ptr<std::promise<wire::Reply>> reply;
+  std::shared_ptr<std::promise<wire::Response>> reply;
 };
 
 // The status that a worker gave when it was called at its own address.
@@ -41,13 +41,13 @@
 // everything that was stored before is known.
 struct JobsChanged {
   std::vector<kv::KeyChange> changes;
-  double asked_at = 0;
+  double requested_at = 0;
 };
 
 // All job records, listed anew under the same leader. `asked_at` as above.
 struct JobsListed {
   std::vector<kv::Entry> entries;
-  double asked_at = 0;
+  double requested_at = 0;
 };
 
 // What each member has told users as cancelled.
@@ -96,7 +96,7 @@
 // All pages of the cloud's list of machines. `asked_at` (steady seconds): before the first page.
 struct MachinesListed {
   std::vector<cloud::ListedMachine> machines;
-  double asked_at = 0;
+  double requested_at = 0;
 };
 
 // The cloud's final answer to a request for machines.
--- a/src/controller/job_watcher.cpp
+++ b/src/controller/job_watcher.cpp
@@ -14,20 +14,20 @@
 using kv::Outcome;
 using kv::steady_now;
 
-constexpr auto kWatchFor = std::chrono::milliseconds(1000);
-constexpr double kUnreadPause_s = 0.2;
-constexpr double kUnusablePause_s = 1;
+constexpr auto kWatchMaxWait = std::chrono::milliseconds(1000);
+constexpr double kReadFailedPause_s = 0.2;
+constexpr double kInvalidRecordPause_s = 1;
 constexpr double kWatchFailedPause_s = 0.3;
 
 }  // namespace
 
 JobWatcher::JobWatcher(const settings::Platform& platform, const settings::Policy& policy,
-                       const schema::SupportedVersions& versions,
+                       const schema::SupportedLevels& versions,
                        leadership::LeaderElection& election, kv::Client& store,
                        peers::Members& members, EventQueue& events)
     : platform_(platform),
       policy_(policy),
-      versions_(versions),
+      supported_levels_(versions),
       election_(election),
       store_(store),
       loader_(store, members),
@@ -39,8 +39,8 @@
     fencing_token = election_.wait_until_leader(fencing_token);
     Term term{fencing_token};
     while (election_.status().fencing_token == fencing_token) {
-      if (relist_requested_.exchange(false)) term.position = 0;
-      if (term.position == 0) {
+      if (relist_requested_.exchange(false)) term.watch_revision = 0;
+      if (term.watch_revision == 0) {
         list_jobs(term);
       } else {
         follow_changes(term);
@@ -50,48 +50,48 @@
 }
 
 void JobWatcher::list_jobs(Term& term) {
-  const double asked_at = steady_now();
-  auto jobs = list_all(store_, "job/", &term.position);
-  if (!jobs) return start_over(term, kUnreadPause_s);
-  if (term.leading) {
-    events_.push({term.fencing_token, JobsListed{std::move(*jobs), asked_at}});
+  const double requested_at = steady_now();
+  auto jobs = list_all(store_, "job/", &term.watch_revision);
+  if (!jobs) return relist_after_pause(term, kReadFailedPause_s);
+  if (term.leader_created) {
+    events_.push({term.fencing_token, JobsListed{std::move(*jobs), requested_at}});
     return;
   }
-  std::optional<LeaderSnapshot> snapshot = loader_.load(asked_at);
-  if (!snapshot) return start_over(term, kUnreadPause_s);
+  std::optional<LeaderSnapshot> snapshot = loader_.load(requested_at);
+  if (!snapshot) return relist_after_pause(term, kReadFailedPause_s);
   snapshot->jobs = std::move(*jobs);
-  begin_leading(term, *snapshot);
+  create_leader(term, *snapshot);
 }
 
-void JobWatcher::begin_leading(Term& term, const LeaderSnapshot& snapshot) {
+void JobWatcher::create_leader(Term& term, const LeaderSnapshot& snapshot) {
   try {
-    events_.push({term.fencing_token,
-                  LeadershipAcquired{std::make_unique<Leader>(
-                      platform_, policy_, term.fencing_token, snapshot, steady_now(), versions_)}});
-    term.leading = true;
+    events_.push({term.fencing_token, LeadershipAcquired{std::make_unique<Leader>(
+                                          platform_, policy_, term.fencing_token, snapshot,
+                                          steady_now(), supported_levels_)}});
+    term.leader_created = true;
   } catch (const std::exception& error) {
     spdlog::error("records cannot be read: {}", error.what());
-    start_over(term, kUnusablePause_s);
+    relist_after_pause(term, kInvalidRecordPause_s);
   }
 }
 
 void JobWatcher::follow_changes(Term& term) {
   // Answers say what was when they were asked for, at the least: a process that stood still finds
   // one that has waited for it as long.
-  const double asked_at = steady_now();
-  kv::WatchResult changes = store_.watch("job/", term.position, kWatchFor);
+  const double requested_at = steady_now();
+  kv::WatchResult changes = store_.watch("job/", term.watch_revision, kWatchMaxWait);
   if (changes.outcome == Outcome::absent) {
-    term.position = 0;
+    term.watch_revision = 0;
   } else if (changes.outcome == Outcome::ok) {
-    term.position = changes.store_revision;
-    events_.push({term.fencing_token, JobsChanged{std::move(changes.changes), asked_at}});
+    term.watch_revision = changes.store_revision;
+    events_.push({term.fencing_token, JobsChanged{std::move(changes.changes), requested_at}});
   } else {
     std::this_thread::sleep_for(kv::jittered(kWatchFailedPause_s));
   }
 }
 
-void JobWatcher::start_over(Term& term, double pause_s) {
-  term.position = 0;
+void JobWatcher::relist_after_pause(Term& term, double pause_s) {
+  term.watch_revision = 0;
   std::this_thread::sleep_for(kv::jittered(pause_s));
 }
 
--- a/src/controller/job_watcher.h
+++ b/src/controller/job_watcher.h
@@ -18,7 +18,7 @@
  public:
   // `versions`: what this process supports, for the leaders that it makes.
   JobWatcher(const settings::Platform& platform, const settings::Policy& policy,
-             const schema::SupportedVersions& versions, leadership::LeaderElection& election,
+             const schema::SupportedLevels& versions, leadership::LeaderElection& election,
              kv::Client& store, peers::Members& members, EventQueue& events);
 
   // In each term of this node: reads the stored state, makes the leader of it, then reports every
@@ -32,19 +32,19 @@
   // From when this node has become the leader until it no longer is.
   struct Term {
     std::uint64_t fencing_token = 0;
-    std::uint64_t position = 0;  // the revision up to which changes are known; 0: list all
-    bool leading = false;        // the leader has been made
+    std::uint64_t watch_revision = 0;  // the revision up to which changes are known; 0: list all
+    bool leader_created = false;       // the leader has been made
   };
 
   void list_jobs(Term& term);
-  void begin_leading(Term& term, const LeaderSnapshot& snapshot);
+  void create_leader(Term& term, const LeaderSnapshot& snapshot);
   void follow_changes(Term& term);
   // Lists all jobs again after so many seconds, more or less.
-  static void start_over(Term& term, double pause_s);
+  static void relist_after_pause(Term& term, double pause_s);
 
   const settings::Platform& platform_;
   const settings::Policy& policy_;
-  const schema::SupportedVersions versions_;
+  const schema::SupportedLevels supported_levels_;
   leadership::LeaderElection& election_;
   kv::Client& store_;
   LeaderSnapshotLoader loader_;
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -26,12 +26,12 @@
 #include "settings/settings.h"
 #include "shares/usage_accounts.h"
 #include "workers/heartbeat.h"
-#include "zones/zones.h"
+#include "zones/zone_monitor.h"
 
 namespace reachramp::controller {
 
 // What becomes of a worker's heartbeat.
-enum class HeartbeatVerdict {
+enum class HeartbeatResult {
   accepted,  // its response goes to the responder, now or later
   deposed,   // the worker has seen a higher fencing token: another node leads
 };
@@ -46,10 +46,10 @@
   // Addresses of machines to be told this leader's fencing token.
   std::vector<std::string> probes;
   std::vector<std::pair<std::string, kv::Json>> urgent_stops;  // addresses, bodies of /orders
-  std::vector<double> cancellation_poll_windows;  // members for the cancellations they told: one
-                                                  // window each; or none
+  std::vector<double> cancellation_poll_windows_s;  // members for the cancellations they told: one
+                                                    // window each; or none
   bool step_down = false;
-  bool read_jobs = false;    // all of them: a change that the watch brought was not taken in
+  bool relist_jobs = false;  // all of them: a change that the watch brought was not taken in
   bool read_drains = false;  // the record of what is to be drained
   bool read_claims = false;  // what the processes on all nodes speak
   bool read_obsolete_records = false;  // records that are not of the level's form, by strong reads
@@ -62,12 +62,13 @@
   std::vector<kv::Entry> tasks;
   std::vector<kv::Entry> pools;
   std::optional<kv::Entry> catalog;
-  std::optional<kv::Entry> level;
+  std::optional<kv::Entry> stored_schema;
   std::optional<kv::Entry> shares;
   std::optional<kv::Entry> drains;
-  std::optional<kv::Entry> drains_used;
+  std::optional<kv::Entry> drain_budgets;
   std::optional<kv::Entry> zones;
-  std::optional<double> asked_at;    // when the jobs were asked for (steady seconds); else now
+  std::optional<double>
+      jobs_requested_at;             // when the jobs were asked for (steady seconds); else now
   bool all_upgraded = false;         // no node runs a version that knows whole records only
   kv::RevisionClock revision_clock;  // what this node knows of when revisions were given
   std::optional<kv::Entry> stored_revision_clock;  // what earlier leaders wrote of it
@@ -79,14 +80,14 @@
   // Throws std::runtime_error where the stored schema is not one that `supported_versions` has.
   Leader(const settings::Platform& platform, const settings::Policy& policy,
          std::uint64_t fencing_token, const LeaderSnapshot& snapshot, double now,
-         const schema::SupportedVersions& supported_versions = {});
+         const schema::SupportedLevels& supported_versions = {});
 
   // A worker's heartbeat; `answer` is called with the response, now or as soon as intents that it
   // should carry are durable, or with null: this leader may not answer now
   // (leadership/read_freshness.h).
   using HeartbeatResponder = std::function<void(const wire::Json&)>;
-  HeartbeatVerdict on_heartbeat(const workers::Heartbeat& heartbeat, HeartbeatResponder answer,
-                                double now);
+  HeartbeatResult on_heartbeat(const workers::Heartbeat& heartbeat, HeartbeatResponder responder,
+                               double now);
   void on_direct_status(const workers::Heartbeat& heartbeat, double now);
   void on_job_changes(const std::vector<kv::KeyChange>& changes, double now);
   // All jobs as read anew after the watch lost its place.
@@ -94,7 +95,7 @@
   void on_job_end_read(const std::string& id, const kv::ReadResult& found, double now);
   void on_all_upgraded() { all_upgraded_ = true; }
   // All changes of jobs until then were passed in; they count as known if all were taken in.
-  void on_jobs_read_until(double asked_at);
+  void on_jobs_read_until(double requested_at);
   // What members have told users as cancelled, each for itself.
   void on_cancellation_digests(const std::vector<leadership::CancellationDigest>& digests,
                                double now);
@@ -104,14 +105,15 @@
   // The record of what is to be drained; nothing: there is none.
   void on_drains(const std::optional<kv::Entry>& entry, double now);
   const drains::Drains& drains() const { return drains_; }
-  const schema::StoredSchema& level() const { return schema_; }
+  const schema::StoredSchema& stored_schema() const { return schema_; }
   void on_transaction_completed(const kv::CommitResult& committed, double now);
   // The key that was to be read back, and the leader's key, by strong reads in this order: while
   // the latter has our fencing token, nobody else can have written the former.
   void on_transaction_verified(const kv::ReadResult& found, const kv::ReadResult& leader,
                                double now);
   void on_catalog(const cloud::Catalog& catalog, double now);
-  void on_host_list(const std::vector<cloud::ListedMachine>& listed, double asked_at, double now);
+  void on_host_list(const std::vector<cloud::ListedMachine>& listed, double requested_at,
+                    double now);
   void on_scale_out_completed(const cloud::ScaleOutRequest& request,
                               const cloud::ScaleOutResult& result, double now);
   void on_scale_in_completed(const std::vector<std::string>& machines, double now);
@@ -126,8 +128,8 @@
  private:
   struct DeferredResponse {
     std::string host;
-    HeartbeatResponder answer;
-    double since = 0;
+    HeartbeatResponder responder;
+    double deferred_at = 0;
   };
 
   // The start of the term (leader_restore.cpp): from stored records to state.
@@ -153,9 +155,9 @@
   void store_zones(double now);
   bool are_many_hosts_silent(double now) const;
   const char* reason_to_scale_in(Index host, bool many_are_silent, double now) const;
-  bool is_listed_after_return(const std::string& name, double asked_at, double now);
+  bool is_listed_after_return(const std::string& name, double requested_at, double now);
   void update_listed_host(const cloud::ListedMachine& machine, double now);
-  void remove_unlisted_hosts(const std::set<std::string>& listed, double asked_at, double now);
+  void remove_unlisted_hosts(const std::set<std::string>& listed, double requested_at, double now);
   void log_failover_progress(double now);
   void detect_unreachable_hosts(double now);
   void scale(double now);
@@ -167,9 +169,9 @@
   // A leader that stood still has heard nobody meanwhile: it listens anew.
   void detect_own_pause(double now);
   // False, and nothing is answered, while this leader may not answer workers.
-  bool may_respond(const HeartbeatResponder& answer, double now);
+  bool check_may_respond(const HeartbeatResponder& responder, double now);
   // With the commands for the host, if it is known.
-  void respond(const HeartbeatResponder& answer, std::optional<Index> host, double now);
+  void respond(const HeartbeatResponder& responder, std::optional<Index> host, double now);
   void send_deferred_responses(double now);
   bool awaits_persistence(const placement::Host& host) const;
   void on_host_removed(const std::string& name, double now);
@@ -185,18 +187,18 @@
   void store_usage(double now);
   void advance_drains(double now);
   void end_drains();
-  void close_pools();
+  void update_closed_pools();
   void advance_schema(double now);
   void write_schema(const schema::StoredSchema& to,
                     std::vector<std::pair<std::string, std::uint64_t>> preconditions);
-  void rewrite_record(const std::string& key, std::uint64_t revision, double now);
+  void migrate_obsolete_record(const std::string& key, std::uint64_t revision, double now);
   // Whether all that the record says is in the state now.
   bool apply_job_record(const std::string& key, const kv::Json& value, std::uint64_t revision,
-                        placement::CancellationTime told_at, double now);
+                        placement::CancellationTime cancelled_at, double now);
   // Of a change that the watch brings now, and of a record that was there when this leader began.
   placement::CancellationTime cancellation_time_of_change(double now) const;
   placement::CancellationTime cancellation_time_of_record(std::uint64_t revision, double now) const;
-  bool may_start(double now) const;
+  bool has_current_jobs(double now) const;
   std::string pool_key(const placement::Pool& pool) const;
 
   settings::Platform platform_;
@@ -205,19 +207,19 @@
   acquire::Autoscaler autoscaler_;
   TransactionBuilder transaction_builder_;
   WriteBudget write_budget_;
-  zones::Zones zones_;
+  zones::ZoneMonitor zones_;
   double zones_stored_at_ = -1e9;
   drains::Drains drains_;
   std::string last_drain_error_;       // why the record is not in force, as last logged
   std::uint64_t drains_revision_ = 0;  // of the record in force
-  bool rolling_ = true;                // until claims show that it is not
+  bool rolling_upgrade_ = true;        // until claims show that it is not
   double drains_read_at_ = -1e9;
   double drains_advanced_at_ = -1e9;
   double drains_stored_at_ = -1e9;
-  schema::SupportedVersions supported_versions_;
+  schema::SupportedLevels supported_versions_;
   schema::StoredSchema schema_;
-  std::string last_migration_refusal_;       // as last logged
-  std::set<std::string> rewritten_records_;  // records of tasks that the step has removed
+  std::string last_migration_refusal_;           // as last logged
+  std::set<std::string> migrated_task_records_;  // records of tasks that the step has removed
   double claims_read_at_ = -1e9;
   double obsolete_records_read_at_ = -1e9;
   shares::UsageAccounts usage_;
@@ -256,10 +258,11 @@
   double scaled_at_ = -1e9;
   double liveness_checked_at_ = -1e9;
   double cancellations_checked_at_ = -1e9;
-  double jobs_read_requested_at_ = -1e9;
+  double relist_requested_at_ = -1e9;
   bool failover_progress_logged_ = false;
-  double half_heard_s_ = -1, most_heard_s_ = -1;  // since taking over; not yet: -1
-  bool hosts_listed_ = false;  // the machines have been listed under this leadership
+  double half_heard_after_s_ = -1,
+         percent_99_heard_after_s_ = -1;  // since taking over; not yet: -1
+  bool hosts_listed_ = false;             // the machines have been listed under this leadership
   bool all_upgraded_ = false;
   bool needs_priority_update_ = true;
   bool needs_placement_ = true;
--- a/src/controller/leader_bytes_test.cpp
+++ b/src/controller/leader_bytes_test.cpp
@@ -10,9 +10,9 @@
   settings::Platform p;
   p.node_name = "node-0";
   p.teams = {{"red", 0, 0, 0, 0}};
-  p.workers = {1, 10, 15, 4, 30};
-  p.state_limits = {1000, 100, 4, 8};
-  p.state_next = p.state_limits;
+  p.worker_timings = {1, 10, 15, 4, 30};
+  p.store_limits = {1000, 100, 4, 8};
+  p.upcoming_store_limits = p.store_limits;
   p.cloud_limits = {10, 2};
   return p;
 }
@@ -103,7 +103,8 @@
 // A gang whose machines are drained stops everywhere at once, by orders that nobody asked for.
 TEST(DirectOrdersBytes, StopsOfDrainedGangAreWrittenAsLiteral) {
   LeaderSnapshot from = snapshot();
-  from.level = kv::Entry{"level", test::received(R"({"level":6,"writes":6,"settled":true})"), 4};
+  from.stored_schema =
+      kv::Entry{"level", test::received(R"({"level":6,"writes":6,"settled":true})"), 4};
   from.jobs = {{"job/j-1",
                 test::received(
                     R"({"spec":{"ref":"j-1","jobclass":"c","owner":"red","shape":"ensemble",
--- a/src/controller/leader_hosts.cpp
+++ b/src/controller/leader_hosts.cpp
@@ -18,16 +18,16 @@
 
 namespace {
 
-constexpr double kBootTimesUntilFailed = 4;
-constexpr double kRememberReturnedFor_s = 300;  // late messages of a returned machine may come
-constexpr double kStoreZones_s = 1;
+constexpr double kBootTimeoutFactor = 4;
+constexpr double kReturnedHostRetention_s = 300;  // late messages of a returned machine may come
+constexpr double kStoreZonesInterval_s = 1;
 // A machine whose heartbeats arrive but that receives no responses is returned after so many
 // leases: its tasks ended with the first, and a network that is cut one way may mend.
-constexpr double kUnreachableLeases = 2;
+constexpr double kUnreachableTimeoutLeases = 2;
 // In a partition, times the silence that is held against a single machine.
-constexpr double kPartitionLasts = 4;
+constexpr double kPartitionSilenceFactor = 4;
 
-double silence_limit_s(const settings::Workers& workers) { return workers.lease_s * 1.1; }
+double silence_limit_s(const settings::WorkerTimings& workers) { return workers.lease_s * 1.1; }
 
 }  // namespace
 
@@ -38,18 +38,18 @@
 
 void Leader::on_catalog(const cloud::Catalog& catalog, double now) {
   const auto frame = [](cloud::Catalog types) {
-    for (auto& type : types) type.spot_price = 0;
+    for (auto& type : types) type.spot_price_per_hour = 0;
     return cloud::encode_catalog(types);
   };
   if (cluster_.catalog.empty() || frame(catalog) != frame(cluster_.catalog)) {
     // Where it is too long, each node reads it from the cloud.
     const kv::Json value = cloud::encode_catalog(catalog);
-    if (kv::fits(value, platform_.lasting().value_kb))
-      transaction_builder_.write({kCatalogKey, value});
+    if (kv::fits(value, platform_.strictest_store_limits().value_kb))
+      transaction_builder_.queue_write({kCatalogKey, value});
     needs_scaling_ = needs_placement_ = true;
   }
   cluster_.set_catalog(catalog);
-  autoscaler_.note_prices(cluster_, now);
+  autoscaler_.record_prices(cluster_, now);
 }
 
 void Leader::on_host_removed(const std::string& name, double now) {
@@ -60,7 +60,7 @@
   needs_placement_ = needs_scaling_ = recheck_deferred_responses_ = true;
 }
 
-void Leader::on_host_list(const std::vector<cloud::ListedMachine>& listed, double asked_at,
+void Leader::on_host_list(const std::vector<cloud::ListedMachine>& listed, double requested_at,
                           double now) {
   hosts_listed_ = true;
   std::set<std::string> names;
@@ -68,7 +68,7 @@
   for (const cloud::ListedMachine& machine : listed) {
     names.insert(machine.name);
     if (returned_hosts_.contains(machine.name)) {
-      if (is_listed_after_return(machine.name, asked_at, now)) failed.push_back(machine.name);
+      if (is_listed_after_return(machine.name, requested_at, now)) failed.push_back(machine.name);
       continue;
     }
     update_listed_host(machine, now);
@@ -79,13 +79,13 @@
     on_host_removed(name, now);
     effects_.cloud_requests.push_back({CloudRequest::Kind::scale_in, {}, {name}});
   }
-  remove_unlisted_hosts(names, asked_at, now);
+  remove_unlisted_hosts(names, requested_at, now);
 }
 
 // Still listed long after its return: it is not what was returned, or it came back.
-bool Leader::is_listed_after_return(const std::string& name, double asked_at, double now) {
+bool Leader::is_listed_after_return(const std::string& name, double requested_at, double now) {
   double& returned_at = returned_hosts_.at(name);
-  if (asked_at - returned_at <= 3 * platform_.cloud_limits.list_lag_s + 5) return false;
+  if (requested_at - returned_at <= 3 * platform_.cloud_limits.list_lag_s + 5) return false;
   returned_at = now;
   return true;
 }
@@ -94,12 +94,12 @@
   const bool is_new = !cluster_.host_index.contains(machine.name);
   const bool is_running = machine.phase == cloud::MachinePhase::running;
   const Index index = cluster_.add_host(machine.name, now);
-  cluster_.describe_host(index, machine.type, machine.zone, machine.spot);
+  cluster_.set_host_type(index, machine.type, machine.zone, machine.spot);
   Host& host = *cluster_.hosts[index];
-  host.unconfirmed = false;
+  host.identity_unconfirmed = false;
   // Whoever learnt of the machine from a heartbeat or a record does not know its age.
-  host.rented_at = std::min(host.rented_at, now - machine.held_s);
-  host.runs = is_running;
+  host.rented_at = std::min(host.rented_at, now - machine.rented_for_s);
+  host.listed_as_running = is_running;
   if (is_new) needs_scaling_ = true;
   if (!machine.address.empty()) host.address = machine.address;
   if (!host.acknowledged_token && !host.address.empty() && is_running && is_new) {
@@ -109,20 +109,21 @@
 
 // A list describes a moment at most twice the lag ago. A machine that was there before that moment
 // and is not listed is gone.
-void Leader::remove_unlisted_hosts(const std::set<std::string>& listed, double asked_at,
+void Leader::remove_unlisted_hosts(const std::set<std::string>& listed, double requested_at,
                                    double now) {
-  const double lag = platform_.cloud_limits.list_lag_s;
+  const double list_lag_s = platform_.cloud_limits.list_lag_s;
   std::vector<std::string> missing;
   for (const auto& host : cluster_.hosts) {
-    if (host && !listed.contains(host->name) && host->known_at < asked_at - 2 * lag - 1) {
+    if (host && !listed.contains(host->name) &&
+        host->first_known_at < requested_at - 2 * list_lag_s - 1) {
       missing.push_back(host->name);
     }
   }
   for (const std::string& name : missing) {
-    const Host& host = *cluster_.host(name);
+    const Host& host = *cluster_.find_host(name);
     spdlog::info("machine {} is gone", name);
     if (host.spot && host.type != kNone && host.phase != HostPhase::terminating) {
-      autoscaler_.note_reclaim(cluster_, {host.type, host.zone, true});
+      autoscaler_.record_reclaim(cluster_, {host.type, host.zone, true});
     }
     on_host_removed(name, now);
   }
@@ -131,28 +132,28 @@
 void Leader::on_scale_out_completed(const cloud::ScaleOutRequest& request,
                                     const cloud::ScaleOutResult& result, double now) {
   const Pool pool{cluster_.types.add(request.type), cluster_.zones.add(request.zone), request.spot};
-  autoscaler_.note_answered(pool);
-  const double asked_at =
+  autoscaler_.clear_pending_request(pool);
+  const double requested_at =
       scale_out_requested_at_.contains(request.name) ? scale_out_requested_at_[request.name] : now;
   scale_out_requested_at_.erase(request.name);
   for (const std::string& name : result.machines) {
     if (returned_hosts_.contains(name)) continue;
     const Index index = cluster_.add_host(name, now);
-    cluster_.describe_host(index, request.type, request.zone, request.spot);
-    cluster_.hosts[index]->rented_at = asked_at;
-    cluster_.hosts[index]->unconfirmed = false;
+    cluster_.set_host_type(index, request.type, request.zone, request.spot);
+    cluster_.hosts[index]->rented_at = requested_at;
+    cluster_.hosts[index]->identity_unconfirmed = false;
   }
   if (static_cast<int>(result.machines.size()) < request.count) {
-    autoscaler_.note_refused(pool, now);
+    autoscaler_.record_refusal(pool, now);
   } else {
-    autoscaler_.note_filled(pool);
+    autoscaler_.reset_refusals(pool);
   }
   spdlog::info("hire {}: {} of {} {} {} in {}", request.name, result.machines.size(), request.count,
                request.spot ? "spot" : "ordinary", request.type, request.zone);
-  if (schema::has(schema_, schema::kClosedPools)) {
-    transaction_builder_.write({pool_key(pool), std::nullopt});
+  if (schema::has_level(schema_, schema::kClosedPools)) {
+    transaction_builder_.queue_write({pool_key(pool), std::nullopt});
   } else {
-    transaction_builder_.write({pool_key(pool), kv::Json{{"open", false}}});
+    transaction_builder_.queue_write({pool_key(pool), kv::Json{{"open", false}}});
   }
   needs_scaling_ = needs_placement_ = true;
 }
@@ -170,12 +171,13 @@
   spdlog::info("machine {} goes back: {}", host.name, why);
   host.phase = HostPhase::terminating;
   effects_.cloud_requests.push_back(
-      {CloudRequest::Kind::scale_in, {}, {host.name}, host.urgent_return});
+      {CloudRequest::Kind::scale_in, {}, {host.name}, host.urgent_return_requested});
 }
 
 void Leader::detect_own_pause(double now) {
-  const bool stood_still = now - advanced_at_ > workers::report_allowance_s(platform_.workers) / 2;
-  if (stood_still) listening_since_ = now;
+  const bool was_suspended =
+      now - advanced_at_ > workers::max_heartbeat_delay_s(platform_.worker_timings) / 2;
+  if (was_suspended) listening_since_ = now;
   advanced_at_ = now;
 }
 
@@ -183,9 +185,9 @@
 // returning a machine is safe under any leader.
 void Leader::scale_in_for_cancellations(double now) {
   for (const auto& [host_index, job_index] :
-       workers::machines_past_cancellation(cluster_, listening_since_, now)) {
+       workers::overdue_machines(cluster_, listening_since_, now)) {
     Host& host = *cluster_.hosts[host_index];
-    host.urgent_return = true;
+    host.urgent_return_requested = true;
     request_scale_in(host, fmt::format("job {} is cancelled and may still run there",
                                        cluster_.jobs[job_index]->spec.id));
     needs_placement_ = needs_scaling_ = true;
@@ -198,15 +200,16 @@
   if (failover_progress_logged_ || !hosts_listed_) return;
   std::size_t running = 0, silent = 0;
   for (const auto& host : cluster_.hosts) {
-    if (!host || !host->runs || host->known_at > leader_since_ + platform_.cloud_limits.list_lag_s)
+    if (!host || !host->listed_as_running ||
+        host->first_known_at > leader_since_ + platform_.cloud_limits.list_lag_s)
       continue;
     ++running;
     silent += host->acknowledged_token ? 0 : 1;
   }
   const double passed = now - leader_since_;
-  if (half_heard_s_ < 0 && silent * 2 <= running) half_heard_s_ = passed;
-  if (most_heard_s_ < 0 && silent * 100 <= running) most_heard_s_ = passed;
-  if (silent > 0 && passed < platform_.workers.lease_s) return;
+  if (half_heard_after_s_ < 0 && silent * 2 <= running) half_heard_after_s_ = passed;
+  if (percent_99_heard_after_s_ < 0 && silent * 100 <= running) percent_99_heard_after_s_ = passed;
+  if (silent > 0 && passed < platform_.worker_timings.lease_s) return;
   failover_progress_logged_ = true;
   if (running == 0) return;
   const auto within = [](double seconds) {
@@ -214,14 +217,15 @@
   };
   spdlog::info(
       "{} of {} running machines heard {:.1f} s after taking over; half: {}, 99 of 100: {}",
-      running - silent, running, passed, within(half_heard_s_), within(most_heard_s_));
+      running - silent, running, passed, within(half_heard_after_s_),
+      within(percent_99_heard_after_s_));
 }
 
 // By operators' wish, or because the zone is not well.
-void Leader::close_pools() {
-  std::set<Pool> pools = zones_.closed(cluster_);
-  pools.merge(drains_.closed(cluster_));
-  autoscaler_.close(std::move(pools));
+void Leader::update_closed_pools() {
+  std::set<Pool> pools = zones_.closed_pools(cluster_);
+  pools.merge(drains_.closed_pools(cluster_));
+  autoscaler_.set_closed_pools(std::move(pools));
 }
 
 // Machines whose heartbeats arrive but that receive no responses take nothing new and are returned
@@ -232,12 +236,13 @@
   for (const auto& host : cluster_.hosts) {
     if (!host || host->phase != HostPhase::up) continue;
     ++up;
-    unreachable += host->ignored_responses >= workers::kUnreachableAfter ? 1 : 0;
+    unreachable += host->ignored_responses >= workers::kUnreachableAfterIgnoredResponses ? 1 : 0;
   }
   const bool many = unreachable > 1 && unreachable * 3 > up;
   for (const auto& host : cluster_.hosts) {
     if (!host || host->phase != HostPhase::up) continue;
-    const bool unreachable = host->ignored_responses >= workers::kUnreachableAfter && !many;
+    const bool unreachable =
+        host->ignored_responses >= workers::kUnreachableAfterIgnoredResponses && !many;
     if (unreachable == (host->unreachable_since >= 0)) continue;
     spdlog::info("machine {} {}", host->name,
                  unreachable ? "reports, but our answers do not reach it" : "hears us again");
@@ -251,8 +256,8 @@
   detect_unreachable_hosts(now);
   zones_.advance(cluster_, leader_since_, now);
   store_zones(now);
-  close_pools();
-  for (const Index i : zones_.to_return(cluster_, leader_since_, now)) {
+  update_closed_pools();
+  for (const Index i : zones_.hosts_to_return(cluster_, leader_since_, now)) {
     scale_in(i, "its zone is lost");
     needs_scaling_ = needs_placement_ = true;
   }
@@ -261,19 +266,19 @@
     if (const char* reason = reason_to_scale_in(i, many_are_silent, now)) scale_in(i, reason);
   }
   std::erase_if(returned_hosts_,
-                [&](const auto& host) { return now - host.second > kRememberReturnedFor_s; });
+                [&](const auto& host) { return now - host.second > kReturnedHostRetention_s; });
 }
 
 void Leader::store_zones(double now) {
-  if (!zones_.has_changed() || !schema::has(schema_, schema::kDrains) ||
-      now - zones_stored_at_ < kStoreZones_s) {
+  if (!zones_.has_unwritten_changes() || !schema::has_level(schema_, schema::kDrains) ||
+      now - zones_stored_at_ < kStoreZonesInterval_s) {
     return;
   }
   zones_stored_at_ = now;
   zones_.note_written();
   const kv::Json value = zones_.encode(cluster_);
-  if (kv::fits(value, platform_.lasting().value_kb)) {
-    transaction_builder_.write({zones::kZonesKey, value});
+  if (kv::fits(value, platform_.strictest_store_limits().value_kb)) {
+    transaction_builder_.queue_write({zones::kZonesKey, value});
   }
 }
 
@@ -281,7 +286,7 @@
 // likelier, and they work on behind it: one recorded day lost half the fleet to a leader that
 // returned them all.
 bool Leader::are_many_hosts_silent(double now) const {
-  const double limit_s = silence_limit_s(platform_.workers);
+  const double limit_s = silence_limit_s(platform_.worker_timings);
   int up = 0, silent = 0;
   for (const auto& host : cluster_.hosts) {
     if (!host || host->phase != HostPhase::up) continue;
@@ -299,23 +304,25 @@
   // heard again. Judged machine by machine a zone was returned within seconds: heartbeats are
   // staggered, so that never a third was silent together.
   const bool has_zone = host->zone != kNone;
-  const zones::State zone = has_zone ? zones_.state(host->zone) : zones::State::healthy;
-  if (zone == zones::State::suspected || zone == zones::State::lost) return nullptr;
-  const double from =
+  const zones::ZoneState zone = has_zone ? zones_.state(host->zone) : zones::ZoneState::healthy;
+  if (zone == zones::ZoneState::suspected || zone == zones::ZoneState::lost) return nullptr;
+  const double silence_counts_from =
       has_zone ? std::max(leader_since_, zones_.reachable_since(host->zone)) : leader_since_;
   if (host->phase == HostPhase::booting) {
     const auto* type = cluster_.type_of(*host);
-    const double patience_s = kBootTimesUntilFailed * (type == nullptr ? 60 : type->boot_s);
-    const double booting_since = std::max(host->rented_at, from - patience_s / 2);
-    return now - booting_since > patience_s ? "it does not come up" : nullptr;
+    const double boot_timeout_s = kBootTimeoutFactor * (type == nullptr ? 60 : type->boot_s);
+    const double booting_since =
+        std::max(host->rented_at, silence_counts_from - boot_timeout_s / 2);
+    return now - booting_since > boot_timeout_s ? "it does not come up" : nullptr;
   }
-  const double limit_s = silence_limit_s(platform_.workers);
-  const double silent_s = now - std::max(host->last_heartbeat_at, from);
-  if (silent_s > limit_s && (!many_are_silent || silent_s > kPartitionLasts * limit_s)) {
+  const double limit_s = silence_limit_s(platform_.worker_timings);
+  const double silent_s = now - std::max(host->last_heartbeat_at, silence_counts_from);
+  if (silent_s > limit_s && (!many_are_silent || silent_s > kPartitionSilenceFactor * limit_s)) {
     return "it is silent";
   }
   if (host->unreachable_since >= 0 &&
-      now - host->unreachable_since > kUnreachableLeases * platform_.workers.lease_s) {
+      now - host->unreachable_since >
+          kUnreachableTimeoutLeases * platform_.worker_timings.lease_s) {
     return "our answers do not reach it";
   }
   const bool is_quarantined_and_idle =
@@ -325,10 +332,10 @@
 
 void Leader::scale(double now) {
   if (cluster_.catalog.empty()) return;
-  autoscaler_.note_exposure(cluster_, now);
+  autoscaler_.update_exposure(cluster_, now);
   pipelines::estimate_unblock_times(cluster_, now);
   for (const Index index : autoscaler_.scale_in_candidates(cluster_, now)) {
-    if (placement::backfill(cluster_, index)) {
+    if (placement::try_backfill(cluster_, index)) {
       spdlog::info("machine {} serves small tasks: large ones do not need it",
                    cluster_.hosts[index]->name);
       needs_placement_ = true;
@@ -344,16 +351,16 @@
     request.zone = cluster_.zones[demand.pool.zone];
     request.spot = demand.pool.spot;
     request.count = demand.machines;
-    autoscaler_.note_requested(demand.pool, demand.machines);
+    autoscaler_.set_pending_request(demand.pool, demand.machines);
     spdlog::info("hire {}: asking for {} {} {} in {}", request.name, request.count,
                  request.spot ? "spot" : "ordinary", request.type, request.zone);
     const std::string key = pool_key(demand.pool);
-    transaction_builder_.write({key, kv::Json{{"open", true},
-                                              {"name", request.name},
-                                              {"type", request.type},
-                                              {"zone", request.zone},
-                                              {"spot", request.spot},
-                                              {"count", request.count}}});
+    transaction_builder_.queue_write({key, kv::Json{{"open", true},
+                                                    {"name", request.name},
+                                                    {"type", request.type},
+                                                    {"zone", request.zone},
+                                                    {"spot", request.spot},
+                                                    {"count", request.count}}});
     scale_out_requested_at_[request.name] = now;
     scale_outs_awaiting_record_.emplace_back(key, request);
   }
--- a/src/controller/leader_restore.cpp
+++ b/src/controller/leader_restore.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-cloud::ScaleOutRequest decode_open_request(const kv::Json& record) {
+cloud::ScaleOutRequest decode_scale_out_request(const kv::Json& record) {
   return {record.at("name").get<std::string>(), record.at("type").get<std::string>(),
           record.at("zone").get<std::string>(), record.at("spot").get<bool>(),
           record.at("count").get<int>()};
@@ -23,14 +23,15 @@
 }  // namespace
 
 void Leader::restore_schema(const LeaderSnapshot& snapshot) {
-  schema_ =
-      schema::decode_stored(snapshot.level ? std::optional(snapshot.level->value) : std::nullopt);
+  schema_ = schema::decode_stored(
+      snapshot.stored_schema ? std::optional(snapshot.stored_schema->value) : std::nullopt);
   if (const std::string reason = schema::incompatibility(schema_, supported_versions_);
       !reason.empty()) {
     throw std::runtime_error(reason);
   }
-  all_upgraded_ = snapshot.all_upgraded || schema_.level >= schema::kAges;
-  if (snapshot.level) transaction_builder_.note_stored(schema::kLevelKey, snapshot.level->revision);
+  all_upgraded_ = snapshot.all_upgraded || schema_.level >= schema::kTimeline;
+  if (snapshot.stored_schema)
+    transaction_builder_.note_stored(schema::kLevelKey, snapshot.stored_schema->revision);
 }
 
 void Leader::restore_usage(const LeaderSnapshot& snapshot) {
@@ -46,12 +47,12 @@
 }
 
 void Leader::restore_drain_budgets(const LeaderSnapshot& snapshot, double now) {
-  if (!snapshot.drains_used) return;
-  transaction_builder_.note_stored(drains::kUsedKey, snapshot.drains_used->revision);
+  if (!snapshot.drain_budgets) return;
+  transaction_builder_.note_stored(drains::kUsageKey, snapshot.drain_budgets->revision);
   try {
-    drains_.restore(snapshot.drains_used->value, now);
+    drains_.restore(snapshot.drain_budgets->value, now);
   } catch (const std::exception& error) {
-    spdlog::error("record {}: {}", drains::kUsedKey, error.what());
+    spdlog::error("record {}: {}", drains::kUsageKey, error.what());
   }
 }
 
@@ -80,17 +81,17 @@
   }
   std::map<Index, std::vector<placement::StoredRecord>> records;
   for (const kv::Entry& entry : snapshot.tasks) {
-    const auto key = jobs::parse_chunk_key(entry.key);
+    const auto key = jobs::parse_task_range_key(entry.key);
     if (!key) continue;
     const auto job = cluster_.job_index.find(key->job);
     if (job == cluster_.job_index.end()) {
       // Its job has ended; the transaction that ended it had no room for this.
       transaction_builder_.note_stored(entry.key, entry.revision);
-      transaction_builder_.write({entry.key, std::nullopt});
+      transaction_builder_.queue_write({entry.key, std::nullopt});
       continue;
     }
     records[job->second].push_back({entry.key, *key, entry.revision,
-                                    jobs::decode_chunk(*key, entry.value),
+                                    jobs::decode_task_range(*key, entry.value),
                                     revision_clock_.time_of(entry.revision, now)});
   }
   for (auto& [job, stored] : records) cluster_.restore(job, std::move(stored), now);
@@ -105,8 +106,8 @@
   for (const kv::Entry& entry : snapshot.pools) {
     transaction_builder_.note_stored(entry.key, entry.revision);
     if (!entry.value.value("open", false)) continue;
-    const cloud::ScaleOutRequest request = decode_open_request(entry.value);
-    autoscaler_.note_requested(
+    const cloud::ScaleOutRequest request = decode_scale_out_request(entry.value);
+    autoscaler_.set_pending_request(
         {cluster_.types.add(request.type), cluster_.zones.add(request.zone), request.spot},
         request.count);
     scale_out_requested_at_[request.name] = now;
@@ -129,14 +130,14 @@
 // form shows in the records, and is migrated again.
 void Leader::detect_older_leader(const LeaderSnapshot& snapshot) {
   const auto is_older = [&](const kv::Entry& entry) {
-    return is_stale(entry.key, entry.value, schema_.writes);
+    return is_obsolete(entry.key, entry.value, schema_.written_level);
   };
   if (!schema_.settled || (std::none_of(snapshot.tasks.begin(), snapshot.tasks.end(), is_older) &&
                            std::none_of(snapshot.pools.begin(), snapshot.pools.end(), is_older))) {
     return;
   }
   spdlog::error("level {}: an older version has led since the migration", schema_.level);
-  write_schema({schema_.level, schema_.writes, false}, {});
+  write_schema({schema_.level, schema_.written_level, false}, {});
 }
 
 }  // namespace reachramp::controller
--- a/src/controller/leader_schema.cpp
+++ b/src/controller/leader_schema.cpp
@@ -11,21 +11,23 @@
 namespace {
 
 // Claims are read often while there is a step to take, else to see a hold that an operator has set.
-constexpr double kClaimsSoon_s = 3;
-constexpr double kClaimsLater_s = 20;
-constexpr double kStaleEvery_s = 4;
+constexpr double kClaimsIntervalMigrating_s = 3;
+constexpr double kClaimsIntervalSettled_s = 20;
+constexpr double kObsoleteRecordsInterval_s = 4;
 
 }  // namespace
 
 void Leader::advance_schema(double now) {
   if (!all_upgraded_) return;  // 0.2.0 may yet lead
-  const bool restless =
-      !schema_.settled || schema_.level < std::min(supported_versions_.newest, schema::kNewest);
-  if (now - claims_read_at_ >= (restless ? kClaimsSoon_s : kClaimsLater_s)) {
+  const bool migration_expected =
+      !schema_.settled ||
+      schema_.level < std::min(supported_versions_.newest, schema::kNewestLevel);
+  if (now - claims_read_at_ >=
+      (migration_expected ? kClaimsIntervalMigrating_s : kClaimsIntervalSettled_s)) {
     claims_read_at_ = now;
     effects_.read_claims = true;
   }
-  if (!schema_.settled && now - obsolete_records_read_at_ >= kStaleEvery_s) {
+  if (!schema_.settled && now - obsolete_records_read_at_ >= kObsoleteRecordsInterval_s) {
     obsolete_records_read_at_ = now;
     effects_.read_obsolete_records = true;
   }
@@ -35,8 +37,8 @@
 // and its condition on the level's revision holds for both.
 void Leader::write_schema(const schema::StoredSchema& to,
                           std::vector<std::pair<std::string, std::uint64_t>> preconditions) {
-  if (transaction_builder_.is_pending(schema::kLevelKey)) return;
-  transaction_builder_.write(
+  if (transaction_builder_.is_write_pending(schema::kLevelKey)) return;
+  transaction_builder_.queue_write(
       {schema::kLevelKey, schema::encode_stored(to), std::move(preconditions)});
 }
 
@@ -45,17 +47,18 @@
   std::vector<std::string> nodes{platform_.node_name};
   for (const settings::Member& member : platform_.members) nodes.push_back(member.name);
   const std::vector<schema::Claim> claims = schema::decode_claims(entries);
-  rolling_ = !schema_.settled || std::any_of(nodes.begin(), nodes.end(), [&](const auto& node) {
-    return std::none_of(claims.begin(), claims.end(), [&](const schema::Claim& claim) {
-      return claim.node == node && claim.version == supported_versions_.version;
-    });
-  });
+  rolling_upgrade_ =
+      !schema_.settled || std::any_of(nodes.begin(), nodes.end(), [&](const auto& node) {
+        return std::none_of(claims.begin(), claims.end(), [&](const schema::Claim& claim) {
+          return claim.node == node && claim.version == supported_versions_.version;
+        });
+      });
   auto migration = schema::next_migration(schema_, claims, nodes);
   if (!migration) {
     last_migration_refusal_.clear();
   } else if (!migration->rejection_reason) {
-    if (migration->to.level <= supported_versions_.newest) {
-      write_schema(migration->to, std::move(migration->preconditions));
+    if (migration->target.level <= supported_versions_.newest) {
+      write_schema(migration->target, std::move(migration->preconditions));
     }
   } else if (*migration->rejection_reason != last_migration_refusal_) {
     last_migration_refusal_ = *migration->rejection_reason;
@@ -65,9 +68,9 @@
 
 // Either shows that nothing is left, or moves what is, as far as it can be moved now.
 void Leader::on_obsolete_records(const std::vector<kv::Entry>& entries, double now) {
-  if (schema_.settled || transaction_builder_.is_pending(schema::kLevelKey)) return;
+  if (schema_.settled || transaction_builder_.is_write_pending(schema::kLevelKey)) return;
   const auto stale = std::count_if(entries.begin(), entries.end(), [&](const auto& entry) {
-    return is_stale(entry.key, entry.value, schema_.writes);
+    return is_obsolete(entry.key, entry.value, schema_.written_level);
   });
   if (stale == 0) {
     write_schema(schema::settled_form(schema_), {});
@@ -75,32 +78,32 @@
   }
   spdlog::info("level {}: {} records are of another form", schema_.level, stale);
   for (const kv::Entry& entry : entries) {
-    if (!is_stale(entry.key, entry.value, schema_.writes)) continue;
-    rewrite_record(entry.key, entry.revision, now);
+    if (!is_obsolete(entry.key, entry.value, schema_.written_level)) continue;
+    migrate_obsolete_record(entry.key, entry.revision, now);
   }
 }
 
 // A record of tasks goes once newer ones hold all that it says; others go at once.
-void Leader::rewrite_record(const std::string& key, std::uint64_t revision, double now) {
+void Leader::migrate_obsolete_record(const std::string& key, std::uint64_t revision, double now) {
   // Written by nodes alone, and by none below its level: it stands as it was read.
-  if (key == drains::kRulesKey) transaction_builder_.note_stored(key, revision);
+  if (key == drains::kPolicyKey) transaction_builder_.note_stored(key, revision);
   // The read may be older than what we have stored since.
-  const auto chunk = jobs::parse_chunk_key(key);
-  const bool current = chunk ? !rewritten_records_.contains(key)
+  const auto chunk = jobs::parse_task_range_key(key);
+  const bool current = chunk ? !migrated_task_records_.contains(key)
                              : transaction_builder_.revision_of(key) == std::optional(revision);
-  if (transaction_builder_.is_pending(key) || !current) return;
+  if (transaction_builder_.is_write_pending(key) || !current) return;
   const auto at = chunk ? cluster_.job_index.find(chunk->job) : cluster_.job_index.end();
   if (at != cluster_.job_index.end()) {
     if (cluster_.finished_jobs.contains(at->second)) return;  // its end removes it
-    if (!cluster_.renew_older(at->second, revision, now)) return;
+    if (!cluster_.rewrite_older_records(at->second, revision, now)) return;
     std::erase_if(cluster_.jobs[at->second]->obsolete_records,
                   [&](const placement::ObsoleteRecord& stray) { return stray.key == key; });
   }
   if (chunk) {
-    rewritten_records_.insert(key);
+    migrated_task_records_.insert(key);
     transaction_builder_.note_stored(key, revision);
   }
-  transaction_builder_.write({key, std::nullopt});
+  transaction_builder_.queue_write({key, std::nullopt});
 }
 
 }  // namespace reachramp::controller
--- a/src/controller/leader_snapshot_loader.h
+++ b/src/controller/leader_snapshot_loader.h
@@ -17,7 +17,7 @@
 
   // All but the jobs, which the caller has listed before and adds: `jobs_asked_at` (steady seconds)
   // is when. Nothing: some of it could not be read. Blocks.
-  std::optional<LeaderSnapshot> load(double jobs_asked_at);
+  std::optional<LeaderSnapshot> load(double jobs_requested_at);
 
  private:
   kv::Client& store_;
--- a/src/controller/leader_test.cpp
+++ b/src/controller/leader_test.cpp
@@ -13,9 +13,9 @@
 settings::Platform platform() {
   settings::Platform p;
   p.teams = {{"red", 0, 0, 0, 0}};
-  p.workers = {1, 10, 15, 4, 30};
-  p.state_limits = {1000, 100, 1, 8};
-  p.state_next = p.state_limits;
+  p.worker_timings = {1, 10, 15, 4, 30};
+  p.store_limits = {1000, 100, 1, 8};
+  p.upcoming_store_limits = p.store_limits;
   p.cloud_limits = {10, 2};
   return p;
 }
@@ -28,7 +28,7 @@
   header.spec.image = "img";
   header.spec.tasks = tasks;
   header.spec.cpus = 1;
-  header.spec.spot = true;
+  header.spec.allow_spot = true;
   header.cancelled = cancelled;
   return {jobs::job_key(id), jobs::encode_header(header), 7};
 }
@@ -146,7 +146,7 @@
     for (const CloudRequest& order : leader.advance(now).cloud_requests) {
       if (order.kind != CloudRequest::Kind::scale_in) continue;
       EXPECT_TRUE(order.urgent);
-      EXPECT_NE(order.machines.front(), "n-0");
+      EXPECT_NE(order.scale_in_machines.front(), "n-0");
       EXPECT_GT(now, 14) << "a worker that executes would have lost its lease";
       EXPECT_LT(now, 30) << "by 33.9 it must be gone";
       ++back;
@@ -186,7 +186,7 @@
   late.tasks.push_back({"j-1", 0, 1, workers::TaskState::running, workers::ExitReason::none});
   wire::Json body;
   const auto answerer = [&](const wire::Json& answer) { body = answer; };
-  EXPECT_EQ(leader.on_heartbeat(late, answerer, 3), HeartbeatVerdict::accepted);
+  EXPECT_EQ(leader.on_heartbeat(late, answerer, 3), HeartbeatResult::accepted);
   ASSERT_EQ(body.at("orders").size(), 1u);
   EXPECT_EQ(body.at("orders")[0].at("verb"), "stop");
   EXPECT_EQ(body.at("orders")[0].at("piece"), "j-1/0");
@@ -223,9 +223,9 @@
   EXPECT_TRUE(body.at("orders").empty());
   // The key-value store refuses it; the others know of a cancellation.
   const Effects out = ask(6);
-  ASSERT_EQ(out.cancellation_poll_windows.size(), 2u);
+  ASSERT_EQ(out.cancellation_poll_windows_s.size(), 2u);
   leader.on_cancellation_digests(
-      {{0, out.cancellation_poll_windows[0], 60, 6.2, 6.3, {"j-1", "j-never", "j-1"}}}, 6.3);
+      {{0, out.cancellation_poll_windows_s[0], 60, 6.2, 6.3, {"j-1", "j-never", "j-1"}}}, 6.3);
   ask(7);
   ASSERT_EQ(body.at("orders").size(), 2u);
   for (const wire::Json& order : body.at("orders")) {
@@ -296,7 +296,7 @@
 // A process that stood still between its reading and its leading knows no more than it read.
 TEST_F(LeaderTest, ANewLeaderKnowsCancellationsUpToItsReading) {
   LeaderSnapshot old = snapshot({job_entry("j-1", 1)});
-  old.asked_at = -30;
+  old.jobs_requested_at = -30;
   Leader leader = lead(old);
   wire::Json body = "none";
   leader.on_heartbeat(
@@ -354,14 +354,14 @@
 // One that cannot be read changes nothing.
 TEST_F(LeaderTest, DrainsWhatTheRecordSays) {
   LeaderSnapshot taken = snapshot({job_entry("j-1", 3)});
-  const schema::StoredSchema newest{schema::kNewest, schema::kNewest, true};
-  taken.level = kv::Entry{schema::kLevelKey, schema::encode_stored(newest), 4};
+  const schema::StoredSchema newest{schema::kNewestLevel, schema::kNewestLevel, true};
+  taken.stored_schema = kv::Entry{schema::kLevelKey, schema::encode_stored(newest), 4};
   const auto record = [](std::uint64_t serial, const std::string& entries) {
     const std::string text = "(drains (serial " + std::to_string(serial) + ") " + entries + ")";
-    return drains::encode_accepted({serial, text, {}});
+    return drains::encode_accepted_policy({serial, text, {}});
   };
   Leader leader = lead(taken);
-  const schema::Claim claim{"", REACHRAMP_VERSION, 1, schema::kNewest, 0, 0, 0};
+  const schema::Claim claim{"", REACHRAMP_VERSION, 1, schema::kNewestLevel, 0, 0, 0};
   const auto live = [&](double from, double until) {
     std::vector<std::string> back;
     for (double now = from; now < until; now += 0.5) {
@@ -371,7 +371,7 @@
       const Effects out = leader.advance(now);
       for (const CloudRequest& order : out.cloud_requests) {
         if (order.kind == CloudRequest::Kind::scale_in) {
-          back.insert(back.end(), order.machines.begin(), order.machines.end());
+          back.insert(back.end(), order.scale_in_machines.begin(), order.scale_in_machines.end());
         }
       }
       if (out.transaction) leader.on_transaction_completed(outcome(kv::Outcome::ok, 50), now);
@@ -382,17 +382,17 @@
   live(1, 5);
   const placement::Host& host = *leader.cluster().hosts.front();
   ASSERT_FALSE(host.attempts.empty());
-  leader.on_drains(kv::Entry{drains::kRulesKey, record(3, "(machines (zone a))"), 60}, 5);
+  leader.on_drains(kv::Entry{drains::kPolicyKey, record(3, "(machines (zone a))"), 60}, 5);
   live(5, 6);
   EXPECT_TRUE(host.cordoned);
-  leader.on_drains(kv::Entry{drains::kRulesKey, "nonsense", 61}, 6);
-  leader.on_drains(kv::Entry{drains::kRulesKey, record(4, "(machines (zones a))"), 62}, 6);
+  leader.on_drains(kv::Entry{drains::kPolicyKey, "nonsense", 61}, 6);
+  leader.on_drains(kv::Entry{drains::kPolicyKey, record(4, "(machines (zones a))"), 62}, 6);
   live(6, 7);
   EXPECT_TRUE(host.cordoned) << "what was in force goes on";
   leader.on_drains(std::nullopt, 7);
   live(7, 8);
   EXPECT_FALSE(host.cordoned);
-  leader.on_drains(kv::Entry{drains::kRulesKey, record(5, "(machines (zone a))"), 63}, 8);
+  leader.on_drains(kv::Entry{drains::kPolicyKey, record(5, "(machines (zone a))"), 63}, 8);
   EXPECT_TRUE(live(8, 30).empty()) << "it works";
   // Its tasks end: the report lists none.
   std::vector<std::string> back;
@@ -408,7 +408,7 @@
     leader.on_jobs_read_until(now);
     const Effects out = leader.advance(now);
     for (const CloudRequest& order : out.cloud_requests) {
-      if (order.kind == CloudRequest::Kind::scale_in) back = order.machines;
+      if (order.kind == CloudRequest::Kind::scale_in) back = order.scale_in_machines;
     }
     if (out.transaction) leader.on_transaction_completed(outcome(kv::Outcome::ok, 50), now);
   }
@@ -419,22 +419,22 @@
 // never ended.
 TEST_F(LeaderTest, AStepBackRemovesTheRecordOfDrains) {
   LeaderSnapshot taken = snapshot({});
-  taken.level = kv::Entry{schema::kLevelKey,
-                          schema::encode_stored({schema::kDrains, schema::kDrains - 1, false}), 4};
+  taken.stored_schema = kv::Entry{
+      schema::kLevelKey, schema::encode_stored({schema::kDrains, schema::kDrains - 1, false}), 4};
   Leader leader = lead(taken);
-  const kv::Json record = drains::encode_accepted({3, "(drains (serial 3))", {}});
+  const kv::Json record = drains::encode_accepted_policy({3, "(drains (serial 3))", {}});
   leader.on_jobs_read_until(1);
   leader.advance(1);
-  leader.on_obsolete_records({{drains::kRulesKey, record, 60}}, 1);
+  leader.on_obsolete_records({{drains::kPolicyKey, record, 60}}, 1);
   const Effects out = leader.advance(1.5);
   ASSERT_TRUE(out.transaction);
   const kv::Transaction& sent = out.transaction->transaction;
   EXPECT_TRUE(std::any_of(sent.writes.begin(), sent.writes.end(), [](const auto& write) {
-    return write.key == drains::kRulesKey && !write.value;
+    return write.key == drains::kPolicyKey && !write.value;
   }));
   EXPECT_TRUE(
       std::any_of(sent.preconditions.begin(), sent.preconditions.end(), [](const auto& one) {
-        return one == std::pair<std::string, std::uint64_t>{drains::kRulesKey, 60};
+        return one == std::pair<std::string, std::uint64_t>{drains::kPolicyKey, 60};
       }));
 }
 
@@ -470,14 +470,14 @@
       const Effects out = leader.advance(now);
       for (const CloudRequest& order : out.cloud_requests) {
         if (order.kind != CloudRequest::Kind::scale_in) continue;
-        back.insert(back.end(), order.machines.begin(), order.machines.end());
-        leader.on_scale_in_completed(order.machines, now);
+        back.insert(back.end(), order.scale_in_machines.begin(), order.scale_in_machines.end());
+        leader.on_scale_in_completed(order.scale_in_machines, now);
       }
       if (out.transaction)
         leader.on_transaction_completed(outcome(kv::Outcome::ok, 50 + sequence_number), now);
     }
     for (const auto& [task, attempt] : leader.cluster().jobs.front()->attempts) {
-      EXPECT_TRUE(deaf > 1 || attempt.observed == placement::ObservedState::running);
+      EXPECT_TRUE(deaf > 1 || attempt.observed_state == placement::ObservedState::running);
     }
     return back;
   };
@@ -490,8 +490,8 @@
 TEST_F(LeaderTest, AccountsThatCannotBeReadAreLeftAlone) {
   const auto written = [&](const kv::Json& stored) {
     LeaderSnapshot taken = snapshot({job_entry("j-1", 1)});
-    const schema::StoredSchema newest{schema::kNewest, schema::kNewest, true};
-    taken.level = kv::Entry{schema::kLevelKey, schema::encode_stored(newest), 4};
+    const schema::StoredSchema newest{schema::kNewestLevel, schema::kNewestLevel, true};
+    taken.stored_schema = kv::Entry{schema::kLevelKey, schema::encode_stored(newest), 4};
     taken.shares = kv::Entry{shares::kSharesKey, stored, 5};
     Leader leader = lead(taken);
     bool wrote = false;
@@ -591,7 +591,8 @@
                                  {kv::Outcome::ok, {kLeaderKey, {}, kFencingToken, 0}, 0}, 9);
   EXPECT_FALSE(leader.cluster().job_index.contains("j-1"));
 
-  Leader removes = lead(snapshot({}, {{jobs::chunk_key("j-9", 0), jobs::encode_chunk({}), 8}}));
+  Leader removes = lead(snapshot(
+      {}, {{jobs::legacy_task_range_key("j-9", 0), jobs::encode_legacy_task_range({}), 8}}));
   const Effects out = removes.advance(1);
   ASSERT_TRUE(out.transaction);
   EXPECT_FALSE(out.transaction->transaction.writes.front().value);
@@ -603,10 +604,11 @@
 
 // It seemed over while the attempts that the records hold were not loaded yet.
 TEST_F(LeaderTest, ACancelledJobWithRecordedAttemptsIsNotOver) {
-  jobs::ChunkRecord chunk;
+  jobs::TaskRangeRecord chunk;
   chunk.placements = {{0, 1, "n-9"}};
-  Leader leader = lead(
-      snapshot({job_entry("j-1", 1, true)}, {{jobs::chunk_key("j-1", 0), encode_chunk(chunk), 8}}));
+  Leader leader =
+      lead(snapshot({job_entry("j-1", 1, true)},
+                    {{jobs::legacy_task_range_key("j-1", 0), encode_legacy_task_range(chunk), 8}}));
   EXPECT_FALSE(leader.advance(1).transaction);
   EXPECT_TRUE(leader.cluster().finished_jobs.empty());
 }
@@ -617,15 +619,16 @@
   std::vector<kv::Entry> chunks;
   constexpr std::uint32_t kTasks = 700;
   const Leader sized = lead(snapshot({job_entry("j-1", kTasks)}));
-  const auto size = static_cast<std::uint32_t>(sized.cluster().chunk_tasks(jobs::Shape::array));
+  const auto size = static_cast<std::uint32_t>(sized.cluster().tasks_per_range(jobs::Shape::array));
   for (std::uint32_t first = 0; first < kTasks; first += size) {
-    jobs::ChunkRecord chunk;
+    jobs::TaskRangeRecord chunk;
     chunk.first = first;
     for (std::uint32_t t = first; t < std::min<std::uint32_t>(kTasks, first + size); ++t) {
       chunk.done.push_back(t);
     }
-    const std::string key = jobs::compact_key("j-1", first, std::min(kTasks, first + size));
-    chunks.push_back({key, encode_compact(chunk), 8});
+    const std::string key =
+        jobs::compact_task_range_key("j-1", first, std::min(kTasks, first + size));
+    chunks.push_back({key, encode_compact_task_range(chunk), 8});
   }
   ASSERT_GT(chunks.size(), 6u);
   Leader leader = lead(snapshot({job_entry("j-1", kTasks)}, chunks));
@@ -646,12 +649,13 @@
 // inc-afc1: four changes of leaders in a day, and each new one asked for the whole fleet again,
 // since it knew the machines by name only.
 TEST_F(LeaderTest, ItRentsNothingBeforeItKnowsWhatItHas) {
-  jobs::ChunkRecord chunk;
+  jobs::TaskRangeRecord chunk;
   for (std::uint32_t task = 0; task < 8; ++task) {
     chunk.placements.push_back({task, 1, task < 4 ? "n-1" : "n-2"});
   }
   LeaderSnapshot from =
-      snapshot({job_entry("j-1", 8)}, {{jobs::chunk_key("j-1", 0), encode_chunk(chunk), 8}});
+      snapshot({job_entry("j-1", 8)},
+               {{jobs::legacy_task_range_key("j-1", 0), encode_legacy_task_range(chunk), 8}});
   from.jobs[0].value["spec"]["loaner"] = false;
   const auto rents = [](const Effects& out) {
     return out.transaction &&
@@ -727,7 +731,7 @@
   const auto found = [](const std::string& id, bool cancelled) {
     kv::ReadResult end;
     end.outcome = kv::Outcome::ok;
-    end.entry = {jobs::end_key(id), jobs::encode_ending({cancelled, 1}), 5};
+    end.entry = {jobs::end_key(id), jobs::encode_final_state({cancelled, 1}), 5};
     return end;
   };
   kv::ReadResult absent;
@@ -779,9 +783,9 @@
 
 TEST_F(LeaderTest, ItKeepsToTheNextRateOnceItIsTurnedAway) {
   settings::Platform lower = platform();
-  lower.state_limits.write_rps = 40;
-  lower.state_next = lower.state_limits;
-  lower.state_next.write_rps = 4;
+  lower.store_limits.write_rps = 40;
+  lower.upcoming_store_limits = lower.store_limits;
+  lower.upcoming_store_limits.write_rps = 4;
   const auto writes = [&](int throttled) {
     std::vector<kv::Entry> jobs;
     for (int i = 0; i < 200; ++i) jobs.push_back(job_entry("j-" + std::to_string(i), 1, true));
@@ -805,14 +809,15 @@
 // ends; whoever reads both gets every task's placement and done mark.
 TEST_F(LeaderTest, RecordsAreCutAnewOneByOneWithoutAGap) {
   settings::Platform p = platform();
-  p.state_limits.value_kb = 4;
-  p.state_next = {1000, 100, 1, 4};
-  jobs::ChunkRecord old;
+  p.store_limits.value_kb = 4;
+  p.upcoming_store_limits = {1000, 100, 1, 4};
+  jobs::TaskRangeRecord old;
   old.done = {0, 150};
   old.last_attempt = 1;
   old.placements = {{1, 1, "n-1"}, {160, 1, "n-1"}};
   LeaderSnapshot from =
-      snapshot({job_entry("j-1", 180)}, {{jobs::chunk_key("j-1", 0), encode_chunk(old), 8}});
+      snapshot({job_entry("j-1", 180)},
+               {{jobs::legacy_task_range_key("j-1", 0), encode_legacy_task_range(old), 8}});
   from.all_upgraded = false;
   Leader leader(p, {}, kFencingToken, from, 0);
   EXPECT_EQ(leader.cluster().jobs[0]->task_ranges.size(), 1u);
@@ -852,7 +857,7 @@
   newer.fencing_token = kFencingToken + 1;
   EXPECT_EQ(leader.on_heartbeat(
                 newer, [](const wire::Json&) {}, 1),
-            HeartbeatVerdict::deposed);
+            HeartbeatResult::deposed);
   EXPECT_TRUE(leader.deposed());
 }
 
@@ -860,7 +865,7 @@
 // late, little was rented, and half of the arrays were not done in time.
 TEST_F(LeaderTest, JobsKeepTheirAgeThroughAChangeOfLeaders) {
   LeaderSnapshot first = snapshot({job_entry("j-1", 1)});
-  first.level = kv::Entry{schema::kLevelKey, schema::encode_stored({4, 4, true}), 6};
+  first.stored_schema = kv::Entry{schema::kLevelKey, schema::encode_stored({4, 4, true}), 6};
   first.revision_clock.observe(3, -300);
   first.revision_clock.observe(7, -200);  // its header's revision
   first.revision_clock.observe(20, 0);
@@ -892,10 +897,11 @@
 
 // A gang that ran under an earlier leader could not yield for 30 s after each change of leaders.
 TEST_F(LeaderTest, WhatRanBeforeIsTakenToRunSinceItWasPlaced) {
-  jobs::ChunkRecord record;
+  jobs::TaskRangeRecord record;
   record.placements = {{0, 1, "n-1"}};
   LeaderSnapshot from = snapshot(
-      {job_entry("j-1", 1)}, {{jobs::compact_key("j-1", 0, 1), jobs::encode_compact(record), 9}});
+      {job_entry("j-1", 1)},
+      {{jobs::compact_task_range_key("j-1", 0, 1), jobs::encode_compact_task_range(record), 9}});
   from.revision_clock.observe(9, -50);
   from.revision_clock.observe(20, 0);
   Leader leader = lead(from);
--- a/src/controller/leader_transactions.cpp
+++ b/src/controller/leader_transactions.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr int kMostConflicts = 12;
-constexpr int kLeastOps = 2;  // a job's end
+constexpr int kMaxConsecutiveConflicts = 12;
+constexpr int kMinTransactionWrites = 2;  // a job's end
 
 }  // namespace
 
@@ -22,7 +22,7 @@
   if (transaction_.is_empty()) return;
   recheck_deferred_responses_ = true;
   write_budget_.note_throttled(committed.throttle_count, now);
-  if (const auto resolution = transaction_.on_answer(committed, now))
+  if (const auto resolution = transaction_.on_commit_result(committed, now))
     resolve_transaction(*resolution, now);
 }
 
@@ -46,26 +46,26 @@
 }
 
 void Leader::resolve_transaction(const PendingTransaction::Resolution& resolution, double now) {
-  const kv::CommitResult& committed = resolution.committed;
+  const kv::CommitResult& result = resolution.result;
   const TransactionBatch batch = transaction_.finish();
-  if (committed.outcome == Outcome::ok) {
+  if (result.outcome == Outcome::ok) {
     for (const auto& [id, fate] : batch.ended_jobs) {
-      const Job* job = cluster_.job(id);
-      if (fate == DependencyState::cancelled && job != nullptr) usage_.cancelled(*job);
+      const Job* job = cluster_.find_job(id);
+      if (fate == DependencyState::cancelled && job != nullptr) usage_.note_cancelled(*job);
     }
   }
-  const BatchOutcome settlement =
-      resolution.is_certain ? transaction_builder_.apply_result(cluster_, batch, committed, now)
-                            : BatchOutcome::uncertain;
-  switch (settlement) {
+  const BatchOutcome outcome = resolution.is_certain
+                                   ? transaction_builder_.apply_result(cluster_, batch, result, now)
+                                   : BatchOutcome::uncertain;
+  switch (outcome) {
     case BatchOutcome::applied:
-      on_batch_applied(batch, committed.store_revision, now);
+      on_batch_applied(batch, result.store_revision, now);
       break;
     case BatchOutcome::too_large:
       on_batch_too_large(batch, now);
       break;
     case BatchOutcome::retry:
-      on_batch_rejected(committed.outcome, now);
+      on_batch_rejected(result.outcome, now);
       break;
     case BatchOutcome::deposed:
       spdlog::info("baton {} is no longer valid", cluster_.fencing_token);
@@ -87,9 +87,9 @@
   for (const RecordWrite& note : batch.record_writes) {
     if (note.key != schema::kLevelKey) continue;
     schema_ = schema::decode_stored(note.value);
-    transaction_builder_.set_schema_level(schema_.writes);
+    transaction_builder_.set_schema_level(schema_.written_level);
     obsolete_records_read_at_ = claims_read_at_ = -1e9;
-    spdlog::info("level {}: written {}, {}", schema_.level, schema_.writes,
+    spdlog::info("level {}: written {}, {}", schema_.level, schema_.written_level,
                  schema_.settled ? "settled" : "what is older is being moved");
   }
   needs_placement_ = true;
@@ -102,19 +102,19 @@
 // Certainly not applied, and it never will be as it is: first by fewer changes, then without the
 // records that it consists of.
 void Leader::on_batch_too_large(const TransactionBatch& batch, double now) {
-  if (batch.transaction.writes.size() > kLeastOps) {
-    max_writes_ = kLeastOps;
+  if (batch.transaction.writes.size() > kMinTransactionWrites) {
+    max_writes_ = kMinTransactionWrites;
     return;
   }
   transaction_builder_.back_off(batch, now);
-  max_writes_ = platform_.lasting().txn_ops;
+  max_writes_ = platform_.strictest_store_limits().txn_ops;
 }
 
 // Cancellations come one by one. So many conflicts together mean that we are wrong about a header,
 // and that nothing would ever be stored again.
 void Leader::on_batch_rejected(Outcome outcome, double now) {
   transaction_.note_failure(now);
-  if (outcome == Outcome::conflict && ++consecutive_conflicts_ >= kMostConflicts) {
+  if (outcome == Outcome::conflict && ++consecutive_conflicts_ >= kMaxConsecutiveConflicts) {
     spdlog::error("transactions fail again and again: giving up the lead");
     effects_.step_down = true;
   }
@@ -132,13 +132,13 @@
     resume_transaction(now);
     return;
   }
-  if (all_upgraded_) cluster_.use_compact(now);
+  if (all_upgraded_) cluster_.switch_to_compact_records(now);
   store_revision_clock(now);
   update_usage(now);
   const int affordable = std::min(max_writes_, write_budget_.available(now));
   if (!transaction_.may_send(now) || affordable < std::max(1, max_writes_ / 2)) return;
-  auto batch =
-      transaction_builder_.next_batch(cluster_, affordable, write_budget_.is_ample(now), now);
+  auto batch = transaction_builder_.next_batch(cluster_, affordable,
+                                               write_budget_.allows_optional_writes(now), now);
   if (!batch) return;
   write_budget_.consume(batch->transaction.writes.size(), now);
   transaction_.begin(std::move(*batch));
--- a/src/controller/machine_prober.cpp
+++ b/src/controller/machine_prober.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr auto kCallLimit = std::chrono::milliseconds(1000);
+constexpr auto kProbeCallTimeout = std::chrono::milliseconds(1000);
 
 }  // namespace
 
@@ -24,16 +24,16 @@
 }
 
 void MachineProber::probe(const ProbeRequest& request) {
-  wire::Client worker(wire::parse_address(request.address), 0, 2 * wire::kBodyLimit);
+  wire::Client worker(wire::parse_address(request.address), 0, 2 * wire::kMaxBody_bytes);
   wire::Json body = request.body;
   if (body.is_null()) {
-    const wire::Answer status = worker.call("GET", "/status", nullptr, kCallLimit);
+    const wire::CallResult status = worker.call("GET", "/status", nullptr, kProbeCallTimeout);
     if (status.status != 200) return;
     body = {{"baton", request.fencing_token},
             {"tenure", workers::decode_heartbeat(status.body).incarnation},
             {"orders", wire::Json::array()}};
   }
-  const wire::Answer answer = worker.call("POST", "/orders", &body, kCallLimit);
+  const wire::CallResult answer = worker.call("POST", "/orders", &body, kProbeCallTimeout);
   // 409: the worker refuses the orders, but gives its status all the same.
   if (answer.status == 200 || answer.status == 409) {
     events_.push({request.fencing_token, StatusReceived{workers::decode_heartbeat(answer.body)}});
--- a/src/controller/obsolete_records.cpp
+++ b/src/controller/obsolete_records.cpp
@@ -2,40 +2,40 @@
 
 #include <algorithm>
 
-#include "drains/rules.h"
+#include "drains/drain_policy.h"
 #include "jobs/spec.h"
 #include "kv/revision_clock.h"
 #include "schema/schema_levels.h"
 #include "shares/usage_accounts.h"
-#include "zones/zones.h"
+#include "zones/zone_monitor.h"
 
 namespace reachramp::controller {
 
 namespace {
 
-bool pool_is_stale(const std::string& key, const wire::Json& value, std::uint32_t level) {
+bool is_obsolete_pool(const std::string& key, const wire::Json& value, std::uint32_t level) {
   return level >= schema::kClosedPools && key.starts_with("pool/") &&
          !(value.is_object() && value.value("open", false));
 }
 
-constexpr auto kSlices = {kv::is_stale,     jobs::is_stale,  shares::is_stale,
-                          drains::is_stale, zones::is_stale, pool_is_stale};
+constexpr auto kObsoleteChecks = {kv::is_stale,     jobs::is_stale,  shares::is_stale,
+                                  drains::is_stale, zones::is_stale, is_obsolete_pool};
 
 }  // namespace
 
 std::vector<std::string> obsolete_record_prefixes() {
-  return {"task/",           "pool/",         kv::kTimelineKey, shares::kSharesKey,
-          drains::kRulesKey, zones::kZonesKey};
+  return {"task/",         "pool/", kv::kTimelineKey, shares::kSharesKey, drains::kPolicyKey,
+          zones::kZonesKey};
 }
 
-bool is_stale(const std::string& key, const wire::Json& value, std::uint32_t level) {
-  return std::any_of(kSlices.begin(), kSlices.end(),
+bool is_obsolete(const std::string& key, const wire::Json& value, std::uint32_t level) {
+  return std::any_of(kObsoleteChecks.begin(), kObsoleteChecks.end(),
                      [&](const auto& slice) { return slice(key, value, level); });
 }
 
-bool is_stale_at_any(const std::string& key, const wire::Json& value) {
+bool is_obsolete_at_any_level(const std::string& key, const wire::Json& value) {
   return std::any_of(schema::kSchemaLevels.begin(), schema::kSchemaLevels.end(),
-                     [&](const auto& level) { return is_stale(key, value, level.number); });
+                     [&](const auto& level) { return is_obsolete(key, value, level.number); });
 }
 
 }  // namespace reachramp::controller
--- a/src/controller/obsolete_records.h
+++ b/src/controller/obsolete_records.h
@@ -13,8 +13,8 @@
 std::vector<std::string> obsolete_record_prefixes();
 
 // A step to the level is not over while such a record stands.
-bool is_stale(const std::string& key, const wire::Json& value, std::uint32_t level);
+bool is_obsolete(const std::string& key, const wire::Json& value, std::uint32_t level);
 // At any level that this version knows.
-bool is_stale_at_any(const std::string& key, const wire::Json& value);
+bool is_obsolete_at_any_level(const std::string& key, const wire::Json& value);
 
 }  // namespace reachramp::controller
--- a/src/controller/pending_transaction.cpp
+++ b/src/controller/pending_transaction.cpp
@@ -9,17 +9,18 @@
 
 namespace {
 
-constexpr double kReadBackAgain_s = 0.5;
+constexpr double kVerificationRetryDelay_s = 0.5;
 // Added to the wait before the next sending for each failure in a row, up to so many.
-constexpr double kUnansweredWait_s = 0.3;
-constexpr int kMostUnansweredWaits = 5;
-constexpr double kFailureWait_s = 0.1;
-constexpr int kMostFailureWaits = 8;
+constexpr double kUnansweredDelay_s = 0.3;
+constexpr int kMaxUnansweredDelays = 5;
+constexpr double kFailureDelay_s = 0.1;
+constexpr int kMaxFailureDelays = 8;
 
 // A key that the transaction writes, that nobody but a leader does, and the revision that it had:
 // while this leader's token is valid, another revision shows that the transaction was applied.
 // Users' headers and what is removed prove nothing.
-std::optional<std::pair<std::string, std::uint64_t>> proof_key(const kv::Transaction& transaction) {
+std::optional<std::pair<std::string, std::uint64_t>> verification_key(
+    const kv::Transaction& transaction) {
   for (const kv::Write& write : transaction.writes) {
     if (!write.value || write.key.starts_with("job/")) continue;
     for (const auto& condition : transaction.preconditions) {
@@ -38,52 +39,54 @@
   return batch;
 }
 
-std::optional<PendingTransaction::Resolution> PendingTransaction::on_answer(
-    const kv::CommitResult& answer, double now) {
+std::optional<PendingTransaction::Resolution> PendingTransaction::on_commit_result(
+    const kv::CommitResult& result, double now) {
   // "Malformed" tells of this sending alone: an earlier one may have come before the limits did.
-  if (answer.outcome == Outcome::unknown ||
-      (answer.outcome == Outcome::refused && may_be_applied_)) {
-    may_be_applied_ = resend_ = true;
-    not_before_ = now + kUnansweredWait_s * std::min(++failures_, kMostUnansweredWaits);
+  if (result.outcome == Outcome::unknown ||
+      (result.outcome == Outcome::refused && may_be_applied_)) {
+    may_be_applied_ = resend_due_ = true;
+    next_send_at_ =
+        now + kUnansweredDelay_s * std::min(++consecutive_failures_, kMaxUnansweredDelays);
     return std::nullopt;
   }
-  if (may_be_applied_ && answer.outcome == Outcome::conflict && proof_key(batch_->transaction)) {
-    refusal_ = answer;
-    read_back_ = true;
-    not_before_ = now;
+  if (may_be_applied_ && result.outcome == Outcome::conflict &&
+      verification_key(batch_->transaction)) {
+    unverified_conflict_ = result;
+    verification_due_ = true;
+    next_send_at_ = now;
     return std::nullopt;
   }
-  const bool is_certain = !may_be_applied_ || answer.outcome == Outcome::ok;
-  return Resolution{answer, is_certain};
+  const bool is_certain = !may_be_applied_ || result.outcome == Outcome::ok;
+  return Resolution{result, is_certain};
 }
 
 void PendingTransaction::on_verification_failed(double now) {
-  read_back_ = true;
-  not_before_ = now + kReadBackAgain_s;
+  verification_due_ = true;
+  next_send_at_ = now + kVerificationRetryDelay_s;
 }
 
 PendingTransaction::Resolution PendingTransaction::on_verified(const kv::ReadResult& found) {
-  const auto key = proof_key(batch_->transaction);
-  kv::CommitResult committed = *std::exchange(refusal_, std::nullopt);
+  const auto key = verification_key(batch_->transaction);
+  kv::CommitResult result = *std::exchange(unverified_conflict_, std::nullopt);
   if (found.outcome == Outcome::ok && found.entry.revision != key->second) {
-    committed = {};
-    committed.outcome = Outcome::ok;
-    committed.store_revision = found.entry.revision;
+    result = {};
+    result.outcome = Outcome::ok;
+    result.store_revision = found.entry.revision;
   }
-  return {committed, true};
+  return {result, true};
 }
 
 std::optional<std::string> PendingTransaction::take_key_to_verify(double now) {
-  if (!may_send(now) || !std::exchange(read_back_, false)) return std::nullopt;
-  return proof_key(batch_->transaction)->first;
+  if (!may_send(now) || !std::exchange(verification_due_, false)) return std::nullopt;
+  return verification_key(batch_->transaction)->first;
 }
 
 bool PendingTransaction::take_resend(double now) {
-  return may_send(now) && std::exchange(resend_, false);
+  return may_send(now) && std::exchange(resend_due_, false);
 }
 
 void PendingTransaction::note_failure(double now) {
-  not_before_ = now + kFailureWait_s * std::min(++failures_, kMostFailureWaits);
+  next_send_at_ = now + kFailureDelay_s * std::min(++consecutive_failures_, kMaxFailureDelays);
 }
 
 }  // namespace reachramp::controller
--- a/src/controller/pending_transaction.h
+++ b/src/controller/pending_transaction.h
@@ -16,7 +16,7 @@
   // What became of the transaction. Not certain: an earlier sending may have been applied, and
   // nothing in the store tells.
   struct Resolution {
-    kv::CommitResult committed;
+    kv::CommitResult result;
     bool is_certain = true;
   };
 
@@ -28,11 +28,11 @@
 
   // The answer to a sending. Nothing where the outcome is still open: the batch is then to be sent
   // again, or a key is to be read first.
-  std::optional<Resolution> on_answer(const kv::CommitResult& answer, double now);
+  std::optional<Resolution> on_commit_result(const kv::CommitResult& result, double now);
 
   // After a conflict that an earlier sending may itself have caused, the revision of a key that
   // only leaders write tells whether that sending was applied.
-  bool awaits_verification() const { return refusal_.has_value(); }
+  bool awaits_verification() const { return unverified_conflict_.has_value(); }
   void on_verification_failed(double now);
   // `found` was read while this leader's token was valid.
   Resolution on_verified(const kv::ReadResult& found);
@@ -42,18 +42,18 @@
   bool take_resend(double now);
 
   // How long the next sending waits grows with the failures in a row.
-  bool may_send(double now) const { return now >= not_before_; }
+  bool may_send(double now) const { return now >= next_send_at_; }
   void note_failure(double now);
-  void note_success() { failures_ = 0; }
+  void note_success() { consecutive_failures_ = 0; }
 
  private:
   std::optional<TransactionBatch> batch_;
   bool may_be_applied_ = false;  // an earlier sending had no answer
-  bool resend_ = false;
-  bool read_back_ = false;
-  std::optional<kv::CommitResult> refusal_;  // the conflict that the read is to explain
-  double not_before_ = 0;
-  int failures_ = 0;  // in a row
+  bool resend_due_ = false;
+  bool verification_due_ = false;
+  std::optional<kv::CommitResult> unverified_conflict_;  // the conflict that the read is to explain
+  double next_send_at_ = 0;
+  int consecutive_failures_ = 0;  // in a row
 };
 
 }  // namespace reachramp::controller
--- a/src/controller/pending_transaction_test.cpp
+++ b/src/controller/pending_transaction_test.cpp
@@ -26,7 +26,7 @@
   std::optional<PendingTransaction::Resolution> answer(Outcome outcome, double now) {
     kv::CommitResult committed;
     committed.outcome = outcome;
-    return transaction_.on_answer(committed, now);
+    return transaction_.on_commit_result(committed, now);
   }
   Outcome after_read_back(std::uint64_t found_revision) {
     kv::ReadResult found;
@@ -35,7 +35,7 @@
     const PendingTransaction::Resolution resolution = transaction_.on_verified(found);
     EXPECT_TRUE(resolution.is_certain);
     EXPECT_FALSE(transaction_.awaits_verification());
-    return resolution.committed.outcome;
+    return resolution.result.outcome;
   }
 
   PendingTransaction transaction_;
--- a/src/controller/queue.h
+++ b/src/controller/queue.h
@@ -22,9 +22,9 @@
   }
 
   // Waits until something is there or the time is over.
-  std::vector<Item> take(std::chrono::duration<double> limit) {
+  std::vector<Item> take(std::chrono::duration<double> timeout) {
     std::unique_lock lock(mutex_);
-    ready_.wait_for(lock, limit, [&] { return !items_.empty(); });
+    ready_.wait_for(lock, timeout, [&] { return !items_.empty(); });
     return std::exchange(items_, {});
   }
 
