--- a/src/controller/routes.cpp
+++ b/src/controller/routes.cpp
@@ -11,58 +11,58 @@
 constexpr std::string_view kJobsPath = "/submissions";
 constexpr std::string_view kCancelSuffix = "/withdraw";
 
-wire::Reply no_path() { return {404, {{"error", "no such path"}}}; }
-wire::Reply no_method() { return {405, {{"error", "no such method here"}}}; }
-wire::Reply other_version(int retry_after_s) {
+wire::Response path_not_found() { return {404, {{"error", "no such path"}}}; }
+wire::Response method_not_allowed() { return {405, {{"error", "no such method here"}}}; }
+wire::Response incompatible_schema(int retry_after_s) {
   return {503, {{"error", "the stored state is of another version"}}, retry_after_s};
 }
 
 }  // namespace
 
-wire::Reply UserRoutes::serve(const wire::Request& request) {
+wire::Response UserRoutes::serve(const wire::Request& request) {
   const bool get = request.method == "GET";
   const bool post = request.method == "POST";
   if (request.path == kReadyPath) {
-    if (!get) return no_method();
+    if (!get) return method_not_allowed();
     const bool ready = !versions_.incompatible() && health_.ready();
     return {ready ? 200 : 503, {{"ready", ready}}};
   }
-  if (versions_.incompatible()) return other_version(5);
+  if (versions_.incompatible()) return incompatible_schema(5);
   if (request.path == kHeartbeatPath) {
-    return post ? heartbeats_.route(request.body, HeartbeatOrigin::worker) : no_method();
+    return post ? heartbeats_.route(request.body, HeartbeatOrigin::worker) : method_not_allowed();
   }
-  if (request.path == kJobsPath) return post ? jobs_.submit(request.body) : no_method();
+  if (request.path == kJobsPath) return post ? jobs_.submit(request.body) : method_not_allowed();
   if (request.path.starts_with(kJobsPath) && request.path[kJobsPath.size()] == '/') {
     return serve_job(request.path, request.method);
   }
-  return no_path();
+  return path_not_found();
 }
 
-wire::Reply UserRoutes::serve_job(const std::string& path, const std::string& method) {
+wire::Response UserRoutes::serve_job(const std::string& path, const std::string& method) {
   std::string id = path.substr(kJobsPath.size() + 1);
   const bool cancel = id.ends_with(kCancelSuffix);
   if (cancel) id.resize(id.size() - kCancelSuffix.size());
-  if (id.find('/') != std::string::npos) return no_path();
-  if (cancel) return method == "POST" ? jobs_.withdraw(id) : no_method();
-  return method == "GET" ? jobs_.query(id) : no_method();
+  if (id.find('/') != std::string::npos) return path_not_found();
+  if (cancel) return method == "POST" ? jobs_.cancel(id) : method_not_allowed();
+  return method == "GET" ? jobs_.query(id) : method_not_allowed();
 }
 
 wire::ClientKind UserRoutes::client_kind(const wire::Request& request) {
   return request.path == kHeartbeatPath ? wire::ClientKind::worker : wire::ClientKind::user;
 }
 
-wire::Reply PeerRoutes::serve(const wire::Request& request) {
+wire::Response PeerRoutes::serve(const wire::Request& request) {
   if (request.path == peers::kServedPath) {
     return request.method == "GET"
-               ? health_.served(request.body, election_.status().highest_seen_revision)
-               : no_method();
+               ? health_.handle_served(request.body, election_.status().highest_seen_revision)
+               : method_not_allowed();
   }
-  if (versions_.incompatible()) return other_version(0);
-  const bool second_hop = request.path == peers::kOnwardPath;
-  if (!second_hop && request.path != peers::kRelayPath) return no_path();
-  if (request.method != "POST") return no_method();
-  return heartbeats_.route(request.body,
-                           second_hop ? HeartbeatOrigin::second_hop : HeartbeatOrigin::leader_hop);
+  if (versions_.incompatible()) return incompatible_schema(0);
+  const bool is_intermediate_hop = request.path == peers::kIntermediateHopPath;
+  if (!is_intermediate_hop && request.path != peers::kForwardToLeaderPath) return path_not_found();
+  if (request.method != "POST") return method_not_allowed();
+  return heartbeats_.route(request.body, is_intermediate_hop ? HeartbeatOrigin::intermediate_hop
+                                                             : HeartbeatOrigin::final_hop);
 }
 
 }  // namespace reachramp::controller
--- a/src/controller/routes.h
+++ b/src/controller/routes.h
@@ -19,12 +19,12 @@
 
   // Answers a request; 404 for an unknown path, 405 for another method, 503 where this process
   // cannot read the stored state. For any thread that serves a connection.
-  wire::Reply serve(const wire::Request& request);
+  wire::Response serve(const wire::Request& request);
   // Who sends such a request, for the limits on connections. For any thread.
   static wire::ClientKind client_kind(const wire::Request& request);
 
  private:
-  wire::Reply serve_job(const std::string& path, const std::string& method);
+  wire::Response serve_job(const std::string& path, const std::string& method);
 
   schema::SchemaVersionTracker& versions_;
   peers::NodeHealth& health_;
@@ -40,7 +40,7 @@
       : versions_(versions), health_(health), election_(election), heartbeats_(heartbeats) {}
 
   // As above, but nodes may ask for this node's health whatever the stored state is.
-  wire::Reply serve(const wire::Request& request);
+  wire::Response serve(const wire::Request& request);
 
  private:
   schema::SchemaVersionTracker& versions_;
--- a/src/controller/server.cpp
+++ b/src/controller/server.cpp
@@ -10,7 +10,7 @@
 
 constexpr int kProberThreads = 3;
 // Of the rate that the key-value store allows a node.
-constexpr double kStoreRateShare = 0.6;
+constexpr double kStoreRateFraction = 0.6;
 
 }  // namespace
 
@@ -18,17 +18,18 @@
                const std::string& policy_path)
     : platform_(platform),
       policy_(policy),
-      store_(platform_.state, platform_.state_limits.rps * kStoreRateShare),
-      supported_versions_{schema::kOldest, schema::kNewest, policy_.hold_at, REACHRAMP_VERSION},
+      store_(platform_.store_address, platform_.store_limits.rps * kStoreRateFraction),
+      supported_versions_{schema::kOldestLevel, schema::kNewestLevel, policy_.hold_at,
+                          REACHRAMP_VERSION},
       version_tracker_(store_, platform_, supported_versions_),
       election_(
           store_, platform_, [this] { return version_tracker_.defers_leadership(); },
           [this](double silent_s, double lease_duration_s, std::uint64_t fencing_token) {
-            return health_.cut_off(silent_s, lease_duration_s, fencing_token);
+            return health_.leader_must_step_down(silent_s, lease_duration_s, fencing_token);
           }),
       members_(store_, platform_),
       forwarder_(platform_),
-      recent_cancellations_(platform_.workers.cancel_s, kv::steady_now()),
+      recent_cancellations_(platform_.worker_timings.cancel_s, kv::steady_now()),
       health_(store_, platform_, recent_cancellations_),
       catalog_(store_),
       jobs_(store_, platform_, members_, version_tracker_, recent_cancellations_,
@@ -54,13 +55,13 @@
 // few ports, and must not have said a word to the key-value store in its node's name.
 void Server::run() {
   wire::ConnectionLimiter connections(
-      wire::connections_for({platform_.fd_limit, platform_.ram_mb, platform_.thread_limit}));
+      wire::max_connections_within({platform_.fd_limit, platform_.ram_mb, platform_.thread_limit}));
   wire::Server peer_listener(
       platform_.cluster_listen, connections, wire::ClientKind::peer,
       [](const wire::Request&) { return wire::ClientKind::peer; },
       [this](const wire::Request& request) { return peer_routes_.serve(request); });
   wire::Server user_listener(
-      platform_.serve_on, connections, wire::ClientKind::fresh, UserRoutes::client_kind,
+      platform_.serve_on, connections, wire::ClientKind::unknown, UserRoutes::client_kind,
       [this](const wire::Request& request) { return user_routes_.serve(request); });
   const std::vector<std::thread> threads = start_threads();
   spdlog::info("{} serves on {}:{}", platform_.node_name, platform_.serve_on.host,
@@ -71,7 +72,7 @@
 
 std::vector<std::thread> Server::start_threads() {
   std::vector<std::thread> threads;
-  threads.emplace_back([this] { event_loop_.run_event_loop(); });
+  threads.emplace_back([this] { event_loop_.run(); });
   threads.emplace_back([this] { members_.run(); });
   threads.emplace_back([this] {
     version_tracker_.run([this](bool incompatible) { election_.set_disabled(incompatible); });
--- a/src/controller/server.h
+++ b/src/controller/server.h
@@ -49,7 +49,7 @@
   const settings::Platform platform_;
   const settings::Policy policy_;
   kv::Client store_;
-  const schema::SupportedVersions supported_versions_;
+  const schema::SupportedLevels supported_versions_;
   schema::SchemaVersionTracker version_tracker_;
   std::optional<drains::PolicyFileWatcher> policy_watcher_;
   leadership::LeaderElection election_;
--- a/src/controller/server_bytes_test.cpp
+++ b/src/controller/server_bytes_test.cpp
@@ -39,23 +39,23 @@
 
 class NodeBytes : public ::testing::Test {
  protected:
-  NodeBytes() { state_.open("node-0", platform_.state.port); }
+  NodeBytes() { state_.open("node-0", platform_.store_address.port); }
 
   // The answer once it is not that nobody leads yet.
-  static wire::Answer ask(const wire::Address& at, const char* method, const std::string& path,
-                          const char* body = nullptr) {
-    wire::Client client(at, 0, wire::kBodyLimit);
+  static wire::CallResult ask(const wire::Address& at, const char* method, const std::string& path,
+                              const char* body = nullptr) {
+    wire::Client client(at, 0, wire::kMaxBody_bytes);
     const wire::Json message = wire::Json::parse(body == nullptr ? "null" : body);
-    wire::Answer answer;
+    wire::CallResult answer;
     for (int i = 0; i < 150; ++i) {
       answer = client.call(method, path, body == nullptr ? nullptr : &message,
                            std::chrono::milliseconds(4000));
-      if (answer.answered && answer.status != 503) return answer;
+      if (answer.received_response && answer.status != 503) return answer;
       std::this_thread::sleep_for(std::chrono::milliseconds(100));
     }
     return answer;
   }
-  static void expect(const wire::Answer& answer, int status, const char* body) {
+  static void expect(const wire::CallResult& answer, int status, const char* body) {
     EXPECT_EQ(answer.status, status);
     EXPECT_TRUE(is_written_as(answer.body, body));
   }
@@ -67,13 +67,13 @@
   }
 
   lab::StateServer state_{{1000, 1000, 8, 8}, 1};
-  test::Recorder worker_{[](const wire::Request&) -> wire::Reply {
+  test::Recorder worker_{[](const wire::Request&) -> wire::Response {
     return {200,
             received(R"({"host":"n-1","rig":"small","hall":"a","loaner":false,"tenure":4,"tick":1,
                          "baton":0,"pieces":[]})"),
             0};
   }};
-  test::Recorder cloud_{[this](const wire::Request& request) -> wire::Reply {
+  test::Recorder cloud_{[this](const wire::Request& request) -> wire::Response {
     if (request.path == "/catalog") {
       return {200, received(R"({"rigs":[{"label":"small","vcpus":4.0,"ram_gb":16.0,"rate":0.5,
                            "halls":["a"]}]})"),
@@ -89,15 +89,15 @@
   const settings::Platform platform_ = [this] {
     settings::Platform made;
     made.node_name = "node-0";
-    made.domain = "a";
+    made.failure_domain = "a";
     made.serve_on = {"127.0.0.1", ports_.reserve()};
     made.cluster_listen = {"127.0.0.1", ports_.reserve()};
-    made.state = {"127.0.0.1", ports_.reserve()};
-    made.cloud = cloud_.at();
+    made.store_address = {"127.0.0.1", ports_.reserve()};
+    made.cloud_address = cloud_.at();
     made.teams = {{"red", 0, 0, 0, 0}};
-    made.workers = {1, 10, 15, 4, 30};
-    made.state_limits = {1000, 100, 4, 8};
-    made.state_next = made.state_limits;
+    made.worker_timings = {1, 10, 15, 4, 30};
+    made.store_limits = {1000, 100, 4, 8};
+    made.upcoming_store_limits = made.store_limits;
     made.cloud_limits = {10, 2};
     return made;
   }();
@@ -118,7 +118,7 @@
   expect(ask(peers, "GET", "/relay/onward"), 405, R"({"error":"no such method here"})");
   expect(ask(peers, "POST", "/served", "{}"), 405, R"({"error":"no such method here"})");
   expect(ask(peers, "GET", "/nowhere"), 404, R"({"error":"no such path"})");
-  const wire::Answer served = ask(peers, "GET", "/served", R"({"told_within_s":5.0})");
+  const wire::CallResult served = ask(peers, "GET", "/served", R"({"told_within_s":5.0})");
   EXPECT_EQ(served.status, 200);
   for (const char* field : {"served", "ago_s", "leader_stamp", "told"}) {
     EXPECT_TRUE(served.body.contains(field)) << field;
@@ -129,7 +129,7 @@
     const std::string report =
         R"({"host":"n-1","rig":"small","hall":"a","loaner":false,"tenure":5,"tick":)" +
         std::to_string(++sequence_number) + R"(,"baton":0,"pieces":[]})";
-    const wire::Answer answer = ask(at, "POST", path, report.c_str());
+    const wire::CallResult answer = ask(at, "POST", path, report.c_str());
     EXPECT_EQ(answer.status, 200) << path;
     EXPECT_TRUE(is_written_as(with_baton_40(answer.body), R"({"baton":40,"orders":[]})"));
   }
--- a/src/controller/store_reads.cpp
+++ b/src/controller/store_reads.cpp
@@ -10,15 +10,15 @@
     if (page.outcome != kv::Outcome::ok) return std::nullopt;
     // Later pages may show later changes; a watch begins where the first one stood.
     if (first_revision != nullptr && *first_revision == 0) *first_revision = page.store_revision;
-    const bool more = page.more && !page.entries.empty();
+    const bool more = page.has_more && !page.entries.empty();
     for (auto& entry : page.entries) entries.push_back(std::move(entry));
     if (!more) return entries;
   }
 }
 
-bool read_optional(kv::Client& store, const std::string& key, std::optional<kv::Entry>& into) {
+bool read_optional(kv::Client& store, const std::string& key, std::optional<kv::Entry>& entry) {
   kv::ReadResult found = store.get(key);
-  if (found.outcome == kv::Outcome::ok) into = std::move(found.entry);
+  if (found.outcome == kv::Outcome::ok) entry = std::move(found.entry);
   return found.outcome == kv::Outcome::ok || found.outcome == kv::Outcome::absent;
 }
 
--- a/src/controller/store_reads.h
+++ b/src/controller/store_reads.h
@@ -18,6 +18,6 @@
 
 // Reads a record that need not exist: `into` is set to the entry, and left as it is where there is
 // none. False: the store did not answer. For any thread; blocks.
-bool read_optional(kv::Client& store, const std::string& key, std::optional<kv::Entry>& into);
+bool read_optional(kv::Client& store, const std::string& key, std::optional<kv::Entry>& entry);
 
 }  // namespace reachramp::controller
--- a/src/controller/strong_reader.cpp
+++ b/src/controller/strong_reader.cpp
@@ -7,43 +7,43 @@
 
 void StrongReader::run() {
   for (;;) {
-    for (const StrongRead& wanted : reads_.take(std::chrono::hours(1))) {
-      if (election_.status().fencing_token == wanted.fencing_token) read(wanted);
+    for (const StrongReadRequest& request : requests_.take(std::chrono::hours(1))) {
+      if (election_.status().fencing_token == request.fencing_token) read(request);
     }
   }
 }
 
-void StrongReader::read(const StrongRead& wanted) {
-  const std::uint64_t fencing_token = wanted.fencing_token;
-  switch (wanted.kind) {
-    case StrongRead::Kind::job_end:
-      events_.push(
-          {fencing_token, JobEndRead{wanted.name, store_.get(jobs::end_key(wanted.name))}});
+void StrongReader::read(const StrongReadRequest& request) {
+  const std::uint64_t fencing_token = request.fencing_token;
+  switch (request.kind) {
+    case StrongReadRequest::Kind::job_end:
+      events_.push({fencing_token,
+                    JobEndRead{request.job_or_key, store_.get(jobs::end_key(request.job_or_key))}});
       return;
-    case StrongRead::Kind::verify_key: {
+    case StrongReadRequest::Kind::verify_key: {
       // In this order: while the leader's key is ours, nobody else can have written the former.
-      kv::ReadResult found = store_.get(wanted.name);
+      kv::ReadResult found = store_.get(request.job_or_key);
       events_.push({fencing_token, TransactionVerified{std::move(found), store_.get(kLeaderKey)}});
       return;
     }
-    case StrongRead::Kind::drains:
+    case StrongReadRequest::Kind::drains:
       return read_drains(fencing_token);
-    case StrongRead::Kind::obsolete_records:
+    case StrongReadRequest::Kind::obsolete_records:
       return read_obsolete_records(fencing_token);
-    case StrongRead::Kind::claims:
+    case StrongReadRequest::Kind::claims:
       return read_claims(fencing_token);
   }
 }
 
 void StrongReader::read_drains(std::uint64_t fencing_token) {
   DrainsRead drains;
-  if (read_optional(store_, drains::kRulesKey, drains.entry)) {
+  if (read_optional(store_, drains::kPolicyKey, drains.entry)) {
     events_.push({fencing_token, std::move(drains)});
   }
 }
 
 void StrongReader::read_claims(std::uint64_t fencing_token) {
-  if (auto claims = list_all(store_, schema::kClaims)) {
+  if (auto claims = list_all(store_, schema::kClaimPrefix)) {
     events_.push({fencing_token, ClaimsRead{std::move(*claims)}});
   }
 }
@@ -54,7 +54,7 @@
     auto entries = list_all(store_, prefix);
     if (!entries) return;
     for (kv::Entry& entry : *entries) {
-      if (is_stale_at_any(entry.key, entry.value)) found.push_back(std::move(entry));
+      if (is_obsolete_at_any_level(entry.key, entry.value)) found.push_back(std::move(entry));
     }
   }
   events_.push({fencing_token, ObsoleteRecordsRead{std::move(found)}});
--- a/src/controller/transaction_builder.cpp
+++ b/src/controller/transaction_builder.cpp
@@ -20,18 +20,19 @@
 namespace {
 
 constexpr std::size_t kMaxTransactionBytes = 48 * 1024;  // the limit is 64 KiB in all
-constexpr double kUpdateCountsEvery_s = 2.0;
-constexpr double kAfterConflict_s = 0.05;
-constexpr double kDelayEnds_s = 3;
-constexpr double kBackOffFor_s = 10;
+constexpr double kStatusCountsInterval_s = 2.0;
+constexpr double kConflictDelay_s = 0.05;
+constexpr double kMaxTaskEndDelay_s = 3;
+constexpr double kBackOffDuration_s = 10;
 
 // What an earlier leader placed is taken to run until its worker has been heard: each change of
 // leaders wrote "pending" over the headers of running jobs, and "running" again.
 std::uint32_t running_tasks(const Job& job) {
   return static_cast<std::uint32_t>(
       std::count_if(job.attempts.begin(), job.attempts.end(), [](const auto& entry) {
-        return entry.second.observed == ObservedState::running ||
-               entry.second.observed == ObservedState::saving || entry.second.from_previous_leader;
+        return entry.second.observed_state == ObservedState::running ||
+               entry.second.observed_state == ObservedState::saving ||
+               entry.second.from_previous_leader;
       }));
 }
 
@@ -39,36 +40,40 @@
 // then ends are not lost: their workers go on listing them. Most are never written at all, since
 // their job's end comes first.
 std::vector<TaskRangeRef> task_ranges_by_urgency(const Cluster& cluster, double now) {
-  std::vector<std::tuple<std::uint32_t, double, TaskRangeRef>> needs;
-  for (const TaskRangeRef& ref : cluster.dirty) {
+  std::vector<std::tuple<std::uint32_t, double, TaskRangeRef>> candidates;
+  for (const TaskRangeRef& ref : cluster.dirty_task_ranges) {
     if (cluster.finished_jobs.contains(ref.job)) continue;  // goes with its job
-    if (cluster.jobs[ref.job]->unconfirmed) continue;
+    if (cluster.jobs[ref.job]->cancel_unconfirmed) continue;
     const placement::TaskRange& range = cluster.jobs[ref.job]->task_ranges[ref.range];
     const double age = now - range.dirty_since;
-    if (range.waiting > 0 || age > kDelayEnds_s) needs.emplace_back(range.waiting, age, ref);
+    if (range.unpersisted_attempts > 0 || age > kMaxTaskEndDelay_s)
+      candidates.emplace_back(range.unpersisted_attempts, age, ref);
   }
-  std::sort(needs.rbegin(), needs.rend());
+  std::sort(candidates.rbegin(), candidates.rend());
   std::vector<TaskRangeRef> refs;
-  for (const auto& need : needs) refs.push_back(std::get<2>(need));
+  for (const auto& need : candidates) refs.push_back(std::get<2>(need));
   return refs;
 }
 
 }  // namespace
 
-struct TransactionBuilder::Builder {
+struct TransactionBuilder::BatchBuilder {
   // Whatever is written has the form of a level, so all of it is conditional on the level's
   // revision: a leader that stood still across a step writes nothing of the old form afterwards.
-  Builder(const Cluster& cluster, std::uint64_t level, int max_writes) : ops(max_writes) {
-    require(kLeaderKey, cluster.fencing_token);
-    require(schema::kLevelKey, level);
+  BatchBuilder(const Cluster& cluster, std::uint64_t level, int max_writes)
+      : max_batch_writes(max_writes) {
+    add_precondition(kLeaderKey, cluster.fencing_token);
+    add_precondition(schema::kLevelKey, level);
   }
 
-  bool has_room(std::size_t more = 1) const {
-    return batch.transaction.writes.size() + more <= static_cast<std::size_t>(ops) &&
+  bool has_room(std::size_t additional_writes = 1) const {
+    return batch.transaction.writes.size() + additional_writes <=
+               static_cast<std::size_t>(max_batch_writes) &&
            bytes < kMaxTransactionBytes;
   }
-  void require(const std::string& key, std::uint64_t revision) {
-    if (required.insert(key).second) batch.transaction.preconditions.emplace_back(key, revision);
+  void add_precondition(const std::string& key, std::uint64_t revision) {
+    if (precondition_keys.insert(key).second)
+      batch.transaction.preconditions.emplace_back(key, revision);
   }
   void write(const std::string& key, std::optional<kv::Json> value) {
     if (value) bytes += wire::json_size(*value);
@@ -76,12 +81,12 @@
   }
 
   TransactionBatch batch;
-  int ops;
+  int max_batch_writes;
   std::size_t bytes = 0;
-  std::set<std::string> required;
+  std::set<std::string> precondition_keys;
 };
 
-void TransactionBuilder::write(RecordWrite record) {
+void TransactionBuilder::queue_write(RecordWrite record) {
   const std::string key = record.key;
   pending_writes_[key] = std::move(record);
 }
@@ -90,7 +95,7 @@
 // none.
 void TransactionBuilder::set_schema_level(std::uint32_t level) {
   for (auto& [key, record] : pending_writes_) {
-    if (record.value && is_stale(key, *record.value, level)) record.value.reset();
+    if (record.value && is_obsolete(key, *record.value, level)) record.value.reset();
   }
 }
 
@@ -105,17 +110,17 @@
 
 // The job's end and everything that goes with it in one step. Chunks beyond what a transaction may
 // change are removed afterwards: without a job they mean nothing.
-void TransactionBuilder::add_job_end(Cluster& cluster, Index index, Builder& builder) {
+void TransactionBuilder::add_job_end(Cluster& cluster, Index index, BatchBuilder& builder) {
   Job& job = *cluster.jobs[index];
   const std::string& id = job.spec.id;
-  builder.require(jobs::job_key(id), job.revision);
-  builder.require(jobs::end_key(id), 0);
+  builder.add_precondition(jobs::job_key(id), job.revision);
+  builder.add_precondition(jobs::end_key(id), 0);
   const bool cancelled = job.cancelled;
-  builder.write(jobs::end_key(id), jobs::encode_ending({cancelled, job.done_count}));
+  builder.write(jobs::end_key(id), jobs::encode_final_state({cancelled, job.done_count}));
   builder.write(jobs::job_key(id), std::nullopt);
   const auto remove = [&](const std::string& key, std::uint64_t revision) {
     if (builder.has_room()) {
-      builder.require(key, revision);
+      builder.add_precondition(key, revision);
       builder.write(key, std::nullopt);
     } else {
       builder.batch.deferred_removals.emplace_back(key, revision);
@@ -123,7 +128,7 @@
   };
   for (std::size_t range = 0; range < job.task_ranges.size(); ++range) {
     if (job.task_ranges[range].revision != 0) {
-      remove(cluster.chunk_key(job, range), job.task_ranges[range].revision);
+      remove(cluster.task_range_key(job, range), job.task_ranges[range].revision);
     }
   }
   for (const placement::ObsoleteRecord& stray : job.obsolete_records)
@@ -136,34 +141,34 @@
 // such as one that takes over a larger record of before, gives up what may still be given up, and
 // else stays as it is until enough of its tasks have ended; it must not hold up the others.
 void TransactionBuilder::add_task_range(Cluster& cluster, const TaskRangeRef& ref, double now,
-                                        Builder& builder) {
+                                        BatchBuilder& builder) {
   const Job& job = *cluster.jobs[ref.job];
   const placement::TaskRange& range = job.task_ranges[ref.range];
-  const std::string key = cluster.chunk_key(job, ref.range);
-  if (backs_off(key, now)) return;
-  jobs::ChunkRecord record = cluster.chunk_record(job, ref.range);
-  kv::Json value = cluster.encode_chunk(record);
-  if (!kv::fits(value, cluster.value_kb())) {
-    cluster.release_unstored(ref.job, ref.range, now);
-    record = cluster.chunk_record(job, ref.range);
-    value = cluster.encode_chunk(record);
-    if (!kv::fits(value, cluster.value_kb())) {
+  const std::string key = cluster.task_range_key(job, ref.range);
+  if (is_backed_off(key, now)) return;
+  jobs::TaskRangeRecord record = cluster.make_range_record(job, ref.range);
+  kv::Json value = cluster.encode_task_range(record);
+  if (!kv::fits(value, cluster.max_value_kb())) {
+    cluster.end_unstored_attempts(ref.job, ref.range, now);
+    record = cluster.make_range_record(job, ref.range);
+    value = cluster.encode_task_range(record);
+    if (!kv::fits(value, cluster.max_value_kb())) {
       spdlog::debug("record {} is too long to be written now", key);
       return;
     }
   }
   // A cancellation changes the header, so that starts decided before it fail.
-  builder.require(jobs::job_key(job.spec.id), job.revision);
-  builder.require(key, range.revision);
+  builder.add_precondition(jobs::job_key(job.spec.id), job.revision);
+  builder.add_precondition(key, range.revision);
   builder.write(key, std::move(value));
-  builder.batch.task_ranges.push_back({ref, job.spec.id, range.changed, record.placements});
+  builder.batch.task_ranges.push_back({ref, job.spec.id, range.version, record.placements});
 }
 
-void TransactionBuilder::add_status_counts(Cluster& cluster, double now, Builder& builder) {
+void TransactionBuilder::add_status_counts(Cluster& cluster, double now, BatchBuilder& builder) {
   for (auto at = cluster.jobs_with_changed_counts.begin();
        at != cluster.jobs_with_changed_counts.end() && builder.has_room();) {
     Job& job = *cluster.jobs[*at];
-    if (now - job.reported_at < kUpdateCountsEvery_s) {
+    if (now - job.reported_at < kStatusCountsInterval_s) {
       ++at;
       continue;
     }
@@ -171,7 +176,7 @@
     // A change of phase shows; counts alone are refreshed along with it.
     const bool is_up_to_date =
         (running > 0) == (job.reported_running > 0) && job.done_count == job.reported_done;
-    if (is_up_to_date || job.cancelled || job.finished()) {
+    if (is_up_to_date || job.cancelled || job.is_finished()) {
       at = cluster.jobs_with_changed_counts.erase(at);
       continue;
     }
@@ -181,8 +186,8 @@
     kv::Json value =
         jobs::encode_header({job.spec, false, job.done_count, running, job.accepted_revision});
     // Accepted when values could be longer: its counts are not shown.
-    if (backs_off(key, now) || !kv::fits(value, cluster.value_kb())) continue;
-    builder.require(key, job.revision);
+    if (is_backed_off(key, now) || !kv::fits(value, cluster.max_value_kb())) continue;
+    builder.add_precondition(key, job.revision);
     builder.write(key, std::move(value));
     builder.batch.status_counts.push_back({job.spec.id, job.done_count, running});
   }
@@ -191,18 +196,19 @@
 std::optional<TransactionBatch> TransactionBuilder::next_batch(Cluster& cluster, int max_writes,
                                                                bool include_status_counts,
                                                                double now) {
-  if (now < not_before_) return std::nullopt;
-  Builder builder(cluster, revision_of(schema::kLevelKey).value_or(0), max_writes);
+  if (now < next_batch_at_) return std::nullopt;
+  BatchBuilder builder(cluster, revision_of(schema::kLevelKey).value_or(0), max_writes);
   for (const Index index : cluster.finished_jobs) {
     if (!builder.has_room(2)) break;
-    if (cluster.jobs[index]->unconfirmed) continue;
+    if (cluster.jobs[index]->cancel_unconfirmed) continue;
     add_job_end(cluster, index, builder);
   }
   for (const auto& [key, record] : pending_writes_) {
     if (!builder.has_room()) break;
-    if (backs_off(key, now)) continue;
-    builder.require(key, revision_of(key).value_or(0));
-    for (const auto& [other, revision] : record.preconditions) builder.require(other, revision);
+    if (is_backed_off(key, now)) continue;
+    builder.add_precondition(key, revision_of(key).value_or(0));
+    for (const auto& [other, revision] : record.preconditions)
+      builder.add_precondition(other, revision);
     builder.write(key, record.value);
     builder.batch.record_writes.push_back(record);
   }
@@ -216,7 +222,7 @@
 }
 
 // Notes that were to be written only while the key stood as it was. Whether there were any.
-bool TransactionBuilder::drop_conditional_on(const std::string& key) {
+bool TransactionBuilder::drop_writes_conditional_on(const std::string& key) {
   return std::erase_if(pending_writes_, [&](const auto& entry) {
            const auto& given = entry.second.preconditions;
            return std::any_of(given.begin(), given.end(),
@@ -224,7 +230,7 @@
          }) > 0;
 }
 
-bool TransactionBuilder::backs_off(const std::string& key, double now) const {
+bool TransactionBuilder::is_backed_off(const std::string& key, double now) const {
   const auto at = backed_off_until_.find(key);
   return at != backed_off_until_.end() && now < at->second;
 }
@@ -233,17 +239,17 @@
   std::erase_if(backed_off_until_, [&](const auto& entry) { return now >= entry.second; });
   for (const kv::Write& write : batch.transaction.writes) {
     spdlog::error("record {} is refused", write.key);
-    backed_off_until_[write.key] = now + kBackOffFor_s;
+    backed_off_until_[write.key] = now + kBackOffDuration_s;
   }
 }
 
 BatchOutcome TransactionBuilder::apply_result(Cluster& cluster, const TransactionBatch& batch,
-                                              const kv::CommitResult& committed, double now) {
-  switch (committed.outcome) {
+                                              const kv::CommitResult& result, double now) {
+  switch (result.outcome) {
     case Outcome::ok:
-      apply_written_task_ranges(cluster, batch, committed.store_revision);
-      apply_status_counts(cluster, batch, committed.store_revision);
-      apply_record_writes(batch, committed.store_revision);
+      apply_written_task_ranges(cluster, batch, result.store_revision);
+      apply_status_counts(cluster, batch, result.store_revision);
+      apply_record_writes(batch, result.store_revision);
       remove_ended_jobs(cluster, batch, now);
       return BatchOutcome::applied;
     case Outcome::refused:
@@ -251,7 +257,7 @@
     case Outcome::malformed:
       return BatchOutcome::too_large;
     case Outcome::conflict:
-      return on_conflict(committed.failed_keys, now);
+      return on_conflict(result.failed_keys, now);
     default:
       return BatchOutcome::uncertain;
   }
@@ -264,23 +270,23 @@
   bool is_explained = !failed_keys.empty();
   for (const std::string& key : failed_keys) {
     if (key == kLeaderKey) return BatchOutcome::deposed;
-    const bool was_precondition = drop_conditional_on(key);
+    const bool was_precondition = drop_writes_conditional_on(key);
     is_explained = is_explained && (was_precondition || key.starts_with("job/"));
   }
-  not_before_ = now + kAfterConflict_s;
+  next_batch_at_ = now + kConflictDelay_s;
   return is_explained ? BatchOutcome::retry : BatchOutcome::uncertain;
 }
 
 void TransactionBuilder::apply_written_task_ranges(Cluster& cluster, const TransactionBatch& batch,
                                                    std::uint64_t store_revision) {
   for (const TransactionBatch::WrittenTaskRange& written : batch.task_ranges) {
-    Job* job = cluster.job(written.job);
+    Job* job = cluster.find_job(written.job);
     if (job == nullptr) continue;
     placement::TaskRange& range = job->task_ranges[written.ref.range];
     range.revision = store_revision;
-    range.stored = written.changed;
-    if (range.changed == range.stored) {
-      cluster.dirty.erase({cluster.job_index[written.job], written.ref.range});
+    range.stored_version = written.change_count;
+    if (range.version == range.stored_version) {
+      cluster.dirty_task_ranges.erase({cluster.job_index[written.job], written.ref.range});
     }
     for (const jobs::Placement& placement : written.placements) {
       const auto at = job->attempts.find(placement.task);
@@ -295,7 +301,7 @@
 void TransactionBuilder::apply_status_counts(Cluster& cluster, const TransactionBatch& batch,
                                              std::uint64_t store_revision) {
   for (const TransactionBatch::StatusCounts& written : batch.status_counts) {
-    Job* job = cluster.job(written.job);
+    Job* job = cluster.find_job(written.job);
     if (job == nullptr) continue;
     job->revision = std::max(job->revision, store_revision);
     job->reported_done = written.done;
@@ -318,7 +324,7 @@
   }
   for (const auto& [key, revision] : batch.deferred_removals) {
     revisions_[key] = revision;
-    write({key, std::nullopt});
+    queue_write({key, std::nullopt});
   }
 }
 
--- a/src/controller/transaction_builder.h
+++ b/src/controller/transaction_builder.h
@@ -29,7 +29,7 @@
   struct WrittenTaskRange {
     TaskRangeRef ref;
     std::string job;
-    std::uint32_t changed = 0;
+    std::uint32_t change_count = 0;
     std::vector<jobs::Placement> placements;
   };
   struct StatusCounts {
@@ -53,12 +53,12 @@
  public:
   // What the key-value store held of notes and strays when the leader took over.
   void note_stored(const std::string& key, std::uint64_t revision) { revisions_[key] = revision; }
-  void write(RecordWrite record);
+  void queue_write(RecordWrite record);
   // What is yet to be written takes the form of the level: records that it no longer has go.
   void set_schema_level(std::uint32_t level);
   bool is_stored(const std::string& key) const;
   std::optional<std::uint64_t> revision_of(const std::string& key) const;
-  bool is_pending(const std::string& key) const { return pending_writes_.contains(key); }
+  bool is_write_pending(const std::string& key) const { return pending_writes_.contains(key); }
 
   // The next batch of at most `most` writes, if anything has changed. `spare` is false while writes
   // are scarce: counts for display then wait.
@@ -67,15 +67,15 @@
   // Leaves the records of a refused batch alone for a while, so that the others are not held up.
   void back_off(const TransactionBatch& batch, double now);
   BatchOutcome apply_result(Cluster& cluster, const TransactionBatch& batch,
-                            const kv::CommitResult& committed, double now);
+                            const kv::CommitResult& result, double now);
 
  private:
-  struct Builder;
+  struct BatchBuilder;
 
-  void add_job_end(Cluster& cluster, Index job, Builder& builder);
-  void add_task_range(Cluster& cluster, const TaskRangeRef& ref, double now, Builder& builder);
-  bool drop_conditional_on(const std::string& key);
-  bool backs_off(const std::string& key, double now) const;
+  void add_job_end(Cluster& cluster, Index job, BatchBuilder& builder);
+  void add_task_range(Cluster& cluster, const TaskRangeRef& ref, double now, BatchBuilder& builder);
+  bool drop_writes_conditional_on(const std::string& key);
+  bool is_backed_off(const std::string& key, double now) const;
   BatchOutcome on_conflict(const std::vector<std::string>& failed_keys, double now);
   void apply_written_task_ranges(Cluster& cluster, const TransactionBatch& batch,
                                  std::uint64_t store_revision);
@@ -83,12 +83,12 @@
                            std::uint64_t store_revision);
   void apply_record_writes(const TransactionBatch& batch, std::uint64_t store_revision);
   void remove_ended_jobs(Cluster& cluster, const TransactionBatch& batch, double now);
-  void add_status_counts(Cluster& cluster, double now, Builder& builder);
+  void add_status_counts(Cluster& cluster, double now, BatchBuilder& builder);
 
   std::map<std::string, std::uint64_t> revisions_;
   std::map<std::string, RecordWrite> pending_writes_;
   std::map<std::string, double> backed_off_until_;  // until when
-  double not_before_ = 0;
+  double next_batch_at_ = 0;
 };
 
 }  // namespace reachramp::controller
--- a/src/controller/transaction_sender.h
+++ b/src/controller/transaction_sender.h
@@ -10,7 +10,7 @@
 namespace reachramp::controller {
 
 // A transaction of the leader with that token.
-struct SendTransaction {
+struct TransactionRequest {
   std::uint64_t fencing_token = 0;
   kv::Transaction transaction;
 };
@@ -22,7 +22,7 @@
       : election_(election), store_(store), events_(events) {}
 
   // Queues a transaction. For any thread. Dropped unsent once its leader's time is over.
-  void push(SendTransaction request) { requests_.push(std::move(request)); }
+  void push(TransactionRequest request) { requests_.push(std::move(request)); }
   // Sends one after another and reports each outcome, whatever it is, as an event; for a thread of
   // its own.
   [[noreturn]] void run();
@@ -31,7 +31,7 @@
   leadership::LeaderElection& election_;
   kv::Client& store_;
   EventQueue& events_;
-  Queue<SendTransaction> requests_;
+  Queue<TransactionRequest> requests_;
 };
 
 }  // namespace reachramp::controller
--- a/src/controller/write_budget.h
+++ b/src/controller/write_budget.h
@@ -11,14 +11,14 @@
 
 class WriteBudget {
  public:
-  WriteBudget(const settings::StateLimits& limits, const settings::StateLimits& announced);
+  WriteBudget(const settings::StoreLimits& limits, const settings::StoreLimits& announced);
 
   void consume(std::size_t writes, double now) { bucket_.take(static_cast<double>(writes), now); }
   int available(double now) { return static_cast<int>(bucket_.available(now)); }
   // Enough is left for records that nothing depends on.
-  bool is_ample(double now);
+  bool allows_optional_writes(double now);
   // So many transactions were refused for their rate.
-  void note_throttled(int times, double now);
+  void note_throttled(int count, double now);
 
  private:
   double write_rps_;
--- a/src/drains/rules_test.cpp
+++ b/src/drains/drain_policy_test.cpp
@@ -1,4 +1,4 @@
-#include "drains/rules.h"
+#include "drains/drain_policy.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -12,8 +12,8 @@
   return p;
 }
 
-Rules read(const std::string& text) {
-  return read_rules(settings::parse_tree(text, "p.sexp"), platform(), "p.sexp");
+DrainPolicy read(const std::string& text) {
+  return parse_drain_policy(settings::parse_s_expression(text, "p.sexp"), platform(), "p.sexp");
 }
 
 std::string complaint(const std::string& text) {
@@ -26,7 +26,7 @@
 }
 
 TEST(Rules, DefaultsAndValues) {
-  const Rules rules = read(R"((drains (serial 7)
+  const DrainPolicy rules = read(R"((drains (serial 7)
     (budget (down 0.2) (stops-a-job 1))
     (budget (team red) (down 0))
     (machines (names n-1 n-2))
@@ -35,17 +35,17 @@
     (replace (before 6))
     (steps (first 2) (most 0.25) (surge no))))");
   EXPECT_EQ(rules.serial, 7u);
-  EXPECT_EQ(rules.budget_of("blue").down, 0.2);
-  EXPECT_EQ(rules.budget_of("red").down, 0);
-  EXPECT_EQ(rules.budget_of("red").stops_a_job, 1u) << "what it does not say is as for all";
-  ASSERT_EQ(rules.entries.size(), 4u);
-  EXPECT_FALSE(rules.entries[0].in_steps);
-  EXPECT_TRUE(rules.entries[1].match.is_of_pools());
-  EXPECT_EQ(rules.entries[2].match.older_than_s, 3600);
-  EXPECT_EQ(rules.entries[3].match.before, 6u);
-  EXPECT_EQ(rules.steps.first, 2u);
-  EXPECT_FALSE(rules.steps.surge);
-  EXPECT_EQ(read("(drains (serial 1))").budget, Budget{});
+  EXPECT_EQ(rules.budget_of("blue").max_down_share, 0.2);
+  EXPECT_EQ(rules.budget_of("red").max_down_share, 0);
+  EXPECT_EQ(rules.budget_of("red").max_stops_per_job, 1u) << "what it does not say is as for all";
+  ASSERT_EQ(rules.rules.size(), 4u);
+  EXPECT_FALSE(rules.rules[0].is_rolling);
+  EXPECT_TRUE(rules.rules[1].selector.selects_whole_pools());
+  EXPECT_EQ(rules.rules[2].selector.older_than_s, 3600);
+  EXPECT_EQ(rules.rules[3].selector.rented_before_serial, 6u);
+  EXPECT_EQ(rules.rollout.first_step_size, 2u);
+  EXPECT_FALSE(rules.rollout.surge);
+  EXPECT_EQ(read("(drains (serial 1))").default_budget, DisruptionBudget{});
 }
 
 TEST(Rules, WhatIsWrongIsNamedByLineFieldAndReason) {
@@ -74,8 +74,8 @@
     EXPECT_EQ(found.find("p.sexp: line "), 0u) << text << ": " << found;
     EXPECT_NE(found.find(said), std::string::npos) << text << ": " << found;
   }
-  EXPECT_EQ(check_names(read("(drains (serial 1) (machines (type g9)) (machines (zone a)))"),
-                        {"g8"}, {"a"}),
+  EXPECT_EQ(find_unknown_names(read("(drains (serial 1) (machines (type g9)) (machines (zone a)))"),
+                               {"g8"}, {"a"}),
             std::vector<std::string>{"(machines (type g9)): no such type"});
 }
 
@@ -89,34 +89,34 @@
     text += std::string(kWords[i]) + " ";
   }
   try {
-    const Rules rules = read(text + ")");
+    const DrainPolicy rules = read(text + ")");
     RC_ASSERT(rules.serial > 0);
   } catch (const settings::BadSettings&) {
   }
 }
 
 TEST(Accepted, TheNewestSerialStandsAndEarlierOnesKeepTheirRevisions) {
-  const auto first = accept(std::nullopt, 0, 3, "(drains (serial 3))");
+  const auto first = next_accepted_policy(std::nullopt, 0, 3, "(drains (serial 3))");
   ASSERT_TRUE(first);
-  EXPECT_TRUE(first->revisions.empty());
-  EXPECT_FALSE(accept(first, 40, 3, "(drains (serial 3) (soon-s 1))"))
+  EXPECT_TRUE(first->earlier_revisions.empty());
+  EXPECT_FALSE(next_accepted_policy(first, 40, 3, "(drains (serial 3) (soon-s 1))"))
       << "not under the same number";
-  EXPECT_FALSE(accept(first, 40, 2, "(drains (serial 2))"));
-  auto next = accept(first, 40, 5, "(drains (serial 5))");
+  EXPECT_FALSE(next_accepted_policy(first, 40, 2, "(drains (serial 2))"));
+  auto next = next_accepted_policy(first, 40, 5, "(drains (serial 5))");
   ASSERT_TRUE(next);
-  EXPECT_EQ(next->revisions.at(3), 40u);
-  next = decode_accepted(encode_accepted(*next));
+  EXPECT_EQ(next->earlier_revisions.at(3), 40u);
+  next = decode_accepted_policy(encode_accepted_policy(*next));
   EXPECT_EQ(next->serial, 5u);
   EXPECT_EQ(next->text, "(drains (serial 5))");
   for (std::uint64_t serial = 6; serial < 60; ++serial) {
-    next = accept(next, serial * 10, serial, "(drains)");
+    next = next_accepted_policy(next, serial * 10, serial, "(drains)");
   }
-  EXPECT_EQ(next->revisions.size(), 16u);
-  EXPECT_EQ(next->revisions.rbegin()->first, 58u);
+  EXPECT_EQ(next->earlier_revisions.size(), 16u);
+  EXPECT_EQ(next->earlier_revisions.rbegin()->first, 58u);
   for (const wire::Json& bad : {wire::Json("x"), wire::Json::object(), wire::Json{{"serial", -1}},
                                 wire::Json{{"serial", 1}, {"text", "x"}, {"stamps", {{1, "x"}}}},
                                 wire::Json{{"serial", 1}, {"text", "x"}, {"stamps", {1}}}}) {
-    EXPECT_THROW(decode_accepted(bad), wire::BadMessage) << bad.dump();
+    EXPECT_THROW(decode_accepted_policy(bad), wire::BadMessage) << bad.dump();
   }
 }
 
--- a/src/drains/drains_bytes_test.cpp
+++ b/src/drains/drains_bytes_test.cpp
@@ -17,18 +17,18 @@
       R"({"teams":[{"name":"blue","core_s":7200.0,"stops":5},{"name":"red","core_s":0.0,"stops":1}],
           "jobs":[{"name":"j-2","stops":3},{"name":"j-1","stops":1}]})";
   const settings::Platform settings = platform();
-  Cluster cluster(settings, 1, jobs::Format::compact);
+  Cluster cluster(settings, 1, jobs::TaskRecordFormat::compact);
   for (const char* id : {"j-1", "j-2"}) {
     jobs::Header header;
     header.spec.id = id;
     header.spec.team = "red";
     cluster.add_job(header, 1, 0);
   }
-  Budgets budgets;
+  BudgetTracker budgets;
   budgets.restore(test::received(kRecord), 10);
   EXPECT_EQ(budgets.lost_core_s({}, "blue", 10), 7200);
-  EXPECT_EQ(budgets.stopped("blue"), 5u);
-  EXPECT_EQ(budgets.stopped("red"), 1u);
+  EXPECT_EQ(budgets.stopped_tasks("blue"), 5u);
+  EXPECT_EQ(budgets.stopped_tasks("red"), 1u);
   EXPECT_TRUE(test::is_written_as(budgets.encode({}, cluster, 10), kRecord));
 }
 
@@ -40,7 +40,7 @@
           "lines":[{"name":"ordinary large","size":8,"halts":0},
                    {"name":"spot small","size":4,"halts":1}]})";
   const settings::Platform settings = platform();
-  Cluster cluster(settings, 1, jobs::Format::compact);
+  Cluster cluster(settings, 1, jobs::TaskRecordFormat::compact);
   cluster.set_catalog({{"large", 8, 0, 32, 50, 1, 0.4, 0.1, 20, {"a"}},
                        {"small", 8, 0, 32, 50, 1, 0.4, 0.1, 20, {"a"}}});
   for (int i = 0; i < 20; ++i) {
@@ -48,9 +48,10 @@
     cluster.hosts[host]->rented_at = -1000;
   }
   Drains drains;
-  drains.rule(
-      read_rules(settings::parse_tree("(drains (serial 1) (replace (older-than-s 100)))", "p"),
-                 settings, "p"),
+  drains.apply_policy(
+      parse_drain_policy(
+          settings::parse_s_expression("(drains (serial 1) (replace (older-than-s 100)))", "p"),
+          settings, "p"),
       {}, 100);
   drains.restore(test::received(kRecord), 100);
   EXPECT_TRUE(test::is_written_as(
@@ -59,7 +60,7 @@
   drains.advance(cluster,
                  {false, [](const Pool&) { return false; }, [](const Pool&) { return 1.0; }}, 100);
   EXPECT_TRUE(test::is_written_as(drains.encode(cluster, 100), kRecord));
-  EXPECT_STREQ(kUsedKey, "drains/used");
+  EXPECT_STREQ(kUsageKey, "drains/used");
 }
 
 }  // namespace
--- a/src/drains/drains_test.cpp
+++ b/src/drains/drains_test.cpp
@@ -21,20 +21,20 @@
 settings::Platform make_platform() {
   settings::Platform p;
   p.teams = {{"red", 40, 0, 0, 0}, {"blue", 0, 400, 0, 0}, {"grey", 0, 0, 0, 0}};
-  p.workers = {5, 25, 30, 5, 45};
-  p.state_limits = {1000, 1000, 8, 8};
-  p.state_next = p.state_limits;
+  p.worker_timings = {5, 25, 30, 5, 45};
+  p.store_limits = {1000, 1000, 8, 8};
+  p.upcoming_store_limits = p.store_limits;
   return p;
 }
 
-Rules rules_of(const std::string& text) {
-  return read_rules(settings::parse_tree(text, "p"), make_platform(), "p");
+DrainPolicy rules_of(const std::string& text) {
+  return parse_drain_policy(settings::parse_s_expression(text, "p"), make_platform(), "p");
 }
 
 class World {
  public:
   World(std::uint64_t seed, int machines, double deaths)
-      : random_(seed), deaths_(deaths), cluster_(platform_, 1, jobs::Format::compact) {
+      : random_(seed), deaths_(deaths), cluster_(platform_, 1, jobs::TaskRecordFormat::compact) {
     cluster_.set_catalog({{"small", 8, 0, 32, 50, 1, 0.4, 0.1, 20, {"a", "b"}},
                           {"large", 32, 0, 128, 50, 1, 1.6, 0.4, 20, {"a", "b"}}});
     for (int i = 0; i < machines; ++i) {
@@ -45,19 +45,19 @@
 
   void rule(const std::string& text) {
     text_ = text;
-    drains_.rule(rules_of(text), {{1, -100}, {2, 0}}, now_);
+    drains_.apply_policy(rules_of(text), {{1, -100}, {2, 0}}, now_);
   }
   // A leader that knows what the records tell.
   void change_leader() {
     const wire::Json record = drains_.encode(cluster_, now_);
     drains_ = {};
     drains_.restore(wire::Json::from_msgpack(wire::Json::to_msgpack(record)), now_);
-    drains_.rule(rules_of(text_), {{1, -100}, {2, 0}}, now_);
+    drains_.apply_policy(rules_of(text_), {{1, -100}, {2, 0}}, now_);
     for (const auto& host : cluster_.hosts) {
       if (!host) continue;
       // Places that were kept are kept no more.
-      while (host->reserved > 0) {
-        --host->reserved;
+      while (host->reserved_tasks > 0) {
+        --host->reserved_tasks;
         host->free = {};
       }
       host->cordoned = host->to_be_replaced = false;
@@ -80,11 +80,11 @@
     header.spec.cpus = cpus;
     header.spec.ram_gb = 1;
     header.spec.image = "img";
-    header.spec.spot = true;
-    header.spec.one_zone = shape == jobs::Shape::gang;
-    header.spec.estimate_s = shape == jobs::Shape::service ? 0 : runs_s;
-    header.spec.checkpoint_s = saves_every;
-    header.spec.save_s = saves_every > 0 ? 2 : 0;
+    header.spec.allow_spot = true;
+    header.spec.single_zone = shape == jobs::Shape::gang;
+    header.spec.estimated_duration_s = shape == jobs::Shape::service ? 0 : runs_s;
+    header.spec.checkpoint_interval_s = saves_every;
+    header.spec.checkpoint_duration_s = saves_every > 0 ? 2 : 0;
     const Index job = cluster_.add_job(header, submitted_, now_);
     runs_[header.spec.id] = runs_s;
     return job;
@@ -109,7 +109,7 @@
     return static_cast<std::size_t>(std::count_if(
         cluster_.jobs[job]->attempts.begin(), cluster_.jobs[job]->attempts.end(),
         [](const auto& one) {
-          return one.second.observed == ObservedState::running && !one.second.stopping;
+          return one.second.observed_state == ObservedState::running && !one.second.stopping;
         }));
   }
   // Tasks told to stop by choice so far, by job.
@@ -128,7 +128,7 @@
  private:
   void rent(const std::string& type, const std::string& zone, bool spot, double at) {
     const Index index = cluster_.add_host("n-" + std::to_string(10000 + made_++), at);
-    cluster_.describe_host(index, type, zone, spot);
+    cluster_.set_host_type(index, type, zone, spot);
     cluster_.hosts[index]->rented_at = at;
   }
 
@@ -146,7 +146,7 @@
         remove(i);
         continue;
       }
-      host->runs = true;
+      host->listed_as_running = true;
       if (host->phase == HostPhase::booting && now_ - host->rented_at >= (sick ? 1e9 : 20)) {
         host->phase = HostPhase::up;
         host->idle_since = now_;
@@ -163,8 +163,8 @@
       for (const auto& [task, attempt] : job->attempts) tasks.push_back(task);
       for (const std::uint32_t task : tasks) work(i, task);
       if (job->spec.shape == jobs::Shape::gang && job->gang_started &&
-          job->attempts.size() < job->spec.tasks && !job->complete()) {
-        for (auto& [task, attempt] : job->attempts) cluster_.stop(i, task, 0);
+          job->attempts.size() < job->spec.tasks && !job->is_complete()) {
+        for (auto& [task, attempt] : job->attempts) cluster_.request_stop(i, task, 0);
       }
     }
   }
@@ -175,7 +175,7 @@
     Attempt& attempt = job.attempts.at(task);
     if (!attempt.start_sent) {
       attempt.start_sent = attempt.persisted = true;
-      attempt.observed = ObservedState::fetching;
+      attempt.observed_state = ObservedState::fetching;
       return;
     }
     if (attempt.stopping) {
@@ -184,9 +184,9 @@
       if (now_ >= at->second) cluster_.end_attempt(index, task, now_);
       return;
     }
-    if (attempt.observed == ObservedState::fetching) {
-      attempt.observed = ObservedState::running;
-      cluster_.note_running(job, task, now_);
+    if (attempt.observed_state == ObservedState::fetching) {
+      attempt.observed_state = ObservedState::running;
+      cluster_.mark_running(job, task, now_);
       job.gang_started = true;
       return;
     }
@@ -201,22 +201,24 @@
   }
 
   // What the team has of work that runs, and that is down.
-  DisruptionCounts toll_of(Index team) const { return Budgets().tolls(cluster_)[team]; }
+  DisruptedCores toll_of(Index team) const {
+    return BudgetTracker().disruption_by_team(cluster_)[team];
+  }
 
   void step() {
     live();
-    std::vector<DisruptionCounts> before = Budgets().tolls(cluster_);
+    std::vector<DisruptedCores> before = BudgetTracker().disruption_by_team(cluster_);
     std::map<std::string, std::size_t> stopping = stopping_by_choice();
-    const Conditions conditions{rolling, [&](const Pool&) { return refused; },
-                                [](const Pool&) { return 1.0; }};
-    drains_.settle(cluster_, now_);
+    const FleetConditions conditions{rolling, [&](const Pool&) { return refused; },
+                                     [](const Pool&) { return 1.0; }};
+    drains_.advance_moves(cluster_, now_);
     const DrainActions wishes = drains_.advance(cluster_, conditions, now_);
     check_budgets(before, stopping);
-    for (const Index index : wishes.scale_in) remove(index);
+    for (const Index index : wishes.hosts_to_return) remove(index);
     int going = 0;
     for (const auto& host : cluster_.hosts) going += host && host->cordoned ? 1 : 0;
     largest_step = std::max(largest_step, going);
-    drains_.settle(cluster_, now_);
+    drains_.advance_moves(cluster_, now_);
     placement::plan(cluster_, now_);
     for (const auto& job : cluster_.jobs) {
       if (!job) continue;
@@ -251,24 +253,25 @@
 
   // Told apart from how they are decided: after a pass that stopped something of a team, no more of
   // it is down than its budget, or it is one task or gang alone.
-  void check_budgets(const std::vector<DisruptionCounts>& before,
+  void check_budgets(const std::vector<DisruptedCores>& before,
                      const std::map<std::string, std::size_t>& stopping) {
-    const Rules rules = rules_of(text_);
-    const std::vector<DisruptionCounts> after = Budgets().tolls(cluster_);
+    const DrainPolicy rules = rules_of(text_);
+    const std::vector<DisruptedCores> after = BudgetTracker().disruption_by_team(cluster_);
     for (const auto& [id, count] : stopping_by_choice()) {
       const auto at = stopping.find(id);
       const std::size_t fresh = count - (at == stopping.end() ? 0 : at->second);
       if (fresh == 0) continue;
       stops[id] += static_cast<int>(fresh);
-      const placement::Job& job = *cluster_.job(id);
-      const Budget& budget = rules.budget_of(job.spec.team);
-      const DisruptionCounts& was = before[job.team];
-      const DisruptionCounts& is = after[job.team];
-      const double all = is.running + is.voluntary + is.forced;
+      const placement::Job& job = *cluster_.find_job(id);
+      const DisruptionBudget& budget = rules.budget_of(job.spec.team);
+      const DisruptedCores& was = before[job.team];
+      const DisruptedCores& is = after[job.team];
+      const double all = is.running + is.voluntary + is.involuntary;
       const bool alone =
-          was.voluntary + was.forced < 1e-6 &&
+          was.voluntary + was.involuntary < 1e-6 &&
           is.voluntary <= job.resources_per_task.cpus * static_cast<double>(fresh) + 1e-6;
-      if (budget.down <= 0 || (!alone && is.voluntary + is.forced > budget.down * all + 1e-6)) {
+      if (budget.max_down_share <= 0 ||
+          (!alone && is.voluntary + is.involuntary > budget.max_down_share * all + 1e-6)) {
         broken.push_back("over the budget of " + job.spec.team + " at " + std::to_string(now_));
       }
     }
@@ -461,21 +464,22 @@
   const Index job = world.submit("grey", jobs::Shape::gang, 1, 6, 1e9, 15);
   world.rule("(drains (serial 1))");
   world.run(10);
-  const Rules rules =
+  const DrainPolicy rules =
       rules_of("(drains (serial 1) (budget (lost-core-s-an-hour 3600) (stops-a-job 1)))");
-  Budgets budgets;
-  std::vector<DisruptionCounts> tolls = budgets.tolls(world.cluster());
-  Stop stop = stop_of(world.cluster(), job, {0}, true, 20);
+  BudgetTracker budgets;
+  std::vector<DisruptedCores> tolls = budgets.disruption_by_team(world.cluster());
+  PlannedStop stop = estimate_stop(world.cluster(), job, {0}, true, 20);
   stop.lost_core_s = 1800;
-  EXPECT_EQ(budgets.judge(rules, world.cluster(), tolls, {stop}, 20), BudgetRejection::none);
-  budgets.note(rules, world.cluster(), tolls, stop, 20);
+  EXPECT_EQ(budgets.check(rules, world.cluster(), tolls, {stop}, 20), BudgetRejection::none);
+  budgets.charge(rules, world.cluster(), tolls, stop, 20);
   EXPECT_EQ(budgets.lost_core_s(rules, "grey", 20), 1800);
   EXPECT_EQ(budgets.lost_core_s(rules, "grey", 20 + 900), 900) << "forgiven evenly";
-  Budgets later;
+  BudgetTracker later;
   later.restore(budgets.encode(rules, world.cluster(), 20 + 900), 5);
   EXPECT_EQ(later.lost_core_s(rules, "grey", 5), 900);
-  EXPECT_EQ(later.judge(rules, world.cluster(), later.tolls(world.cluster()), {stop}, 5),
-            BudgetRejection::stops);
+  EXPECT_EQ(
+      later.check(rules, world.cluster(), later.disruption_by_team(world.cluster()), {stop}, 5),
+      BudgetRejection::too_many_stops);
   for (const wire::Json& bad :
        {wire::Json(1), wire::Json::object(), wire::Json{{"teams", {{{"name", 1}}}}, {"jobs", 1}},
         wire::Json{{"teams", wire::Json::array()}, {"jobs", {{{"name", "j"}, {"stops", -1}}}}}}) {
--- a/src/jobs/job_reader.cpp
+++ b/src/jobs/job_reader.cpp
@@ -14,22 +14,23 @@
 using kv::Outcome;
 using kv::steady_now;
 
-constexpr double kPatience_s = 1.2;  // users wait 2 s
-constexpr int kMostWorking = 3;      // requests at once
-constexpr std::size_t kMostKnown = 2000;
-constexpr double kLeastRate = 4;
+constexpr double kBatchedReadTimeout_s = 1.2;  // users wait 2 s
+constexpr int kMaxConcurrentRequests = 3;      // requests at once
+constexpr std::size_t kMaxCachedJobs = 2000;
+constexpr double kMinRate_rps = 4;
 
 }  // namespace
 
-JobReader::JobReader(kv::Client& state, double rps, std::size_t conditions, bool cancelled_is_final)
-    : state_(state),
-      most_(std::max<std::size_t>(1, conditions)),
+JobReader::JobReader(kv::Client& store, double rps, std::size_t max_preconditions,
+                     bool cancelled_is_final)
+    : store_(store),
+      max_batch_size_(std::max<std::size_t>(1, max_preconditions)),
       cancelled_is_final_(cancelled_is_final),
-      bucket_(std::max(rps, kLeastRate), std::max(rps, kLeastRate)) {}
+      token_bucket_(std::max(rps, kMinRate_rps), std::max(rps, kMinRate_rps)) {}
 
 bool JobReader::is_final(const Lookup& lookup) const {
-  return lookup.presence == JobState::ended ||
-         (cancelled_is_final_ && lookup.presence == JobState::live && lookup.header.cancelled);
+  return lookup.state == JobState::ended ||
+         (cancelled_is_final_ && lookup.state == JobState::live && lookup.header.cancelled);
 }
 
 // A job moves once, from job/ to end/, in one transaction. Reading in that order, "absent" twice
@@ -37,193 +38,199 @@
 Lookup JobReader::read(const std::string& id) {
   Lookup lookup;
   try {
-    const kv::ReadResult live = state_.get(job_key(id));
-    if (live.outcome == Outcome::ok) {
-      lookup.header = decode_header(live.entry.value);
-      lookup.revision = live.entry.revision;
-      lookup.presence = JobState::live;
-    } else if (live.outcome == Outcome::absent) {
-      const kv::ReadResult ended = state_.get(end_key(id));
-      if (ended.outcome == Outcome::ok) {
-        lookup.ending = decode_ending(ended.entry.value);
-        lookup.presence = JobState::ended;
-      } else if (ended.outcome == Outcome::absent) {
-        lookup.presence = JobState::absent;
+    const kv::ReadResult header_read = store_.get(job_key(id));
+    if (header_read.outcome == Outcome::ok) {
+      lookup.header = decode_header(header_read.entry.value);
+      lookup.header_revision = header_read.entry.revision;
+      lookup.state = JobState::live;
+    } else if (header_read.outcome == Outcome::absent) {
+      const kv::ReadResult end_read = store_.get(end_key(id));
+      if (end_read.outcome == Outcome::ok) {
+        lookup.final_state = decode_final_state(end_read.entry.value);
+        lookup.state = JobState::ended;
+      } else if (end_read.outcome == Outcome::absent) {
+        lookup.state = JobState::absent;
       }
     }
   } catch (const std::exception& error) {
     spdlog::error("record of {}: {}", id, error.what());
-    lookup.presence = JobState::unsure;
+    lookup.state = JobState::undetermined;
   }
-  keep(id, lookup);
+  cache(id, lookup);
   return lookup;
 }
 
-void JobReader::remember(const std::string& id, const Header& header, std::uint64_t revision) {
+void JobReader::cache_header(const std::string& id, const Header& header, std::uint64_t revision) {
   Lookup lookup;
-  lookup.presence = JobState::live;
+  lookup.state = JobState::live;
   lookup.header = header;
-  lookup.revision = revision;
-  keep(id, lookup);
+  lookup.header_revision = revision;
+  cache(id, lookup);
 }
 
-void JobReader::keep(const std::string& id, const Lookup& lookup) {
-  if (lookup.presence != JobState::live && lookup.presence != JobState::ended) return;
+void JobReader::cache(const std::string& id, const Lookup& lookup) {
+  if (lookup.state != JobState::live && lookup.state != JobState::ended) return;
   std::lock_guard lock(mutex_);
-  const auto [at, fresh] = known_.try_emplace(id, Known{lookup});
+  const auto [at, fresh] = cache_.try_emplace(id, CachedLookup{lookup});
   if (!fresh) {
-    Known& known = at->second;
+    CachedLookup& known = at->second;
     // Reads overtake each other; what is final stays.
     if (is_final(known.lookup)) return;
-    if (lookup.presence == JobState::ended || lookup.revision >= known.lookup.revision) {
+    if (lookup.state == JobState::ended || lookup.header_revision >= known.lookup.header_revision) {
       known = {lookup};
     }
     return;
   }
-  known_order_.push_back(id);
-  if (known_order_.size() <= kMostKnown) return;
-  known_.erase(known_order_.front());
-  known_order_.pop_front();
+  cache_order_.push_back(id);
+  if (cache_order_.size() <= kMaxCachedJobs) return;
+  cache_.erase(cache_order_.front());
+  cache_order_.pop_front();
 }
 
-Lookup JobReader::ask(const std::string& id) {
+Lookup JobReader::read_batched(const std::string& id) {
   const double asked_at = steady_now();
-  const double until = asked_at + kPatience_s;
+  const double deadline = asked_at + kBatchedReadTimeout_s;
   std::unique_lock lock(mutex_);
-  log_.advance(asked_at);
-  const auto final_answer = known_.find(id);
-  if (final_answer != known_.end() && is_final(final_answer->second.lookup)) {
-    log_.note_answered(id);
-    ++log_.counts.asked;
-    ++log_.counts.final_known;
+  query_log_.log_if_due(asked_at);
+  const auto final_answer = cache_.find(id);
+  if (final_answer != cache_.end() && is_final(final_answer->second.lookup)) {
+    query_log_.record_answered(id);
+    ++query_log_.counts.received;
+    ++query_log_.counts.answered_from_cache;
     return final_answer->second.lookup;
   }
-  log_.note_asked(id, asked_at);
-  const Asked question = queue_.join(id, log_.unanswered_since(id, asked_at));
-  while (!question->answered) {
+  query_log_.record_query(id, asked_at);
+  const QueryPtr query = queue_.join(id, query_log_.unanswered_since(id, asked_at));
+  while (!query->completed) {
     const double now = steady_now();
-    if (now >= until) {
-      queue_.leave(question);
-      log_.note_no_answer(NoAnswer::not_in_time);
-      wake_first();
+    if (now >= deadline) {
+      queue_.leave(query);
+      query_log_.record_unanswered(UnansweredReason::timed_out);
+      wake_front();
       return {};
     }
-    double wait = until - now;
-    if (!queue_.empty() && working_ < kMostWorking) {
-      const double token = bucket_.take(1, now);
-      if (token <= 0) {
-        ++working_;
-        const std::vector<Asked> batch = take();
+    double wait = deadline - now;
+    if (!queue_.empty() && active_requests_ < kMaxConcurrentRequests) {
+      const double token_wait_s = token_bucket_.take(1, now);
+      if (token_wait_s <= 0) {
+        ++active_requests_;
+        const std::vector<QueryPtr> batch = take_batch();
         lock.unlock();
-        work_on(batch);
+        execute_batch(batch);
         lock.lock();
-        --working_;
-        wake_first();
+        --active_requests_;
+        wake_front();
         continue;
       }
       // Whoever is first in line takes the others along.
-      if (question == queue_.front()) wait = std::min(wait, token);
+      if (query == queue_.front()) wait = std::min(wait, token_wait_s);
     }
-    question->changed.wait_for(lock, std::chrono::duration<double>(wait));
+    query->changed.wait_for(lock, std::chrono::duration<double>(wait));
   }
-  return question->answer;
+  return query->result;
 }
 
-void JobReader::wake_first() {
+void JobReader::wake_front() {
   if (!queue_.empty()) queue_.front()->changed.notify_all();
 }
 
-bool JobReader::can_be_compared(const Question& question) const {
-  const auto at = known_.find(question.id);
-  return at != known_.end() && at->second.lookup.presence == JobState::live && !at->second.differs;
+bool JobReader::can_be_compared(const StatusQuery& query) const {
+  const auto at = cache_.find(query.id);
+  return at != cache_.end() && at->second.lookup.state == JobState::live &&
+         !at->second.changed_in_store;
 }
 
-std::vector<JobReader::Asked> JobReader::take() {
+std::vector<JobReader::QueryPtr> JobReader::take_batch() {
   if (!can_be_compared(*queue_.front())) return {queue_.take_front()};
-  return queue_.take(most_, [this](const Question& question) { return can_be_compared(question); });
+  return queue_.take(max_batch_size_,
+                     [this](const StatusQuery& question) { return can_be_compared(question); });
 }
 
-void JobReader::work_on(const std::vector<Asked>& batch) {
+void JobReader::execute_batch(const std::vector<QueryPtr>& batch) {
   if (batch.size() == 1) {
-    read_for(batch.front());
+    answer_by_read(batch.front());
   } else {
-    compare(batch);
+    answer_by_comparison(batch);
   }
 }
 
-void JobReader::read_for(const Asked& question) {
-  Lookup found = read(question->id);
+void JobReader::answer_by_read(const QueryPtr& query) {
+  Lookup found = read(query->id);
   std::lock_guard lock(mutex_);
-  ++log_.counts.reads;
-  if (found.presence == JobState::unsure) {
-    leave_unanswered(*question);
+  ++query_log_.counts.reads;
+  if (found.state == JobState::undetermined) {
+    complete_unanswered(*query);
   } else {
-    answer(*question, std::move(found), &QuestionCounts::read);
+    complete(*query, std::move(found), &StatusQueryCounts::answered_by_read);
   }
 }
 
-void JobReader::compare(const std::vector<Asked>& batch) {
+void JobReader::answer_by_comparison(const std::vector<QueryPtr>& batch) {
   kv::Transaction transaction;
   std::vector<Comparison> comparisons;
   {
     std::lock_guard lock(mutex_);
-    for (const Asked& question : batch) {
-      const auto at = known_.find(question->id);
-      if (at == known_.end()) {
-        queue_.put_back(question);  // forgotten since it was taken
+    for (const QueryPtr& question : batch) {
+      const auto at = cache_.find(question->id);
+      if (at == cache_.end()) {
+        queue_.requeue(question);  // forgotten since it was taken
         continue;
       }
       comparisons.push_back({question, at->second.lookup});
-      transaction.preconditions.emplace_back(job_key(question->id), at->second.lookup.revision);
+      transaction.preconditions.emplace_back(job_key(question->id),
+                                             at->second.lookup.header_revision);
     }
   }
   if (comparisons.empty()) return;
-  const kv::CommitResult compared = state_.commit(transaction);
+  const kv::CommitResult compared = store_.commit(transaction);
   std::lock_guard lock(mutex_);
-  ++log_.counts.comparisons;
+  ++query_log_.counts.comparisons;
   if (compared.outcome == Outcome::conflict && !compared.failed_keys.empty()) {
-    note_differing(comparisons, compared.failed_keys);
+    handle_conflict(comparisons, compared.failed_keys);
     return;
   }
   for (const Comparison& one : comparisons) {
     if (compared.outcome == Outcome::ok) {
-      answer(*one.question, one.held, &QuestionCounts::compared);
+      complete(*one.query, one.cached, &StatusQueryCounts::answered_by_comparison);
     } else {
-      leave_unanswered(*one.question);
+      complete_unanswered(*one.query);
     }
   }
 }
 
 // Those that differ are read next. The store need not name all of them, so the others are compared
 // again. All keep their places in the line.
-void JobReader::note_differing(const std::vector<Comparison>& comparisons,
-                               const std::vector<std::string>& differing_keys) {
-  ++log_.counts.conflicts;
-  log_.counts.differing_named += differing_keys.size();
+void JobReader::handle_conflict(const std::vector<Comparison>& comparisons,
+                                const std::vector<std::string>& conflicting_keys) {
+  ++query_log_.counts.conflicts;
+  query_log_.counts.conflicting_keys += conflicting_keys.size();
   for (const auto& [question, held] : comparisons) {
-    const bool named = std::find(differing_keys.begin(), differing_keys.end(),
-                                 job_key(question->id)) != differing_keys.end();
-    const auto known = known_.find(question->id);
-    if (named && known != known_.end() && known->second.lookup.revision == held.revision) {
-      known->second.differs = true;
+    const bool named = std::find(conflicting_keys.begin(), conflicting_keys.end(),
+                                 job_key(question->id)) != conflicting_keys.end();
+    const auto known = cache_.find(question->id);
+    if (named && known != cache_.end() &&
+        known->second.lookup.header_revision == held.header_revision) {
+      known->second.changed_in_store = true;
     }
-    queue_.put_back(question);
+    queue_.requeue(question);
   }
 }
 
-void JobReader::answer(Question& question, Lookup lookup, std::uint64_t QuestionCounts::*how) {
-  question.answer = std::move(lookup);
-  question.answered = true;
-  question.changed.notify_all();
-  if (question.waiters == 0) return;  // it came too late
-  log_.counts.*how += static_cast<std::uint64_t>(question.waiters);
-  log_.note_answered(question.id);
+void JobReader::complete(StatusQuery& query, Lookup lookup,
+                         std::uint64_t StatusQueryCounts::*counter) {
+  query.result = std::move(lookup);
+  query.completed = true;
+  query.changed.notify_all();
+  if (query.waiters == 0) return;  // it came too late
+  query_log_.counts.*counter += static_cast<std::uint64_t>(query.waiters);
+  query_log_.record_answered(query.id);
 }
 
-void JobReader::leave_unanswered(Question& question) {
-  question.answered = true;
-  question.changed.notify_all();
-  for (int i = 0; i < question.waiters; ++i) log_.note_no_answer(NoAnswer::refused);
+void JobReader::complete_unanswered(StatusQuery& query) {
+  query.completed = true;
+  query.changed.notify_all();
+  for (int i = 0; i < query.waiters; ++i)
+    query_log_.record_unanswered(UnansweredReason::store_unavailable);
 }
 
 }  // namespace reachramp::jobs
--- a/src/jobs/job_reader.h
+++ b/src/jobs/job_reader.h
@@ -13,8 +13,8 @@
 #include <vector>
 
 #include "jobs/lookup.h"
-#include "jobs/question_log.h"
-#include "jobs/question_queue.h"
+#include "jobs/status_query_log.h"
+#include "jobs/status_query_queue.h"
 #include "kv/client.h"
 
 namespace reachramp::jobs {
@@ -24,55 +24,56 @@
   // Questions may take so many requests a second, and a request so many conditions.
   // `cancelled_is_final`: a header that says cancelled is not looked at again; else only the job's
   // end is final.
-  JobReader(kv::Client& state, double rps, std::size_t conditions, bool cancelled_is_final = true);
+  JobReader(kv::Client& store, double rps, std::size_t max_preconditions,
+            bool cancelled_is_final = true);
 
   // Reads now, alone.
   Lookup read(const std::string& id);
   // Shares its read with whoever waits. Within about a second: unsure if there was no chance.
-  Lookup ask(const std::string& id);
+  Lookup read_batched(const std::string& id);
   // The header is stored under the revision: the next question takes a comparison, no read.
-  void remember(const std::string& id, const Header& header, std::uint64_t revision);
+  void cache_header(const std::string& id, const Header& header, std::uint64_t revision);
 
  private:
-  using Asked = QuestionQueue::Shared;
-  struct Known {
+  using QueryPtr = StatusQueryQueue::QueryPtr;
+  struct CachedLookup {
     Lookup lookup;
     // A comparison has told that the header is another by now: only a read helps.
-    bool differs = false;
+    bool changed_in_store = false;
   };
   struct Comparison {
-    Asked question;
-    Lookup held;
+    QueryPtr query;
+    Lookup cached;
   };
 
   // Without a lock: one request, or two, for questions taken from the queue.
-  void work_on(const std::vector<Asked>& batch);
-  void read_for(const Asked& question);
+  void execute_batch(const std::vector<QueryPtr>& batch);
+  void answer_by_read(const QueryPtr& query);
   // Answers all if their headers still stand as they are known.
-  void compare(const std::vector<Asked>& batch);
+  void answer_by_comparison(const std::vector<QueryPtr>& batch);
 
   // Under the lock.
-  std::vector<Asked> take();
-  bool can_be_compared(const Question& question) const;
-  void note_differing(const std::vector<Comparison>& comparisons,
-                      const std::vector<std::string>& differing_keys);
-  void answer(Question& question, Lookup lookup, std::uint64_t QuestionCounts::*how);
-  void leave_unanswered(Question& question);
-  void wake_first();
+  std::vector<QueryPtr> take_batch();
+  bool can_be_compared(const StatusQuery& query) const;
+  void handle_conflict(const std::vector<Comparison>& comparisons,
+                       const std::vector<std::string>& conflicting_keys);
+  void complete(StatusQuery& query, Lookup lookup, std::uint64_t StatusQueryCounts::*counter);
+  void complete_unanswered(StatusQuery& query);
+  void wake_front();
 
-  void keep(const std::string& id, const Lookup& lookup);
+  void cache(const std::string& id, const Lookup& lookup);
   bool is_final(const Lookup& lookup) const;
 
-  kv::Client& state_;
-  const std::size_t most_;
+  kv::Client& store_;
+  const std::size_t max_batch_size_;
   const bool cancelled_is_final_;
   std::mutex mutex_;  // guards all below
-  kv::TokenBucket bucket_;
-  QuestionLog log_;
-  QuestionQueue queue_;
-  int working_ = 0;  // threads
-  std::unordered_map<std::string, Known> known_;
-  std::deque<std::string> known_order_;  // the oldest first
+  kv::TokenBucket token_bucket_;
+  StatusQueryLog query_log_;
+  StatusQueryQueue queue_;
+  int active_requests_ = 0;  // threads
+  std::unordered_map<std::string, CachedLookup> cache_;
+  std::deque<std::string> cache_order_;  // the oldest first
 };
 
 }  // namespace reachramp::jobs
--- a/src/jobs/job_reader_test.cpp
+++ b/src/jobs/job_reader_test.cpp
@@ -25,8 +25,8 @@
 constexpr int kEnded = 1000, kCancelled = 1001;
 
 int progress(const Lookup& lookup) {
-  if (lookup.presence == JobState::ended) return kEnded;
-  if (lookup.presence != JobState::live) return -1;
+  if (lookup.state == JobState::ended) return kEnded;
+  if (lookup.state != JobState::live) return -1;
   return lookup.header.cancelled ? kCancelled : static_cast<int>(lookup.header.done);
 }
 
@@ -45,7 +45,7 @@
 }
 
 TEST(Reads, NoAnswerIsOlderThanWhatWasStoredBeforeTheQuestion) {
-  const settings::StateLimits limits{5000, 5000, 8, 8};
+  const settings::StoreLimits limits{5000, 5000, 8, 8};
   lab::StateServer server(limits, 1);
   test::PortReservations ports;
   const std::uint16_t port = ports.reserve();
@@ -69,12 +69,12 @@
       while (!stopping) {
         const int job = static_cast<int>(random() % kJobs);
         const int before = stored[job];
-        const Lookup answer = reads.ask(id_of(job));
+        const Lookup answer = reads.read_batched(id_of(job));
         ++asked;
-        unsure += answer.presence == JobState::unsure;
-        absent += answer.presence == JobState::absent;
-        older += answer.presence != JobState::unsure && progress(answer) < before;
-        if (random() % 50 == 0) absent += reads.ask("j-none").presence == JobState::live;
+        unsure += answer.state == JobState::undetermined;
+        absent += answer.state == JobState::absent;
+        older += answer.state != JobState::undetermined && progress(answer) < before;
+        if (random() % 50 == 0) absent += reads.read_batched("j-none").state == JobState::live;
       }
     });
   }
@@ -93,7 +93,7 @@
     int becomes = done;
     if (step > 1200 && random() % 4 == 0) {
       becomes = kEnded;
-      change.writes = {{end_key(id_of(job)), encode_ending({false, 900}), std::nullopt},
+      change.writes = {{end_key(id_of(job)), encode_final_state({false, 900}), std::nullopt},
                        {job_key(id_of(job)), std::nullopt, std::nullopt}};
     } else {
       const bool cancelled = step > 1200 && random() % 4 == 0;
@@ -148,7 +148,7 @@
     change(job, 0);
     const std::uint64_t revision =
         server.with([](const lab::StateService& model) { return model.store_revision(); });
-    reads.remember(id_of(job), header(job, 0, false), revision);
+    reads.cache_header(id_of(job), header(job, 0, false), revision);
   }
   const double begin = kv::steady_now();
   std::atomic<bool> stopping{false};
@@ -161,7 +161,8 @@
       while (!stopping) {
         std::this_thread::sleep_until(next);
         next += kPollEvery;
-        if (reads.ask(id_of(job)).presence != JobState::unsure) unanswered_since = kv::steady_now();
+        if (reads.read_batched(id_of(job)).state != JobState::undetermined)
+          unanswered_since = kv::steady_now();
         longest[job] = std::max(longest[job].load(), kv::steady_now() - unanswered_since);
       }
     });
@@ -189,7 +190,7 @@
   for (int user = 0; user < 8; ++user) {
     users.emplace_back([&, user] {
       for (int i = 0; i < 5; ++i) {
-        EXPECT_EQ(reads.ask(id_of(user % 3)).presence, JobState::unsure);
+        EXPECT_EQ(reads.read_batched(id_of(user % 3)).state, JobState::undetermined);
       }
     });
   }
--- a/src/jobs/job_service.cpp
+++ b/src/jobs/job_service.cpp
@@ -14,172 +14,186 @@
 using kv::Outcome;
 
 // The counts of a header grow after it was accepted.
-constexpr std::size_t kCountsGrow = 64;
+constexpr std::size_t kCountGrowthBytes = 64;
 // Of the requests that the key-value store takes of all nodes together: users' questions may have
 // so many. Permits, watches, submissions and the leader's records have the rest.
-constexpr double kAskShare = 0.5;
+constexpr double kStatusQueryRateShare = 0.5;
 
-wire::Reply unsure() { return {503, {{"error", "cannot tell now"}}, 1}; }
-wire::Reply refused(int status, const std::string& reason) { return {status, {{"error", reason}}}; }
-wire::Reply unknown_job() { return {404, {{"error", "no such job"}}}; }
+wire::Response temporarily_unavailable() { return {503, {{"error", "cannot tell now"}}, 1}; }
+wire::Response error_reply(int status, const std::string& reason) {
+  return {status, {{"error", reason}}};
+}
+wire::Response job_not_found() { return {404, {{"error", "no such job"}}}; }
 
-constexpr std::string_view kCancelled = "aborted";
+constexpr std::string_view kCancelledPhase = "aborted";
 
 }  // namespace
 
-JobService::JobService(kv::Client& state, const settings::Platform& platform,
-                       peers::Members& members, schema::SchemaVersionTracker& book,
-                       peers::RecentCancellations& told, CatalogSource catalog)
-    : state_(state),
-      confirms_at_once_(leadership::bound_holds(platform.workers)),
-      reads_(state, platform.state_limits.rps * kAskShare / (1.0 + platform.members.size()),
-             4 * static_cast<std::size_t>(std::max(1, platform.lasting().txn_ops)),
-             confirms_at_once_),
+JobService::JobService(kv::Client& store, const settings::Platform& platform,
+                       peers::Members& members, schema::SchemaVersionTracker& version_tracker,
+                       peers::RecentCancellations& recent_cancellations, CatalogSource catalog)
+    : store_(store),
+      confirms_cancellation_immediately_(
+          leadership::staleness_bound_holds(platform.worker_timings)),
+      job_reader_(
+          store,
+          platform.store_limits.rps * kStatusQueryRateShare / (1.0 + platform.members.size()),
+          4 * static_cast<std::size_t>(std::max(1, platform.strictest_store_limits().txn_ops)),
+          confirms_cancellation_immediately_),
       platform_(platform),
       members_(members),
-      book_(book),
-      told_(told),
+      version_tracker_(version_tracker),
+      recent_cancellations_(recent_cancellations),
       catalog_(std::move(catalog)) {}
 
 kv::CommitResult JobService::commit(kv::Transaction transaction) {
   kv::CommitResult refused;
   refused.outcome = Outcome::refused;
-  auto level = book_.revision();
+  auto level = version_tracker_.revision();
   if (!level) return refused;
   transaction.preconditions.emplace_back(schema::kLevelKey, *level);
-  kv::CommitResult committed = state_.commit(transaction);
-  const bool stepped = committed.outcome == Outcome::conflict &&
-                       std::find(committed.failed_keys.begin(), committed.failed_keys.end(),
-                                 schema::kLevelKey) != committed.failed_keys.end();
-  if (!stepped) return committed;
-  level = book_.read_revision();
+  kv::CommitResult committed = store_.commit(transaction);
+  const bool level_changed = committed.outcome == Outcome::conflict &&
+                             std::find(committed.failed_keys.begin(), committed.failed_keys.end(),
+                                       schema::kLevelKey) != committed.failed_keys.end();
+  if (!level_changed) return committed;
+  level = version_tracker_.read_revision();
   if (!level) return refused;
   transaction.preconditions.back().second = *level;
-  return state_.commit(transaction);
+  return store_.commit(transaction);
 }
 
-wire::Reply JobService::tell(int status, const std::string& id, std::string_view phase,
-                             std::uint32_t done, std::uint32_t running) {
-  if (phase == kCancelled && told_.note(id, kv::steady_now())) {
+wire::Response JobService::job_reply(int status, const std::string& id, std::string_view phase,
+                                     std::uint32_t done, std::uint32_t running) {
+  if (phase == kCancelledPhase && recent_cancellations_.record(id, kv::steady_now())) {
     spdlog::info("job {} cancelled: so a user is told", id);
   }
   return {status, {{"ref", id}, {"phase", phase}, {"done", done}, {"running", running}}};
 }
 
 // Not by an older state: a node of an earlier version may have told the user of the cancellation.
-wire::Reply JobService::describe_cancelled(const std::string& id, std::uint32_t done) {
-  return confirms_at_once_ ? tell(200, id, kCancelled, done) : unsure();
+wire::Response JobService::cancelled_reply(const std::string& id, std::uint32_t done) {
+  return confirms_cancellation_immediately_ ? job_reply(200, id, kCancelledPhase, done)
+                                            : temporarily_unavailable();
 }
 
-wire::Reply JobService::describe(const std::string& id, const Lookup& lookup) {
-  switch (lookup.presence) {
+wire::Response JobService::state_reply(const std::string& id, const Lookup& lookup) {
+  switch (lookup.state) {
     case JobState::live: {
       const Header& header = lookup.header;
-      if (header.cancelled) return describe_cancelled(id, header.done);
-      return tell(200, id, header.running > 0 ? "running" : "pending", header.done, header.running);
+      if (header.cancelled) return cancelled_reply(id, header.done);
+      return job_reply(200, id, header.running > 0 ? "running" : "pending", header.done,
+                       header.running);
     }
     case JobState::ended:
-      return tell(200, id, lookup.ending.cancelled ? kCancelled : "done", lookup.ending.done);
+      return job_reply(200, id, lookup.final_state.cancelled ? kCancelledPhase : "done",
+                       lookup.final_state.done);
     case JobState::absent:
-      return unknown_job();
-    case JobState::unsure:
+      return job_not_found();
+    case JobState::undetermined:
       break;
   }
-  return unsure();
+  return temporarily_unavailable();
 }
 
 // Machine types come and go, and so do limits: what was accepted once is never refused afterwards.
-wire::Reply JobService::known_or(const std::string& id, const wire::Reply& otherwise) {
-  const Lookup known = reads_.read(id);
-  return known.presence == JobState::absent ? otherwise : describe(id, known);
+wire::Response JobService::stored_state_reply_or(const std::string& id,
+                                                 const wire::Response& otherwise) {
+  const Lookup known = job_reader_.read(id);
+  return known.state == JobState::absent ? otherwise : state_reply(id, known);
 }
 
 // No leader of an old version may come upon the job: it would start it at once. Whatever becomes of
 // the jobs it needs after this look is the leader's to follow.
-std::variant<bool, wire::Reply> JobService::look_at_needs(const Spec& spec) {
-  if (members_.look() != true) return unsure();
-  bool doomed = false;
-  for (const std::string& need : spec.depends_on) {
-    const Lookup found = reads_.read(need);
-    switch (found.presence) {
+std::variant<bool, wire::Response> JobService::check_dependencies(const Spec& spec) {
+  if (members_.check_all_upgraded() != true) return temporarily_unavailable();
+  bool dependency_cancelled = false;
+  for (const std::string& dependency : spec.depends_on) {
+    const Lookup found = job_reader_.read(dependency);
+    switch (found.state) {
       case JobState::live:
         if (found.header.spec.shape == Shape::service) {
-          return refused(422, "waits_on: " + need + " is a service and is never done");
+          return error_reply(422, "waits_on: " + dependency + " is a service and is never done");
         }
-        doomed = doomed || found.header.cancelled;
+        dependency_cancelled = dependency_cancelled || found.header.cancelled;
         break;
       case JobState::ended:
-        doomed = doomed || found.ending.cancelled;
+        dependency_cancelled = dependency_cancelled || found.final_state.cancelled;
         break;
       case JobState::absent:
-        return refused(422, "waits_on: " + need + " was never accepted");
-      case JobState::unsure:
-        return unsure();
+        return error_reply(422, "waits_on: " + dependency + " was never accepted");
+      case JobState::undetermined:
+        return temporarily_unavailable();
     }
   }
-  return doomed;
+  return dependency_cancelled;
 }
 
-wire::Reply JobService::submit(const std::string& body) {
+wire::Response JobService::submit(const std::string& body) {
   Header header;
   header.spec = decode_spec(wire::decode_map(body));
   const std::string& id = header.spec.id;
-  if (!kv::fits(encode_header(header), platform_.lasting().value_kb, kCountsGrow)) {
-    return known_or(id, refused(400, "body: longer than a job may be, with its waits_on"));
+  if (!kv::fits(encode_header(header), platform_.strictest_store_limits().value_kb,
+                kCountGrowthBytes)) {
+    return stored_state_reply_or(
+        id, error_reply(400, "body: longer than a job may be, with its waits_on"));
   }
   const auto catalog = catalog_();
-  if (!catalog) return known_or(id, unsure());
-  if (const auto reason = never_runs(header.spec, *catalog, platform_.teams)) {
-    return known_or(id, refused(422, *reason));
+  if (!catalog) return stored_state_reply_or(id, temporarily_unavailable());
+  if (const auto reason = unsatisfiable_reason(header.spec, *catalog, platform_.teams)) {
+    return stored_state_reply_or(id, error_reply(422, *reason));
   }
   if (!header.spec.depends_on.empty()) {
-    const auto needs = look_at_needs(header.spec);
-    if (const auto* refusal = std::get_if<wire::Reply>(&needs)) return known_or(id, *refusal);
-    header.cancelled = std::get<bool>(needs);
+    const auto dependency_check = check_dependencies(header.spec);
+    if (const auto* refusal = std::get_if<wire::Response>(&dependency_check))
+      return stored_state_reply_or(id, *refusal);
+    header.cancelled = std::get<bool>(dependency_check);
   }
-  kv::Transaction accept;
-  accept.preconditions = {{job_key(id), 0}, {end_key(id), 0}};
-  accept.writes.push_back({job_key(id), encode_header(header), std::nullopt});
-  const kv::CommitResult committed = commit(accept);
+  kv::Transaction acceptance;
+  acceptance.preconditions = {{job_key(id), 0}, {end_key(id), 0}};
+  acceptance.writes.push_back({job_key(id), encode_header(header), std::nullopt});
+  const kv::CommitResult committed = commit(acceptance);
   if (committed.outcome == Outcome::ok) {
     spdlog::info("job {} accepted: class {} team {} tasks {}", id, header.spec.job_class,
                  header.spec.team, header.spec.tasks);
-    reads_.remember(id, header, committed.store_revision);
-    return tell(201, id, header.cancelled && confirms_at_once_ ? kCancelled : "pending");
+    job_reader_.cache_header(id, header, committed.store_revision);
+    return job_reply(
+        201, id,
+        header.cancelled && confirms_cancellation_immediately_ ? kCancelledPhase : "pending");
   }
-  if (committed.outcome != Outcome::conflict) return unsure();
-  return known_or(id, unsure());
+  if (committed.outcome != Outcome::conflict) return temporarily_unavailable();
+  return stored_state_reply_or(id, temporarily_unavailable());
 }
 
-wire::Reply JobService::query(const std::string& id) {
-  if (!is_job_id(id)) return unknown_job();
-  return describe(id, reads_.ask(id));
+wire::Response JobService::query(const std::string& id) {
+  if (!is_job_id(id)) return job_not_found();
+  return state_reply(id, job_reader_.read_batched(id));
 }
 
-wire::Reply JobService::withdraw(const std::string& id) {
-  if (!is_job_id(id)) return unknown_job();
+wire::Response JobService::cancel(const std::string& id) {
+  if (!is_job_id(id)) return job_not_found();
   for (int attempt = 0; attempt < 4; ++attempt) {
-    Lookup known = reads_.read(id);
-    if (known.presence != JobState::live || known.header.cancelled) return describe(id, known);
+    Lookup known = job_reader_.read(id);
+    if (known.state != JobState::live || known.header.cancelled) return state_reply(id, known);
     // Conditional on the header's revision: a job that has just ended keeps its end.
-    kv::Transaction cancel;
-    cancel.preconditions = {{job_key(id), known.revision}};
+    kv::Transaction cancellation;
+    cancellation.preconditions = {{job_key(id), known.header_revision}};
     known.header.cancelled = true;
-    if (known.header.born == 0) known.header.born = known.revision;
+    if (known.header.accepted_revision == 0) known.header.accepted_revision = known.header_revision;
     Json record = encode_header(known.header);
     // Accepted when values could be longer: what is left out is only needed to place tasks.
-    if (!kv::fits(record, platform_.lasting().value_kb)) {
+    if (!kv::fits(record, platform_.strictest_store_limits().value_kb)) {
       record = encode_cancelled_header(known.header);
     }
-    cancel.writes.push_back({job_key(id), std::move(record), std::nullopt});
-    const kv::CommitResult committed = commit(cancel);
+    cancellation.writes.push_back({job_key(id), std::move(record), std::nullopt});
+    const kv::CommitResult committed = commit(cancellation);
     if (committed.outcome == Outcome::ok) {
-      reads_.remember(id, known.header, committed.store_revision);
-      return describe(id, known);
+      job_reader_.cache_header(id, known.header, committed.store_revision);
+      return state_reply(id, known);
     }
-    if (committed.outcome != Outcome::conflict) return unsure();
+    if (committed.outcome != Outcome::conflict) return temporarily_unavailable();
   }
-  return unsure();
+  return temporarily_unavailable();
 }
 
 }  // namespace reachramp::jobs
--- a/src/jobs/job_service_bytes_test.cpp
+++ b/src/jobs/job_service_bytes_test.cpp
@@ -29,9 +29,9 @@
  protected:
   // Records that the key-value store has; a transaction is answered with `committed`.
   std::map<std::string, std::string> records_;
-  wire::Reply committed_{200, received(R"({"epoch":50})"), 0};
+  wire::Response committed_{200, received(R"({"epoch":50})"), 0};
 
-  wire::Reply submit(const std::string& body) {
+  wire::Response submit(const std::string& body) {
     return door_.submit(wire::encode(Json::parse(body)));
   }
   Json last_transaction() {
@@ -43,7 +43,7 @@
   }
 
  private:
-  wire::Reply answer(const wire::Request& request) {
+  wire::Response answer(const wire::Request& request) {
     if (request.path == "/multi") return committed_;
     if (request.path == "/keys") return {200, received(R"({"epoch":9,"entries":[]})"), 0};
     const auto at = records_.find(request.path.substr(std::string("/keys/").size()));
@@ -55,9 +55,9 @@
     settings::Platform made;
     made.node_name = "node-0";
     made.teams = {{"red", 0, 0, 0, 0}};
-    made.workers = {1, 10, 15, 4, 30};
-    made.state_limits = {1000, 100, 4, 8};
-    made.state_next = made.state_limits;
+    made.worker_timings = {1, 10, 15, 4, 30};
+    made.store_limits = {1000, 100, 4, 8};
+    made.upcoming_store_limits = made.store_limits;
     return made;
   }
 
@@ -76,7 +76,7 @@
 };
 
 TEST_F(DoorBytes, AcceptedJobIsStoredAndAnsweredAsLiteral) {
-  const wire::Reply reply = submit(kSpec);
+  const wire::Response reply = submit(kSpec);
   EXPECT_EQ(reply.status, 201);
   EXPECT_TRUE(is_written_as(reply.body, R"({"ref":"j-1","phase":"pending","done":0,"running":0})"));
   const std::string expected =
@@ -99,7 +99,7 @@
       {"j-4", R"({"ref":"j-4","phase":"done","done":4,"running":0})"},
       {"j-5", R"({"ref":"j-5","phase":"aborted","done":3,"running":0})"}};
   for (const auto& [id, body] : expected) {
-    const wire::Reply reply = door_.query(id);
+    const wire::Response reply = door_.query(id);
     EXPECT_EQ(reply.status, 200);
     EXPECT_TRUE(is_written_as(reply.body, body));
   }
@@ -107,7 +107,7 @@
 
 TEST_F(DoorBytes, WithdrawnJobIsStoredAndAnsweredAsLiteral) {
   records_["job/j-1"] = header("false", 1, 2);
-  const wire::Reply reply = door_.withdraw("j-1");
+  const wire::Response reply = door_.cancel("j-1");
   EXPECT_EQ(reply.status, 200);
   EXPECT_TRUE(is_written_as(reply.body, R"({"ref":"j-1","phase":"aborted","done":1,"running":0})"));
   const std::string expected =
@@ -119,7 +119,7 @@
 }
 
 TEST_F(DoorBytes, RefusalsAreAnsweredAsLiteral) {
-  wire::Reply reply = door_.query("j-9");
+  wire::Response reply = door_.query("j-9");
   EXPECT_EQ(reply.status, 404);
   EXPECT_TRUE(is_written_as(reply.body, R"({"error":"no such job"})"));
   Json stranger = Json::parse(kSpec);
--- a/src/jobs/lookup.h
+++ b/src/jobs/lookup.h
@@ -7,13 +7,13 @@
 
 namespace reachramp::jobs {
 
-enum class JobState { live, ended, absent, unsure };
+enum class JobState { live, ended, absent, undetermined };
 
 struct Lookup {
-  JobState presence = JobState::unsure;
-  Header header;               // live
-  std::uint64_t revision = 0;  // of the header
-  FinalState ending;           // ended
+  JobState state = JobState::undetermined;
+  Header header;                      // live
+  std::uint64_t header_revision = 0;  // of the header
+  FinalState final_state;             // ended
 };
 
 }  // namespace reachramp::jobs
--- a/src/jobs/spec.cpp
+++ b/src/jobs/spec.cpp
@@ -13,19 +13,19 @@
 
 namespace {
 
-constexpr std::uint32_t kMostTasks = 100000;
-constexpr std::size_t kMostTypes = 64;
+constexpr std::uint32_t kMaxTasksPerJob = 100000;
+constexpr std::size_t kMaxMachineTypesPerJob = 64;
 
-constexpr std::pair<Shape, const char*> kShapes[] = {
+constexpr std::pair<Shape, const char*> kShapeNames[] = {
     {Shape::array, "array"}, {Shape::gang, "ensemble"}, {Shape::service, "service"}};
-constexpr std::pair<Priority, const char*> kPriorities[] = {{Priority::production, "prod"},
-                                                            {Priority::high, "urgent"},
-                                                            {Priority::normal, "normal"},
-                                                            {Priority::low, "best_effort"}};
+constexpr std::pair<Priority, const char*> kPriorityNames[] = {{Priority::production, "prod"},
+                                                               {Priority::high, "urgent"},
+                                                               {Priority::normal, "normal"},
+                                                               {Priority::low, "best_effort"}};
 
 template <class Value, std::size_t n>
-Value by_name(const std::pair<Value, const char*> (&names)[n], const Json& body,
-              const char* field) {
+Value parse_enum(const std::pair<Value, const char*> (&names)[n], const Json& body,
+                 const char* field) {
   const std::string given = wire::text(body, field);
   for (const auto& [value, name] : names) {
     if (given == name) return value;
@@ -34,24 +34,24 @@
 }
 
 template <class Value, std::size_t n>
-const char* name_of(const std::pair<Value, const char*> (&names)[n], Value value) {
+const char* enum_name(const std::pair<Value, const char*> (&names)[n], Value value) {
   return std::find_if(std::begin(names), std::end(names),
                       [&](const auto& pair) { return pair.first == value; })
       ->second;
 }
 
-std::vector<std::string> decode_needs(const Json& body, const std::string& id) {
-  std::vector<std::string> needs;
+std::vector<std::string> decode_dependencies(const Json& body, const std::string& id) {
+  std::vector<std::string> dependencies;
   for (const Json& item : wire::list(body, "waits_on")) {
     if (!item.is_string() || !is_job_id(item.get_ref<const std::string&>())) {
       throw wire::BadMessage("waits_on: not a job id");
     }
-    needs.push_back(item.get<std::string>());
-    if (needs.back() == id) throw wire::BadMessage("waits_on: the job itself");
+    dependencies.push_back(item.get<std::string>());
+    if (dependencies.back() == id) throw wire::BadMessage("waits_on: the job itself");
   }
-  std::sort(needs.begin(), needs.end());
-  needs.erase(std::unique(needs.begin(), needs.end()), needs.end());
-  return needs;
+  std::sort(dependencies.begin(), dependencies.end());
+  dependencies.erase(std::unique(dependencies.begin(), dependencies.end()), dependencies.end());
+  return dependencies;
 }
 
 }  // namespace
@@ -69,9 +69,9 @@
   if (!is_job_id(spec.id)) throw wire::BadMessage("ref: not a job id");
   spec.job_class = wire::text(body, "jobclass");
   spec.team = wire::text(body, "owner");
-  spec.shape = by_name(kShapes, body, "shape");
-  spec.priority = by_name(kPriorities, body, "urgency");
-  spec.tasks = static_cast<std::uint32_t>(wire::count(body, "pieces", kMostTasks));
+  spec.shape = parse_enum(kShapeNames, body, "shape");
+  spec.priority = parse_enum(kPriorityNames, body, "urgency");
+  spec.tasks = static_cast<std::uint32_t>(wire::count(body, "pieces", kMaxTasksPerJob));
   if (spec.tasks == 0) throw wire::BadMessage("pieces: zero");
   spec.cpus = wire::amount(body, "vcpus", 1e6);
   spec.gpus = wire::amount(body, "accelerators", 1e6);
@@ -80,22 +80,23 @@
   spec.image_gb = wire::amount(body, "pull_gb", 1e6);
   if (wire::find(body, "rigs") != nullptr) {
     const Json& types = wire::list(body, "rigs");
-    if (types.empty() || types.size() > kMostTypes) throw wire::BadMessage("rigs: bad length");
+    if (types.empty() || types.size() > kMaxMachineTypesPerJob)
+      throw wire::BadMessage("rigs: bad length");
     spec.types.emplace();
     for (const Json& type : types) {
       if (!type.is_string()) throw wire::BadMessage("rigs: not text");
       spec.types->push_back(type.get<std::string>());
     }
   }
-  spec.zone = wire::maybe_text(body, "hall");
-  spec.one_zone = wire::flag(body, "together");
-  spec.spread = wire::flag(body, "scatter");
-  spec.spot = wire::flag(body, "loaner");
-  spec.estimate_s = wire::amount(body, "expected_s");
-  spec.checkpoint_s = wire::amount(body, "snapshot_every_s");
-  spec.save_s = wire::amount(body, "snapshot_cost_s");
-  spec.deadline_s = wire::maybe_amount(body, "due_s");
-  if (wire::find(body, "waits_on") != nullptr) spec.depends_on = decode_needs(body, spec.id);
+  spec.zone = wire::optional_text(body, "hall");
+  spec.single_zone = wire::flag(body, "together");
+  spec.spread_over_zones = wire::flag(body, "scatter");
+  spec.allow_spot = wire::flag(body, "loaner");
+  spec.estimated_duration_s = wire::amount(body, "expected_s");
+  spec.checkpoint_interval_s = wire::amount(body, "snapshot_every_s");
+  spec.checkpoint_duration_s = wire::amount(body, "snapshot_cost_s");
+  spec.deadline_s = wire::optional_amount(body, "due_s");
+  if (wire::find(body, "waits_on") != nullptr) spec.depends_on = decode_dependencies(body, spec.id);
   return spec;
 }
 
@@ -103,20 +104,20 @@
   Json body{{"ref", spec.id},
             {"jobclass", spec.job_class},
             {"owner", spec.team},
-            {"shape", name_of(kShapes, spec.shape)},
-            {"urgency", name_of(kPriorities, spec.priority)},
+            {"shape", enum_name(kShapeNames, spec.shape)},
+            {"urgency", enum_name(kPriorityNames, spec.priority)},
             {"pieces", spec.tasks},
             {"vcpus", spec.cpus},
             {"accelerators", spec.gpus},
             {"ram_gb", spec.ram_gb},
             {"bundle", spec.image},
             {"pull_gb", spec.image_gb},
-            {"together", spec.one_zone},
-            {"scatter", spec.spread},
-            {"loaner", spec.spot},
-            {"expected_s", spec.estimate_s},
-            {"snapshot_every_s", spec.checkpoint_s},
-            {"snapshot_cost_s", spec.save_s}};
+            {"together", spec.single_zone},
+            {"scatter", spec.spread_over_zones},
+            {"loaner", spec.allow_spot},
+            {"expected_s", spec.estimated_duration_s},
+            {"snapshot_every_s", spec.checkpoint_interval_s},
+            {"snapshot_cost_s", spec.checkpoint_duration_s}};
   if (spec.types) body["rigs"] = *spec.types;
   if (spec.zone) body["hall"] = *spec.zone;
   if (spec.deadline_s) body["due_s"] = *spec.deadline_s;
@@ -136,8 +137,8 @@
   return spec.cpus <= type.cpus && spec.gpus <= type.gpus && spec.ram_gb <= type.ram_gb;
 }
 
-std::optional<std::string> never_runs(const Spec& spec, const cloud::Catalog& catalog,
-                                      const std::vector<settings::Team>& teams) {
+std::optional<std::string> unsatisfiable_reason(const Spec& spec, const cloud::Catalog& catalog,
+                                                const std::vector<settings::Team>& teams) {
   const auto team = std::find_if(teams.begin(), teams.end(),
                                  [&](const settings::Team& t) { return t.name == spec.team; });
   if (team == teams.end()) return "unknown team";
@@ -149,7 +150,7 @@
   const auto over = [&](double need, double most) {
     return most > 0 && need * tasks > most * (1 + 1e-9);
   };
-  if (over(spec.cpus, team->cpus_max) || over(spec.gpus, team->gpus_max)) {
+  if (over(spec.cpus, team->max_cpus) || over(spec.gpus, team->max_gpus)) {
     return "needs more than the team's limit";
   }
   return std::nullopt;
@@ -160,7 +161,7 @@
           {"cancelled", header.cancelled},
           {"done", header.done},
           {"running", header.running},
-          {"born", header.born}};
+          {"born", header.accepted_revision}};
 }
 
 Json encode_cancelled_header(Header header) {
@@ -173,61 +174,66 @@
 
 Header decode_header(const Json& record) {
   Header header;
-  header.spec = decode_spec(wire::need(record, "spec"));
+  header.spec = decode_spec(wire::require(record, "spec"));
   header.cancelled = wire::flag(record, "cancelled");
-  header.done = static_cast<std::uint32_t>(wire::count(record, "done", kMostTasks));
-  header.running = static_cast<std::uint32_t>(wire::count(record, "running", kMostTasks));
-  header.born = wire::count(record, "born");
+  header.done = static_cast<std::uint32_t>(wire::count(record, "done", kMaxTasksPerJob));
+  header.running = static_cast<std::uint32_t>(wire::count(record, "running", kMaxTasksPerJob));
+  header.accepted_revision = wire::count(record, "born");
   return header;
 }
 
-Json encode_ending(const FinalState& ending) {
-  return {{"cancelled", ending.cancelled}, {"done", ending.done}};
+Json encode_final_state(const FinalState& final_state) {
+  return {{"cancelled", final_state.cancelled}, {"done", final_state.done}};
 }
 
-FinalState decode_ending(const Json& record) {
+FinalState decode_final_state(const Json& record) {
   return {wire::flag(record, "cancelled"),
-          static_cast<std::uint32_t>(wire::count(record, "done", kMostTasks))};
+          static_cast<std::uint32_t>(wire::count(record, "done", kMaxTasksPerJob))};
 }
 
 namespace {
 
-std::size_t digits(std::uint64_t number) { return std::to_string(number).size(); }
+std::size_t decimal_digit_count(std::uint64_t number) { return std::to_string(number).size(); }
 
-constexpr const char* kHex = "0123456789abcdef";
+constexpr const char* kHexDigits = "0123456789abcdef";
 
 }  // namespace
 
-std::size_t empty_chunk_bytes(Format format, std::size_t tasks, std::size_t shared) {
-  return (format == Format::whole ? 72 : 60 + shared) + tasks / 4;
+std::size_t max_empty_range_bytes(TaskRecordFormat format, std::size_t tasks,
+                                  std::size_t common_prefix_length) {
+  return (format == TaskRecordFormat::legacy ? 72 : 60 + common_prefix_length) + tasks / 4;
 }
 
-std::size_t machine_bytes(Format format, const std::string& host, std::uint64_t attempt,
-                          std::size_t shared) {
-  return format == Format::whole ? host.size() + 5 : host.size() - shared + digits(attempt) + 4;
+std::size_t max_machine_bytes(TaskRecordFormat format, const std::string& host,
+                              std::uint64_t attempt, std::size_t common_prefix_length) {
+  return format == TaskRecordFormat::legacy
+             ? host.size() + 5
+             : host.size() - common_prefix_length + decimal_digit_count(attempt) + 4;
 }
 
-std::size_t placement_bytes(Format format, std::uint32_t task, std::uint32_t first,
-                            std::uint64_t attempt) {
-  return format == Format::whole ? digits(task) + digits(attempt) + 2 : digits(task - first) + 1;
+std::size_t max_placement_bytes(TaskRecordFormat format, std::uint32_t task, std::uint32_t first,
+                                std::uint64_t attempt) {
+  return format == TaskRecordFormat::legacy
+             ? decimal_digit_count(task) + decimal_digit_count(attempt) + 2
+             : decimal_digit_count(task - first) + 1;
 }
 
 namespace {
 
 // Done tasks are hexadecimal digits of four tasks each, lowest bit first.
-std::string encode_done(const ChunkRecord& chunk) {
+std::string encode_done(const TaskRangeRecord& chunk) {
   std::string done;
   for (const std::uint32_t task : chunk.done) {
     const std::size_t digit = (task - chunk.first) / 4;
     if (done.size() <= digit) done.resize(digit + 1, '0');
-    const std::size_t value = std::string_view(kHex).find(done[digit]);
-    done[digit] = kHex[value | (1u << ((task - chunk.first) % 4))];
+    const std::size_t value = std::string_view(kHexDigits).find(done[digit]);
+    done[digit] = kHexDigits[value | (1u << ((task - chunk.first) % 4))];
   }
   return done;
 }
 
-const std::string& maybe_empty(const Json& record, const char* field) {
-  const Json& value = wire::need(record, field);
+const std::string& possibly_empty_text(const Json& record, const char* field) {
+  const Json& value = wire::require(record, field);
   if (!value.is_string()) throw wire::BadMessage(std::string(field) + ": not text");
   return value.get_ref<const std::string&>();
 }
@@ -235,9 +241,9 @@
 std::vector<std::uint32_t> decode_done(const Json& record, std::uint32_t first) {
   std::vector<std::uint32_t> tasks;
   std::uint32_t task = first;
-  for (const char digit : maybe_empty(record, "d")) {
-    const std::size_t value = std::string_view(kHex).find(digit);
-    if (value == std::string_view::npos || task >= kMostTasks)
+  for (const char digit : possibly_empty_text(record, "d")) {
+    const std::size_t value = std::string_view(kHexDigits).find(digit);
+    if (value == std::string_view::npos || task >= kMaxTasksPerJob)
       throw wire::BadMessage("d: not done");
     for (std::uint32_t bit = 0; bit < 4; ++bit, ++task) {
       if ((value >> bit & 1) != 0) tasks.push_back(task);
@@ -247,7 +253,7 @@
 }
 
 // A list of a machine, then task and attempt for each of its tasks, per machine.
-std::vector<Placement> decode_whole_placements(const Json& list) {
+std::vector<Placement> decode_legacy_placements(const Json& list) {
   std::vector<Placement> placements;
   for (const Json& item : list) {
     if (!item.is_array() || item.size() % 2 != 1) throw wire::BadMessage("p: bad length");
@@ -262,14 +268,14 @@
 // One list: what follows the common letters in a machine's name, an attempt, its tasks there
 // counted from the first of the record, the next machine.
 std::vector<Placement> decode_compact_placements(const Json& record, std::uint32_t first) {
-  const std::string& shared = maybe_empty(record, "m");
+  const std::string& common_prefix = possibly_empty_text(record, "m");
   std::vector<Placement> placements;
   enum class Next { machine, attempt, task } next = Next::machine;
   std::string host;
   std::uint64_t attempt = 0;
   for (const Json& item : wire::list(record, "p")) {
     if (item.is_string()) {
-      host = shared + item.get<std::string>();
+      host = common_prefix + item.get<std::string>();
       next = Next::attempt;
       continue;
     }
@@ -280,7 +286,7 @@
     if (next == Next::attempt) {
       attempt = number;
       next = Next::task;
-    } else if (number < kMostTasks) {
+    } else if (number < kMaxTasksPerJob) {
       placements.push_back({first + static_cast<std::uint32_t>(number), attempt, host});
     } else {
       throw wire::BadMessage("p: not a task");
@@ -293,7 +299,7 @@
 
 // Records are small and writes few: written task by task, with a machine's name for each, an array
 // of 2,000 tasks took thirty records.
-Json encode_chunk(const ChunkRecord& chunk) {
+Json encode_legacy_task_range(const TaskRangeRecord& chunk) {
   std::map<std::string, Json> by_machine;
   for (const Placement& placement : chunk.placements) {
     Json& list =
@@ -309,56 +315,56 @@
           {"p", std::move(placements)}};
 }
 
-Json encode_compact(const ChunkRecord& chunk) {
+Json encode_compact_task_range(const TaskRangeRecord& chunk) {
   std::map<std::pair<std::string_view, std::uint64_t>, std::vector<std::uint32_t>> groups;
   for (const Placement& placement : chunk.placements) {
     groups[{placement.host, placement.attempt}].push_back(placement.task - chunk.first);
   }
-  std::string_view shared;
+  std::string_view common_prefix;
   if (!groups.empty()) {  // sorted by name: what the first and the last share, all share
     const std::string_view low = groups.begin()->first.first;
     const std::string_view high = groups.rbegin()->first.first;
     const auto differ = std::mismatch(low.begin(), low.end(), high.begin(), high.end()).first;
-    shared = low.substr(0, static_cast<std::size_t>(differ - low.begin()));
+    common_prefix = low.substr(0, static_cast<std::size_t>(differ - low.begin()));
   }
   Json placements = Json::array();
   for (const auto& [machine, tasks] : groups) {
-    placements.push_back(machine.first.substr(shared.size()));
+    placements.push_back(machine.first.substr(common_prefix.size()));
     placements.push_back(machine.second);
     for (const std::uint32_t task : tasks) placements.push_back(task);
   }
   return {{"d", encode_done(chunk)},
           {"t", chunk.last_attempt},
-          {"m", shared},
+          {"m", common_prefix},
           {"p", std::move(placements)}};
 }
 
-ChunkRecord decode_chunk(const ChunkKey& key, const Json& record) {
-  const bool whole = key.format == Format::whole;
-  ChunkRecord chunk;
+TaskRangeRecord decode_task_range(const TaskRangeKey& key, const Json& record) {
+  const bool is_legacy = key.format == TaskRecordFormat::legacy;
+  TaskRangeRecord chunk;
   chunk.first =
-      whole ? static_cast<std::uint32_t>(wire::count(record, "f", kMostTasks)) : key.first;
+      is_legacy ? static_cast<std::uint32_t>(wire::count(record, "f", kMaxTasksPerJob)) : key.first;
   chunk.done = decode_done(record, chunk.first);
   chunk.last_attempt = wire::count(record, "t");
-  chunk.placements = whole ? decode_whole_placements(wire::list(record, "p"))
-                           : decode_compact_placements(record, chunk.first);
+  chunk.placements = is_legacy ? decode_legacy_placements(wire::list(record, "p"))
+                               : decode_compact_placements(record, chunk.first);
   return chunk;
 }
 
 std::string job_key(const std::string& id) { return "job/" + id; }
 std::string end_key(const std::string& id) { return "end/" + id; }
-std::string chunk_key(const std::string& id, std::size_t chunk) {
-  return "task/" + id + "/" + std::to_string(chunk);
+std::string legacy_task_range_key(const std::string& id, std::size_t range_number) {
+  return "task/" + id + "/" + std::to_string(range_number);
 }
 
-std::string compact_key(const std::string& id, std::uint32_t first, std::uint32_t end) {
+std::string compact_task_range_key(const std::string& id, std::uint32_t first, std::uint32_t end) {
   return "task/" + id + "/" + std::to_string(first) + "-" + std::to_string(end);
 }
 
-std::optional<ChunkKey> parse_chunk_key(const std::string& key) {
+std::optional<TaskRangeKey> parse_task_range_key(const std::string& key) {
   const auto slash = key.rfind('/');
   if (!key.starts_with("task/") || slash < 5) return std::nullopt;
-  ChunkKey found;
+  TaskRangeKey found;
   found.job = key.substr(5, slash - 5);
   const char* end = key.data() + key.size();
   const auto [stop, error] = std::from_chars(key.data() + slash + 1, end, found.first);
@@ -366,16 +372,16 @@
   if (stop == end) return found;
   const auto [last, wrong] = std::from_chars(stop + 1, end, found.end);
   if (*stop != '-' || wrong != std::errc() || last != end || found.end <= found.first ||
-      found.end > kMostTasks) {
+      found.end > kMaxTasksPerJob) {
     return std::nullopt;
   }
-  found.format = Format::compact;
+  found.format = TaskRecordFormat::compact;
   return found;
 }
 
 bool is_stale(const std::string& key, const wire::Json&, std::uint32_t level) {
-  const auto chunk = level >= schema::kAges ? parse_chunk_key(key) : std::nullopt;
-  return chunk && chunk->format == Format::whole;
+  const auto chunk = level >= schema::kTimeline ? parse_task_range_key(key) : std::nullopt;
+  return chunk && chunk->format == TaskRecordFormat::legacy;
 }
 
 }  // namespace reachramp::jobs
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -31,12 +31,12 @@
   double image_gb = 0;
   std::optional<std::vector<std::string>> types;
   std::optional<std::string> zone;
-  bool one_zone = false;
-  bool spread = false;
-  bool spot = false;
-  double estimate_s = 0;
-  double checkpoint_s = 0;
-  double save_s = 0;
+  bool single_zone = false;
+  bool spread_over_zones = false;
+  bool allow_spot = false;
+  double estimated_duration_s = 0;
+  double checkpoint_interval_s = 0;
+  double checkpoint_duration_s = 0;
   std::optional<double> deadline_s;
   std::vector<std::string>
       depends_on;  // jobs that have to be done before any task of this one starts
@@ -49,8 +49,8 @@
 // Whether a machine type could ever hold one task of the job.
 bool fits_type(const Spec& spec, const cloud::MachineType& type);
 // Why the job can never run, or nothing if it can.
-std::optional<std::string> never_runs(const Spec& spec, const cloud::Catalog& catalog,
-                                      const std::vector<settings::Team>& teams);
+std::optional<std::string> unsatisfiable_reason(const Spec& spec, const cloud::Catalog& catalog,
+                                                const std::vector<settings::Team>& teams);
 
 // job/<id>: while the job lives. The counts are for display and may lag.
 struct Header {
@@ -58,7 +58,7 @@
   bool cancelled = false;
   std::uint32_t done = 0;
   std::uint32_t running = 0;
-  std::uint64_t born = 0;  // 0: the record's own revision
+  std::uint64_t accepted_revision = 0;  // 0: the record's own revision
 };
 
 // end/<id>: for ever.
@@ -72,8 +72,8 @@
 // value may be.
 Json encode_cancelled_header(Header header);
 Header decode_header(const Json& record);
-Json encode_ending(const FinalState& ending);
-FinalState decode_ending(const Json& record);
+Json encode_final_state(const FinalState& final_state);
+FinalState decode_final_state(const Json& record);
 
 // task/<id>/...: what is done of a range of a job's tasks, and where attempts may be. A task has at
 // most one. Where ranges overlap, the record that was written last is the one that counts.
@@ -83,7 +83,7 @@
   std::string host;
 };
 
-struct ChunkRecord {
+struct TaskRangeRecord {
   std::uint32_t first = 0;          // task of the chunk
   std::vector<std::uint32_t> done;  // ascending
   std::uint64_t last_attempt = 0;
@@ -92,33 +92,34 @@
 
 // How task records are written. `whole` is what version 0.2.0 writes and reads; `compact` is read
 // by later ones only.
-enum class Format { whole, compact };
+enum class TaskRecordFormat { legacy, compact };
 
 // JSON bytes that a record takes at most: without placements, for a machine that holds tasks of one
 // attempt, and for each placement. `shared`: letters with which all machines' names begin.
-std::size_t empty_chunk_bytes(Format format, std::size_t tasks, std::size_t shared);
-std::size_t machine_bytes(Format format, const std::string& host, std::uint64_t attempt,
-                          std::size_t shared);
-std::size_t placement_bytes(Format format, std::uint32_t task, std::uint32_t first,
-                            std::uint64_t attempt);
+std::size_t max_empty_range_bytes(TaskRecordFormat format, std::size_t tasks,
+                                  std::size_t common_prefix_length);
+std::size_t max_machine_bytes(TaskRecordFormat format, const std::string& host,
+                              std::uint64_t attempt, std::size_t common_prefix_length);
+std::size_t max_placement_bytes(TaskRecordFormat format, std::uint32_t task, std::uint32_t first,
+                                std::uint64_t attempt);
 
 // The key tells the format: task/<id>/<number of the chunk> or task/<id>/<first>-<end>.
-struct ChunkKey {
+struct TaskRangeKey {
   std::string job;
-  Format format = Format::whole;
+  TaskRecordFormat format = TaskRecordFormat::legacy;
   std::uint32_t first = 0;  // compact only
   std::uint32_t end = 0;
 };
 
-Json encode_chunk(const ChunkRecord& chunk);
-Json encode_compact(const ChunkRecord& chunk);
-ChunkRecord decode_chunk(const ChunkKey& key, const Json& record);
+Json encode_legacy_task_range(const TaskRangeRecord& chunk);
+Json encode_compact_task_range(const TaskRangeRecord& chunk);
+TaskRangeRecord decode_task_range(const TaskRangeKey& key, const Json& record);
 
 std::string job_key(const std::string& id);
 std::string end_key(const std::string& id);
-std::string chunk_key(const std::string& id, std::size_t chunk);
-std::string compact_key(const std::string& id, std::uint32_t first, std::uint32_t end);
-std::optional<ChunkKey> parse_chunk_key(const std::string& key);
+std::string legacy_task_range_key(const std::string& id, std::size_t range_number);
+std::string compact_task_range_key(const std::string& id, std::uint32_t first, std::uint32_t end);
+std::optional<TaskRangeKey> parse_task_range_key(const std::string& key);
 // Whether it is a record of this slice that the level does not have, or has in another form.
 bool is_stale(const std::string& key, const wire::Json& value, std::uint32_t level);
 
--- a/src/jobs/spec_bytes_test.cpp
+++ b/src/jobs/spec_bytes_test.cpp
@@ -30,12 +30,12 @@
   spec.image_gb = 6.5;
   spec.types = {"g8", "c32"};
   spec.zone = "a";
-  spec.one_zone = true;
-  spec.spread = false;
-  spec.spot = true;
-  spec.estimate_s = 240.5;
-  spec.checkpoint_s = 30.5;
-  spec.save_s = 4.5;
+  spec.single_zone = true;
+  spec.spread_over_zones = false;
+  spec.allow_spot = true;
+  spec.estimated_duration_s = 240.5;
+  spec.checkpoint_interval_s = 30.5;
+  spec.checkpoint_duration_s = 4.5;
   spec.deadline_s = 900.5;
   spec.depends_on = {"j-1", "j-2"};
   return spec;
@@ -55,17 +55,17 @@
   EXPECT_EQ(spec.image_gb, 6.5);
   EXPECT_EQ(spec.types, (std::vector<std::string>{"g8", "c32"}));
   EXPECT_EQ(spec.zone, "a");
-  EXPECT_TRUE(spec.one_zone);
-  EXPECT_FALSE(spec.spread);
-  EXPECT_TRUE(spec.spot);
-  EXPECT_EQ(spec.estimate_s, 240.5);
-  EXPECT_EQ(spec.checkpoint_s, 30.5);
-  EXPECT_EQ(spec.save_s, 4.5);
+  EXPECT_TRUE(spec.single_zone);
+  EXPECT_FALSE(spec.spread_over_zones);
+  EXPECT_TRUE(spec.allow_spot);
+  EXPECT_EQ(spec.estimated_duration_s, 240.5);
+  EXPECT_EQ(spec.checkpoint_interval_s, 30.5);
+  EXPECT_EQ(spec.checkpoint_duration_s, 4.5);
   EXPECT_EQ(spec.deadline_s, 900.5);
   EXPECT_EQ(spec.depends_on, (std::vector<std::string>{"j-1", "j-2"}));
 }
 
-void expect_same(const ChunkRecord& got, const ChunkRecord& expected) {
+void expect_same(const TaskRangeRecord& got, const TaskRangeRecord& expected) {
   EXPECT_EQ(got.first, expected.first);
   EXPECT_EQ(got.done, expected.done);
   EXPECT_EQ(got.last_attempt, expected.last_attempt);
@@ -102,15 +102,15 @@
 
 TEST(JobSpecBytes, EachFlagIsItsOwnField) {
   Spec spec = full_spec();
-  spec.one_zone = spec.spot = false;
-  spec.spread = true;
+  spec.single_zone = spec.allow_spot = false;
+  spec.spread_over_zones = true;
   const Json body = encode_spec(spec);
   EXPECT_EQ(body["together"], false);
   EXPECT_EQ(body["scatter"], true);
   EXPECT_EQ(body["loaner"], false);
   const Spec back = decode_spec(body);
-  EXPECT_TRUE(back.spread);
-  EXPECT_FALSE(back.one_zone || back.spot);
+  EXPECT_TRUE(back.spread_over_zones);
+  EXPECT_FALSE(back.single_zone || back.allow_spot);
 }
 
 TEST(JobSpecBytes, EveryShapeAndUrgencyHasItsWord) {
@@ -147,7 +147,7 @@
   EXPECT_TRUE(header.cancelled);
   EXPECT_EQ(header.done, 3u);
   EXPECT_EQ(header.running, 2u);
-  EXPECT_EQ(header.born, 77u);
+  EXPECT_EQ(header.accepted_revision, 77u);
 }
 
 TEST(JobRecordBytes, CancelledHeaderThatIsCutShortIsWrittenAsLiteral) {
@@ -162,46 +162,48 @@
 
 TEST(JobRecordBytes, EndIsReadAndWrittenAsLiteral) {
   constexpr const char* kCancelled = R"({"cancelled":true,"done":3})";
-  EXPECT_TRUE(is_written_as(encode_ending({true, 3}), kCancelled));
-  EXPECT_TRUE(decode_ending(received(kCancelled)).cancelled);
-  EXPECT_EQ(decode_ending(received(kCancelled)).done, 3u);
-  EXPECT_FALSE(decode_ending(received(R"({"cancelled":false,"done":8})")).cancelled);
+  EXPECT_TRUE(is_written_as(encode_final_state({true, 3}), kCancelled));
+  EXPECT_TRUE(decode_final_state(received(kCancelled)).cancelled);
+  EXPECT_EQ(decode_final_state(received(kCancelled)).done, 3u);
+  EXPECT_FALSE(decode_final_state(received(R"({"cancelled":false,"done":8})")).cancelled);
 }
 
 TEST(TaskRecordBytes, WholeFormIsReadAndWrittenAsLiteral) {
   constexpr const char* kRecord = R"({"f":8,"d":"81","t":9,"p":[["n-1",9,2,10,2],["n-2",12,1]]})";
-  const ChunkRecord record{8, {11, 12}, 9, {{9, 2, "n-1"}, {10, 2, "n-1"}, {12, 1, "n-2"}}};
-  EXPECT_TRUE(is_written_as(encode_chunk(record), kRecord));
-  expect_same(decode_chunk({"j-1", Format::whole, 1, 0}, received(kRecord)), record);
+  const TaskRangeRecord record{8, {11, 12}, 9, {{9, 2, "n-1"}, {10, 2, "n-1"}, {12, 1, "n-2"}}};
+  EXPECT_TRUE(is_written_as(encode_legacy_task_range(record), kRecord));
+  expect_same(decode_task_range({"j-1", TaskRecordFormat::legacy, 1, 0}, received(kRecord)),
+              record);
 }
 
 TEST(TaskRecordBytes, CompactFormIsReadAndWrittenAsLiteral) {
   constexpr const char* kRecord = R"({"d":"81","t":9,"m":"n-","p":["1",2,1,2,"2",1,4]})";
-  const ChunkRecord record{8, {11, 12}, 9, {{9, 2, "n-1"}, {10, 2, "n-1"}, {12, 1, "n-2"}}};
-  EXPECT_TRUE(is_written_as(encode_compact(record), kRecord));
-  expect_same(decode_chunk({"j-1", Format::compact, 8, 16}, received(kRecord)), record);
+  const TaskRangeRecord record{8, {11, 12}, 9, {{9, 2, "n-1"}, {10, 2, "n-1"}, {12, 1, "n-2"}}};
+  EXPECT_TRUE(is_written_as(encode_compact_task_range(record), kRecord));
+  expect_same(decode_task_range({"j-1", TaskRecordFormat::compact, 8, 16}, received(kRecord)),
+              record);
 }
 
 TEST(TaskRecordBytes, EmptyRecordsAreWrittenAsLiteral) {
-  const ChunkRecord record{8, {}, 0, {}};
-  EXPECT_TRUE(is_written_as(encode_chunk(record), R"({"f":8,"d":"","t":0,"p":[]})"));
-  EXPECT_TRUE(is_written_as(encode_compact(record), R"({"d":"","t":0,"m":"","p":[]})"));
+  const TaskRangeRecord record{8, {}, 0, {}};
+  EXPECT_TRUE(is_written_as(encode_legacy_task_range(record), R"({"f":8,"d":"","t":0,"p":[]})"));
+  EXPECT_TRUE(is_written_as(encode_compact_task_range(record), R"({"d":"","t":0,"m":"","p":[]})"));
 }
 
 TEST(JobRecordBytes, KeysAreLiteral) {
   EXPECT_EQ(job_key("j-1"), "job/j-1");
   EXPECT_EQ(end_key("j-1"), "end/j-1");
-  EXPECT_EQ(chunk_key("j-1", 2), "task/j-1/2");
-  EXPECT_EQ(compact_key("j-1", 8, 16), "task/j-1/8-16");
-  const auto whole = parse_chunk_key("task/j-1/2");
+  EXPECT_EQ(legacy_task_range_key("j-1", 2), "task/j-1/2");
+  EXPECT_EQ(compact_task_range_key("j-1", 8, 16), "task/j-1/8-16");
+  const auto whole = parse_task_range_key("task/j-1/2");
   ASSERT_TRUE(whole);
   EXPECT_EQ(whole->job, "j-1");
-  EXPECT_EQ(whole->format, Format::whole);
+  EXPECT_EQ(whole->format, TaskRecordFormat::legacy);
   EXPECT_EQ(whole->first, 2u);
-  const auto compact = parse_chunk_key("task/j-1/8-16");
+  const auto compact = parse_task_range_key("task/j-1/8-16");
   ASSERT_TRUE(compact);
   EXPECT_EQ(compact->job, "j-1");
-  EXPECT_EQ(compact->format, Format::compact);
+  EXPECT_EQ(compact->format, TaskRecordFormat::compact);
   EXPECT_EQ(compact->first, 8u);
   EXPECT_EQ(compact->end, 16u);
 }
@@ -218,14 +220,14 @@
   EXPECT_EQ(header.spec.shape, Shape::array);
   EXPECT_EQ(header.spec.priority, Priority::low);
   EXPECT_EQ(header.spec.zone, "b");
-  EXPECT_TRUE(header.spec.spread);
-  EXPECT_EQ(header.born, 12u);
+  EXPECT_TRUE(header.spec.spread_over_zones);
+  EXPECT_EQ(header.accepted_revision, 12u);
   EXPECT_EQ(header.done, 4u);
   EXPECT_EQ(header.running, 3u);
-  expect_same(decode_chunk(*parse_chunk_key("task/j-7/1"),
-                           received(R"({"d":"3","f":20,"p":[["n-4",23,1]],"t":1})")),
+  expect_same(decode_task_range(*parse_task_range_key("task/j-7/1"),
+                                received(R"({"d":"3","f":20,"p":[["n-4",23,1]],"t":1})")),
               {20, {20, 21}, 1, {{23, 1, "n-4"}}});
-  EXPECT_EQ(decode_ending(received(R"({"cancelled":false,"done":40})")).done, 40u);
+  EXPECT_EQ(decode_final_state(received(R"({"cancelled":false,"done":40})")).done, 40u);
 }
 
 // From 0.3.0 on: "waits_on" and compact task records; 0.4.0 writes both the same.
@@ -240,8 +242,8 @@
   EXPECT_EQ(header.spec.shape, Shape::service);
   EXPECT_EQ(header.spec.priority, Priority::production);
   EXPECT_TRUE(header.cancelled);
-  expect_same(decode_chunk(*parse_chunk_key("task/j-8/0-4"),
-                           received(R"({"d":"1","m":"m-1","p":["0",3,1,2,"27",4,3],"t":2})")),
+  expect_same(decode_task_range(*parse_task_range_key("task/j-8/0-4"),
+                                received(R"({"d":"1","m":"m-1","p":["0",3,1,2,"27",4,3],"t":2})")),
               {0, {0}, 2, {{1, 3, "m-10"}, {2, 3, "m-10"}, {3, 4, "m-127"}}});
 }
 
--- a/src/jobs/spec_test.cpp
+++ b/src/jobs/spec_test.cpp
@@ -24,7 +24,7 @@
   EXPECT_FALSE(spec.zone);
   const Header header = decode_header(encode_header({spec, true, 3, 2, 77}));
   EXPECT_TRUE(header.cancelled);
-  EXPECT_EQ(header.born, 77u);
+  EXPECT_EQ(header.accepted_revision, 77u);
 }
 
 TEST(Spec, EveryRequiredFieldMustBeThereAndBeValid) {
@@ -52,17 +52,18 @@
   const cloud::Catalog catalog{{"g8", 96, 8, 768, 200, 1, 12, 4.5, 45, {"a", "b"}}};
   const std::vector<settings::Team> teams{{"vision", 0, 20, 0, 0}};
   Spec spec = decode_spec(submission());
-  EXPECT_FALSE(never_runs(spec, catalog, teams)) << "an array needs room for one task only";
+  EXPECT_FALSE(unsatisfiable_reason(spec, catalog, teams))
+      << "an array needs room for one task only";
   spec.shape = Shape::gang;
-  EXPECT_TRUE(never_runs(spec, catalog, teams)) << "a gang needs room for all";
-  EXPECT_FALSE(never_runs(spec, catalog, {{"vision", 0, 0, 0, 0}})) << "0 is no limit";
-  EXPECT_TRUE(never_runs(spec, catalog, {{"other", 0, 0, 0, 0}}));
+  EXPECT_TRUE(unsatisfiable_reason(spec, catalog, teams)) << "a gang needs room for all";
+  EXPECT_FALSE(unsatisfiable_reason(spec, catalog, {{"vision", 0, 0, 0, 0}})) << "0 is no limit";
+  EXPECT_TRUE(unsatisfiable_reason(spec, catalog, {{"other", 0, 0, 0, 0}}));
   spec.shape = Shape::array;
   spec.zone = "c";
-  EXPECT_TRUE(never_runs(spec, catalog, teams));
+  EXPECT_TRUE(unsatisfiable_reason(spec, catalog, teams));
   spec.zone = "b";
   spec.ram_gb = 769;
-  EXPECT_TRUE(never_runs(spec, catalog, teams));
+  EXPECT_TRUE(unsatisfiable_reason(spec, catalog, teams));
 }
 
 TEST(Spec, NeedsAreJobIdsAndCountOnce) {
@@ -97,15 +98,17 @@
   EXPECT_EQ(encode_header(made), header);
   EXPECT_EQ(encode_header(decode_header(header)), header);
   const Json chunk = Json::parse(R"({"d":"81","f":8,"p":[["n-1",9,2,10,2],["n-2",12,1]],"t":2})");
-  ChunkRecord record;
+  TaskRangeRecord record;
   record.first = 8;
   record.done = {11, 12};
   record.last_attempt = 2;
   record.placements = {{9, 2, "n-1"}, {12, 1, "n-2"}, {10, 2, "n-1"}};
-  EXPECT_EQ(encode_chunk(record), chunk);
-  EXPECT_EQ(encode_chunk(decode_chunk({"j-1", Format::whole, 1, 0}, chunk)), chunk);
-  EXPECT_EQ(encode_ending({true, 3}), Json::parse(R"({"cancelled":true,"done":3})"));
-  EXPECT_EQ(chunk_key("j-1", 2), "task/j-1/2");
+  EXPECT_EQ(encode_legacy_task_range(record), chunk);
+  EXPECT_EQ(
+      encode_legacy_task_range(decode_task_range({"j-1", TaskRecordFormat::legacy, 1, 0}, chunk)),
+      chunk);
+  EXPECT_EQ(encode_final_state({true, 3}), Json::parse(R"({"cancelled":true,"done":3})"));
+  EXPECT_EQ(legacy_task_range_key("j-1", 2), "task/j-1/2");
 }
 
 TEST(Header, ACancelledOneIsShortWhateverWasAccepted) {
@@ -120,33 +123,36 @@
   EXPECT_EQ(back.spec.tasks, header.spec.tasks);
 }
 
-class ChunkFormat : public ::testing::TestWithParam<Format> {};
-INSTANTIATE_TEST_SUITE_P(Formats, ChunkFormat, ::testing::Values(Format::whole, Format::compact));
+class ChunkFormat : public ::testing::TestWithParam<TaskRecordFormat> {};
+INSTANTIATE_TEST_SUITE_P(Formats, ChunkFormat,
+                         ::testing::Values(TaskRecordFormat::legacy, TaskRecordFormat::compact));
 
 TEST_P(ChunkFormat, RoundTripAndNoLongerThanReckoned) {
-  const Format format = GetParam();
+  const TaskRecordFormat format = GetParam();
   const std::string name = "n-0";  // what all names share
   rc::check([&](const std::set<std::uint8_t>& done, const std::set<std::uint8_t>& placed,
                 std::uint8_t attempts) {
-    ChunkRecord chunk;
+    TaskRangeRecord chunk;
     chunk.first = 70000;
     for (const std::uint32_t task : done) chunk.done.push_back(chunk.first + task);
     chunk.last_attempt = 9;
-    std::size_t bytes = empty_chunk_bytes(format, 256, name.size());
+    std::size_t bytes = max_empty_range_bytes(format, 256, name.size());
     std::set<std::pair<std::string, std::uint64_t>> machines;
     for (const std::uint32_t task : placed) {
       const Placement p{chunk.first + task, 8u + task % (attempts % 5 + 1u),
                         name + std::to_string(task % 7)};
       chunk.placements.push_back(p);
-      bytes += placement_bytes(format, p.task, chunk.first, p.attempt);
-      if (machines.insert({p.host, format == Format::whole ? 0 : p.attempt}).second) {
-        bytes += machine_bytes(format, p.host, p.attempt, name.size());
+      bytes += max_placement_bytes(format, p.task, chunk.first, p.attempt);
+      if (machines.insert({p.host, format == TaskRecordFormat::legacy ? 0 : p.attempt}).second) {
+        bytes += max_machine_bytes(format, p.host, p.attempt, name.size());
       }
     }
-    const ChunkKey key{"j-1", format, format == Format::whole ? 0 : chunk.first, 70256};
-    const Json record = format == Format::whole ? encode_chunk(chunk) : encode_compact(chunk);
+    const TaskRangeKey key{"j-1", format, format == TaskRecordFormat::legacy ? 0 : chunk.first,
+                           70256};
+    const Json record = format == TaskRecordFormat::legacy ? encode_legacy_task_range(chunk)
+                                                           : encode_compact_task_range(chunk);
     RC_ASSERT(wire::json_size(record) <= bytes);
-    const ChunkRecord back = decode_chunk(key, wire::decode_map(wire::encode(record)));
+    const TaskRangeRecord back = decode_task_range(key, wire::decode_map(wire::encode(record)));
     RC_ASSERT(back.first == chunk.first);
     RC_ASSERT(back.done == chunk.done);
     RC_ASSERT(back.last_attempt == 9u);
@@ -158,20 +164,20 @@
 }
 
 TEST(Chunk, KeysNameTheirJobAndForm) {
-  const auto whole = parse_chunk_key(chunk_key("j-7", 12));
+  const auto whole = parse_task_range_key(legacy_task_range_key("j-7", 12));
   ASSERT_TRUE(whole);
   EXPECT_EQ(whole->job, "j-7");
-  EXPECT_EQ(whole->format, Format::whole);
+  EXPECT_EQ(whole->format, TaskRecordFormat::legacy);
   EXPECT_EQ(whole->first, 12u);
-  const auto compact = parse_chunk_key(compact_key("j-7", 12, 24));
+  const auto compact = parse_task_range_key(compact_task_range_key("j-7", 12, 24));
   ASSERT_TRUE(compact);
   EXPECT_EQ(compact->job, "j-7");
-  EXPECT_EQ(compact->format, Format::compact);
+  EXPECT_EQ(compact->format, TaskRecordFormat::compact);
   EXPECT_EQ(compact->first, 12u);
   EXPECT_EQ(compact->end, 24u);
   for (const char* other : {"task/j-7/x", "job/j-7", "task/j-7/", "task/j-7/1-", "task/j-7/2-2",
                             "task/j-7/1-2-3", "task/j-7/1+2", "task/j-7/0-100001"}) {
-    EXPECT_FALSE(parse_chunk_key(other)) << other;
+    EXPECT_FALSE(parse_task_range_key(other)) << other;
   }
 }
 
--- /dev/null
+++ b/src/jobs/status_query_queue.cpp
@@ -0,0 +1,54 @@
+#include "jobs/status_query_queue.h"
+
+namespace reachramp::jobs {
+
+StatusQueryQueue::QueryPtr StatusQueryQueue::join(const std::string& id, double unanswered_since) {
+  QueryPtr& slot = joinable_by_id_[id];
+  if (!slot) {
+    slot = std::make_shared<StatusQuery>();
+    slot->id = id;
+    slot->unanswered_since = unanswered_since;
+    slot->arrival_number = ++last_arrival_number_;
+    queued_.insert(slot);
+  }
+  ++slot->waiters;
+  return slot;
+}
+
+void StatusQueryQueue::remove(const QueryPtr& query) {
+  const auto joinable = joinable_by_id_.find(query->id);
+  if (joinable != joinable_by_id_.end() && joinable->second == query)
+    joinable_by_id_.erase(joinable);
+  query->queued = false;
+  queued_.erase(query);
+}
+
+void StatusQueryQueue::leave(const QueryPtr& query) {
+  if (--query->waiters == 0 && query->queued) remove(query);
+}
+
+StatusQueryQueue::QueryPtr StatusQueryQueue::take_front() {
+  QueryPtr first = front();
+  remove(first);
+  return first;
+}
+
+std::vector<StatusQueryQueue::QueryPtr> StatusQueryQueue::take(
+    std::size_t max_count, const std::function<bool(const StatusQuery&)>& filter) {
+  std::vector<QueryPtr> taken;
+  for (const QueryPtr& question : queued_) {
+    if (taken.size() == max_count) break;
+    if (filter(*question)) taken.push_back(question);
+  }
+  for (const QueryPtr& question : taken) remove(question);
+  return taken;
+}
+
+void StatusQueryQueue::requeue(const QueryPtr& query) {
+  if (query->waiters == 0) return;
+  query->queued = true;
+  queued_.insert(query);
+  joinable_by_id_.try_emplace(query->id, query);
+}
+
+}  // namespace reachramp::jobs
--- a/src/jobs/question_queue_test.cpp
+++ b/src/jobs/status_query_queue_test.cpp
@@ -1,14 +1,14 @@
-#include "jobs/question_queue.h"
+#include "jobs/status_query_queue.h"
 
 #include <gtest/gtest.h>
 
 namespace reachramp::jobs {
 namespace {
 
-bool any(const Question&) { return true; }
+bool any(const StatusQuery&) { return true; }
 
 TEST(QuestionQueue, LongestUnansweredJobComesFirst) {
-  QuestionQueue queue;
+  StatusQueryQueue queue;
   queue.join("j-new", 9);
   queue.join("j-old", 2);
   queue.join("j-newer", 9);
@@ -19,7 +19,7 @@
 }
 
 TEST(QuestionQueue, QuestionsAboutOneJobShareARequestUntilItIsTaken) {
-  QuestionQueue queue;
+  StatusQueryQueue queue;
   const auto first = queue.join("j-1", 1);
   EXPECT_EQ(queue.join("j-1", 1), first);
   EXPECT_EQ(queue.take(9, any).size(), 1u);
@@ -27,16 +27,16 @@
 }
 
 TEST(QuestionQueue, WhatIsPutBackKeepsItsPlaceAndCanBeJoined) {
-  QuestionQueue queue;
+  StatusQueryQueue queue;
   const auto first = queue.join("j-1", 1);
   queue.join("j-2", 2);
-  queue.put_back(queue.take_front());
+  queue.requeue(queue.take_front());
   EXPECT_EQ(queue.front(), first);
   EXPECT_EQ(queue.join("j-1", 1), first);
 }
 
 TEST(QuestionQueue, NobodyWaitsForWhatAllHaveLeft) {
-  QuestionQueue queue;
+  StatusQueryQueue queue;
   const auto one = queue.join("j-1", 1);
   queue.join("j-1", 1);
   queue.leave(one);
@@ -46,14 +46,15 @@
   const auto taken = queue.join("j-2", 1);
   queue.take_front();
   queue.leave(taken);
-  queue.put_back(taken);
+  queue.requeue(taken);
   EXPECT_TRUE(queue.empty());
 }
 
 TEST(QuestionQueue, TakesAtMostSoManyThatPassTheFilter) {
-  QuestionQueue queue;
+  StatusQueryQueue queue;
   for (const char* id : {"j-1", "j-2", "j-3", "j-4"}) queue.join(id, 1);
-  const auto taken = queue.take(2, [](const Question& question) { return question.id != "j-1"; });
+  const auto taken =
+      queue.take(2, [](const StatusQuery& question) { return question.id != "j-1"; });
   ASSERT_EQ(taken.size(), 2u);
   EXPECT_EQ(taken[0]->id, "j-2");
   EXPECT_EQ(taken[1]->id, "j-3");
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -11,10 +11,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kTimeout = 1500ms;
+constexpr auto kStoreTimeout = 1500ms;
 // A page may be 512 KiB and a watch's response has no limit; this only bounds our memory.
-constexpr std::size_t kResponseLimit_bytes = 8 * 1024 * 1024;
-constexpr std::size_t kIdleConnections = 8;
+constexpr std::size_t kMaxStoreResponse_bytes = 8 * 1024 * 1024;
+constexpr std::size_t kMaxIdleConnections = 8;
 
 // Whoever would wait longer for our own rate limit is told at once, so that it can decide anew.
 constexpr double kMaxRateWait_s = 0.5;
@@ -29,11 +29,11 @@
 
 }  // namespace
 
-Client::Client(const wire::Address& at, double rps)
-    : http_(at, kIdleConnections, kResponseLimit_bytes), bucket_(rps, rps) {}
+Client::Client(const wire::Address& address, double rps)
+    : http_(address, kMaxIdleConnections, kMaxStoreResponse_bytes), bucket_(rps, rps) {}
 
-wire::Answer Client::call(const char* method, const std::string& target, const Json* body,
-                          std::chrono::milliseconds timeout, int* throttle_count) {
+wire::CallResult Client::call(const char* method, const std::string& target, const Json* body,
+                              std::chrono::milliseconds timeout, int* throttle_count) {
   for (int attempt = 0;; ++attempt) {
     double wait = 0;
     {
@@ -45,21 +45,21 @@
       std::this_thread::sleep_for(std::chrono::duration<double>(wait));
       continue;
     }
-    wire::Answer answer = http_.call(method, target, body, timeout);
-    if (answer.answered) record_response(answer);
+    wire::CallResult answer = http_.call(method, target, body, timeout);
+    if (answer.received_response) record_response(answer);
     if (answer.status == kThrottled && throttle_count != nullptr) ++*throttle_count;
     if (answer.status != kThrottled || attempt >= kMaxRetries) return answer;
     std::this_thread::sleep_for(jittered(kFirstRetry_s * (1 << attempt)));
   }
 }
 
-void Client::record_response(const wire::Answer& answer) {
+void Client::record_response(const wire::CallResult& answer) {
   const std::optional<std::uint64_t> store_revision = decode_store_revision(answer);
   const double now = steady_now();
   std::lock_guard lock(mutex_);
   if (answer.status != kOutage) {
     refused_since_.reset();
-    served_at_ = now;
+    last_served_at_ = now;
   } else if (!refused_since_) {
     refused_since_ = now;
   }
@@ -78,44 +78,45 @@
 
 double Client::seconds_since_served(double now) const {
   std::lock_guard lock(mutex_);
-  return now - served_at_.value_or(kNeverServedAt_s);
+  return now - last_served_at_.value_or(kNeverServedAt_s);
 }
 
 ReadResult Client::get(const std::string& key) {
-  return decode_found(call("GET", encode_key_target(key), nullptr, kTimeout));
+  return decode_read_result(call("GET", encode_key_target(key), nullptr, kStoreTimeout));
 }
 
 ListResult Client::list(const std::string& prefix, const std::string& after) {
-  return decode_page(call("GET", encode_list_target(prefix, after), nullptr, 2 * kTimeout));
+  return decode_list_result(
+      call("GET", encode_list_target(prefix, after), nullptr, 2 * kStoreTimeout));
 }
 
 CommitResult Client::commit(const Transaction& transaction) {
   const Json body = encode_transaction(transaction);
   int throttle_count = 0;
   CommitResult committed =
-      decode_committed(call("POST", kTransactionTarget, &body, kTimeout, &throttle_count));
+      decode_commit_result(call("POST", kTransactionTarget, &body, kStoreTimeout, &throttle_count));
   committed.throttle_count = throttle_count;
   return committed;
 }
 
 LeaseGrant Client::grant_lease(std::chrono::milliseconds lifetime) {
   const Json body = encode_lease_request(lifetime);
-  return decode_lease_grant(call("POST", kLeasesTarget, &body, kTimeout));
+  return decode_lease_grant(call("POST", kLeasesTarget, &body, kStoreTimeout));
 }
 
 Outcome Client::renew_lease(std::uint64_t lease_id) {
   const Json body = Json::object();
-  return decode_outcome(call("POST", encode_lease_renewal_target(lease_id), &body, kTimeout));
+  return decode_outcome(call("POST", encode_lease_renewal_target(lease_id), &body, kStoreTimeout));
 }
 
 void Client::revoke_lease(std::uint64_t lease_id) {
-  call("DELETE", encode_lease_target(lease_id), nullptr, kTimeout);
+  call("DELETE", encode_lease_target(lease_id), nullptr, kStoreTimeout);
 }
 
 WatchResult Client::watch(const std::string& prefix, std::uint64_t after,
                           std::chrono::milliseconds max_wait) {
-  return decode_changes(
-      call("GET", encode_watch_target(prefix, after, max_wait), nullptr, max_wait + kTimeout));
+  return decode_watch_result(
+      call("GET", encode_watch_target(prefix, after, max_wait), nullptr, max_wait + kStoreTimeout));
 }
 
 }  // namespace reachramp::kv
--- a/src/kv/client.h
+++ b/src/kv/client.h
@@ -54,7 +54,7 @@
  public:
   // `rps`: requests per second that this client keeps to, with bursts of one second's worth; below
   // `state.rps`, above which the service throttles.
-  Client(const wire::Address& at, double rps);
+  Client(const wire::Address& address, double rps);
 
   // Strong read of one key.
   ReadResult get(const std::string& key);
@@ -86,16 +86,16 @@
   // Sends a request at the rate the bucket allows and repeats it when throttled, a few times. Not
   // sent at all (refused) if the bucket's queue is too long. Adds to `throttle_count`, if not null,
   // the number of responses that were 429.
-  wire::Answer call(const char* method, const std::string& target, const Json* body,
-                    std::chrono::milliseconds timeout, int* throttle_count = nullptr);
+  wire::CallResult call(const char* method, const std::string& target, const Json* body,
+                        std::chrono::milliseconds timeout, int* throttle_count = nullptr);
   // Updates reachability and the revision clock.
-  void record_response(const wire::Answer& answer);
+  void record_response(const wire::CallResult& answer);
 
   wire::Client http_;
   mutable std::mutex mutex_;  // guards all below
   TokenBucket bucket_;
-  std::optional<double> refused_since_;  // steady seconds; none: the last response was no 503
-  std::optional<double> served_at_;      // steady seconds; none: not served yet
+  std::optional<double> refused_since_;   // steady seconds; none: the last response was no 503
+  std::optional<double> last_served_at_;  // steady seconds; none: not served yet
   RevisionClock revision_clock_;
 };
 
--- a/src/kv/client_bytes_test.cpp
+++ b/src/kv/client_bytes_test.cpp
@@ -14,7 +14,7 @@
 };
 
 TEST(KeyValueClientBytes, EachCallSendsItsLiteralRequest) {
-  test::Recorder service([](const wire::Request& request) -> wire::Reply {
+  test::Recorder service([](const wire::Request& request) -> wire::Response {
     return {200,
             request.path == "/holds" ? received(R"({"permit":9})") : received(R"({"epoch":3})"), 0};
   });
--- a/src/kv/client_test.cpp
+++ b/src/kv/client_test.cpp
@@ -11,7 +11,7 @@
 
 using test::received;
 
-wire::Reply reply(int status) { return {status, received(R"({"epoch":3})"), 0}; }
+wire::Response reply(int status) { return {status, received(R"({"epoch":3})"), 0}; }
 
 // Guards against users seeing a refusal that a short pause would have avoided.
 TEST(KeyValueClient, ThrottledTransactionIsRepeatedAndCounted) {
--- a/src/kv/codec.cpp
+++ b/src/kv/codec.cpp
@@ -11,7 +11,7 @@
 // Runs `decode`, which fills the result according to its outcome; an undecodable response becomes
 // the default result.
 template <class Result, class Decode>
-Result decode_or_unknown(const wire::Answer& answer, Decode decode) {
+Result decode_or_unknown(const wire::CallResult& answer, Decode decode) {
   Result result;
   result.outcome = decode_outcome(answer);
   try {
@@ -26,11 +26,11 @@
 KeyChange decode_change(const Json& item) {
   KeyChange change;
   change.revision = wire::count(item, "stamp");
-  if (const auto removed = wire::maybe_text(item, "remove")) {
+  if (const auto removed = wire::optional_text(item, "remove")) {
     change.key = *removed;
   } else {
     change.key = wire::text(item, "write");
-    change.value = wire::need(item, "value");
+    change.value = wire::require(item, "value");
   }
   return change;
 }
@@ -44,8 +44,8 @@
 
 }  // namespace
 
-bool fits(const Json& value, double value_kb, std::size_t more) {
-  return static_cast<double>(wire::json_size(value) + more) <= value_kb * 1024;
+bool fits(const Json& value, double value_kb, std::size_t growth_bytes) {
+  return static_cast<double>(wire::json_size(value) + growth_bytes) <= value_kb * 1024;
 }
 
 std::string encode_key_target(const std::string& key) { return "/keys/" + key; }
@@ -86,8 +86,9 @@
   return {{"life_ms", lifetime.count()}};
 }
 
-Outcome decode_outcome(const wire::Answer& answer) {
-  if (!answer.answered) return answer.sent ? Outcome::unknown : Outcome::refused;
+Outcome decode_outcome(const wire::CallResult& answer) {
+  if (!answer.received_response)
+    return answer.may_have_been_sent ? Outcome::unknown : Outcome::refused;
   switch (answer.status) {
     case 200:
       return Outcome::ok;
@@ -103,13 +104,13 @@
   }
 }
 
-std::optional<std::uint64_t> decode_store_revision(const wire::Answer& answer) {
+std::optional<std::uint64_t> decode_store_revision(const wire::CallResult& answer) {
   const Json* revision = answer.body.is_object() ? wire::find(answer.body, "epoch") : nullptr;
   if (revision == nullptr || !revision->is_number_unsigned()) return std::nullopt;
   return revision->get<std::uint64_t>();
 }
 
-CommitResult decode_committed(const wire::Answer& answer) {
+CommitResult decode_commit_result(const wire::CallResult& answer) {
   return decode_or_unknown<CommitResult>(answer, [&](CommitResult& result) {
     if (result.outcome == Outcome::ok) result.store_revision = wire::count(answer.body, "epoch");
     if (result.outcome == Outcome::conflict) {
@@ -123,20 +124,20 @@
   });
 }
 
-ListResult decode_page(const wire::Answer& answer) {
+ListResult decode_list_result(const wire::CallResult& answer) {
   return decode_or_unknown<ListResult>(answer, [&](ListResult& page) {
     if (page.outcome != Outcome::ok) return;
     page.store_revision = wire::count(answer.body, "epoch");
     const Json* more = wire::find(answer.body, "truncated");
-    page.more = more != nullptr && more->get<bool>();
+    page.has_more = more != nullptr && more->get<bool>();
     for (const Json& item : wire::list(answer.body, "entries")) {
       page.entries.push_back(
-          {wire::text(item, "k"), wire::need(item, "value"), wire::count(item, "stamp")});
+          {wire::text(item, "k"), wire::require(item, "value"), wire::count(item, "stamp")});
     }
   });
 }
 
-WatchResult decode_changes(const wire::Answer& answer) {
+WatchResult decode_watch_result(const wire::CallResult& answer) {
   return decode_or_unknown<WatchResult>(answer, [&](WatchResult& result) {
     if (result.outcome != Outcome::ok) return;
     result.store_revision = wire::count(answer.body, "epoch");
@@ -146,10 +147,10 @@
   });
 }
 
-ReadResult decode_found(const wire::Answer& answer) {
+ReadResult decode_read_result(const wire::CallResult& answer) {
   return decode_or_unknown<ReadResult>(answer, [&](ReadResult& found) {
     if (found.outcome == Outcome::ok) {
-      found.entry = {wire::text(answer.body, "k"), wire::need(answer.body, "value"),
+      found.entry = {wire::text(answer.body, "k"), wire::require(answer.body, "value"),
                      wire::count(answer.body, "stamp")};
       if (wire::find(answer.body, "permit") != nullptr) {
         found.entry.lease_id = wire::count(answer.body, "permit");
@@ -160,7 +161,7 @@
   });
 }
 
-LeaseGrant decode_lease_grant(const wire::Answer& answer) {
+LeaseGrant decode_lease_grant(const wire::CallResult& answer) {
   return decode_or_unknown<LeaseGrant>(answer, [&](LeaseGrant& lease) {
     if (lease.outcome == Outcome::ok) lease.id = wire::count(answer.body, "permit");
   });
--- a/src/kv/codec.h
+++ b/src/kv/codec.h
@@ -20,7 +20,7 @@
 // Whether the value, and `more` bytes by which the caller expects it to grow, stays within the size
 // limit of a value (`state.value_kb`, in KiB of the JSON form). A transaction that exceeds it is
 // malformed as a whole, so callers check before they commit.
-bool fits(const Json& value, double value_kb, std::size_t more = 0);
+bool fits(const Json& value, double value_kb, std::size_t growth_bytes = 0);
 
 // Request targets. Slashes in keys are not escaped, as the protocol wants it.
 inline constexpr const char* kTransactionTarget = "/multi";
@@ -38,15 +38,15 @@
 Json encode_lease_request(std::chrono::milliseconds lifetime);
 
 // What the status of a response says, or its absence.
-Outcome decode_outcome(const wire::Answer& answer);
+Outcome decode_outcome(const wire::CallResult& answer);
 // The store revision of any response that carries one; nothing if it doesn't.
-std::optional<std::uint64_t> decode_store_revision(const wire::Answer& answer);
+std::optional<std::uint64_t> decode_store_revision(const wire::CallResult& answer);
 
 // `throttle_count` is left to the caller: one response cannot tell it.
-CommitResult decode_committed(const wire::Answer& answer);
-ListResult decode_page(const wire::Answer& answer);
-WatchResult decode_changes(const wire::Answer& answer);
-ReadResult decode_found(const wire::Answer& answer);
-LeaseGrant decode_lease_grant(const wire::Answer& answer);
+CommitResult decode_commit_result(const wire::CallResult& answer);
+ListResult decode_list_result(const wire::CallResult& answer);
+WatchResult decode_watch_result(const wire::CallResult& answer);
+ReadResult decode_read_result(const wire::CallResult& answer);
+LeaseGrant decode_lease_grant(const wire::CallResult& answer);
 
 }  // namespace reachramp::kv
--- a/src/kv/codec_bytes_test.cpp
+++ b/src/kv/codec_bytes_test.cpp
@@ -9,7 +9,7 @@
 using test::is_written_as;
 using test::received;
 
-wire::Answer response(int status, const char* body) {
+wire::CallResult response(int status, const char* body) {
   return {true, true, status, received(body), 0};
 }
 
@@ -26,35 +26,35 @@
 }
 
 TEST(KeyValueCodecBytes, ResponsesToTransactionAreDecodedFromLiteral) {
-  const CommitResult committed = decode_committed(response(200, R"({"epoch":41})"));
+  const CommitResult committed = decode_commit_result(response(200, R"({"epoch":41})"));
   EXPECT_EQ(committed.outcome, Outcome::ok);
   EXPECT_EQ(committed.store_revision, 41u);
   const CommitResult conflict =
-      decode_committed(response(409, R"({"failed":["job/j-1","level"]})"));
+      decode_commit_result(response(409, R"({"failed":["job/j-1","level"]})"));
   EXPECT_EQ(conflict.outcome, Outcome::conflict);
   EXPECT_EQ(conflict.failed_keys, (std::vector<std::string>{"job/j-1", "level"}));
-  EXPECT_EQ(decode_committed(response(400, R"({"error":"no such lease"})")).outcome,
+  EXPECT_EQ(decode_commit_result(response(400, R"({"error":"no such lease"})")).outcome,
             Outcome::unknown_lease);
-  EXPECT_EQ(decode_committed(response(400, R"({"error":"too large"})")).outcome,
+  EXPECT_EQ(decode_commit_result(response(400, R"({"error":"too large"})")).outcome,
             Outcome::malformed);
 }
 
 TEST(KeyValueCodecBytes, PageOfKeysIsDecodedFromLiteral) {
-  const ListResult page = decode_page(response(
+  const ListResult page = decode_list_result(response(
       200,
       R"({"epoch":41,"truncated":true,"entries":[{"k":"job/j-1","value":{"a":1},"stamp":7}]})"));
   EXPECT_EQ(page.outcome, Outcome::ok);
   EXPECT_EQ(page.store_revision, 41u);
-  EXPECT_TRUE(page.more);
+  EXPECT_TRUE(page.has_more);
   ASSERT_EQ(page.entries.size(), 1u);
   EXPECT_EQ(page.entries[0].key, "job/j-1");
   EXPECT_TRUE(is_written_as(page.entries[0].value, R"({"a":1})"));
   EXPECT_EQ(page.entries[0].revision, 7u);
-  EXPECT_FALSE(decode_page(response(200, R"({"epoch":41,"entries":[]})")).more);
+  EXPECT_FALSE(decode_list_result(response(200, R"({"epoch":41,"entries":[]})")).has_more);
 }
 
 TEST(KeyValueCodecBytes, ChangesOfWatchAreDecodedFromLiteral) {
-  const WatchResult changes = decode_changes(
+  const WatchResult changes = decode_watch_result(
       response(200, R"({"epoch":41,"log":[{"write":"job/j-1","value":{"a":1},"stamp":7},
                                  {"remove":"job/j-2","stamp":8}]})"));
   EXPECT_EQ(changes.outcome, Outcome::ok);
@@ -67,21 +67,21 @@
   EXPECT_EQ(changes.changes[1].key, "job/j-2");
   EXPECT_FALSE(changes.changes[1].value);
   EXPECT_EQ(changes.changes[1].revision, 8u);
-  EXPECT_EQ(decode_changes(response(410, R"({"error":"too old"})")).outcome, Outcome::absent);
+  EXPECT_EQ(decode_watch_result(response(410, R"({"error":"too old"})")).outcome, Outcome::absent);
 }
 
 TEST(KeyValueCodecBytes, EntryWithLeaseIsDecodedFromLiteral) {
   const ReadResult found =
-      decode_found(response(200, R"({"k":"leader","value":{"a":1},"stamp":7,"permit":5})"));
+      decode_read_result(response(200, R"({"k":"leader","value":{"a":1},"stamp":7,"permit":5})"));
   EXPECT_EQ(found.outcome, Outcome::ok);
   EXPECT_EQ(found.entry.key, "leader");
   EXPECT_TRUE(is_written_as(found.entry.value, R"({"a":1})"));
   EXPECT_EQ(found.entry.revision, 7u);
   EXPECT_EQ(found.entry.lease_id, 5u);
-  EXPECT_EQ(
-      decode_found(response(200, R"({"k":"a","value":1,"stamp":7,"permit":null})")).entry.lease_id,
-      0u);
-  const ReadResult absent = decode_found(response(404, R"({"epoch":41})"));
+  EXPECT_EQ(decode_read_result(response(200, R"({"k":"a","value":1,"stamp":7,"permit":null})"))
+                .entry.lease_id,
+            0u);
+  const ReadResult absent = decode_read_result(response(404, R"({"epoch":41})"));
   EXPECT_EQ(absent.outcome, Outcome::absent);
   EXPECT_EQ(absent.store_revision, 41u);
 }
@@ -98,15 +98,16 @@
 }
 
 TEST(KeyValueCodecBytes, MissingResponseIsUnknownOnlyIfTheRequestWasSent) {
-  wire::Answer missing;
+  wire::CallResult missing;
   EXPECT_EQ(decode_outcome(missing), Outcome::refused);
-  missing.sent = true;
+  missing.may_have_been_sent = true;
   EXPECT_EQ(decode_outcome(missing), Outcome::unknown);
 }
 
 TEST(KeyValueCodecBytes, UndecodableResponseIsUnknown) {
-  EXPECT_EQ(decode_committed(response(200, R"({"epoch":"41"})")).outcome, Outcome::unknown);
-  EXPECT_EQ(decode_page(response(200, R"({"epoch":41,"entries":[7]})")).outcome, Outcome::unknown);
+  EXPECT_EQ(decode_commit_result(response(200, R"({"epoch":"41"})")).outcome, Outcome::unknown);
+  EXPECT_EQ(decode_list_result(response(200, R"({"epoch":41,"entries":[7]})")).outcome,
+            Outcome::unknown);
 }
 
 }  // namespace
--- a/src/kv/revision_clock.cpp
+++ b/src/kv/revision_clock.cpp
@@ -24,7 +24,7 @@
   if (!first_observed_) first_observed_ = store_revision;
   if (samples_.empty() || store_revision > samples_.back().revision) {
     // Between two samples close by, one or the other is soon enough.
-    if (!samples_.empty() && now - samples_.back().at < kSampleInterval_s) return;
+    if (!samples_.empty() && now - samples_.back().observed_at < kSampleInterval_s) return;
     samples_.push_back({store_revision, now});
     if (samples_.size() > kMaxSamples) compact(now);
     return;
@@ -33,17 +33,19 @@
   const bool has_two =
       samples_.size() > 1 && samples_[samples_.size() - 2].revision == store_revision;
   if (has_two) {
-    samples_.back().at = std::max(samples_.back().at, now);
+    samples_.back().observed_at = std::max(samples_.back().observed_at, now);
   } else {
-    samples_.push_back({store_revision, std::max(samples_.back().at, now)});
+    samples_.push_back({store_revision, std::max(samples_.back().observed_at, now)});
   }
 }
 
 void RevisionClock::compact(double now) {
   std::vector<RevisionSample> kept{samples_.front()};
   for (std::size_t i = 1; i + 1 < samples_.size(); ++i) {
-    const double spacing = std::max(kMinSpacing_s, (now - samples_[i + 1].at) * kSpacingByAge);
-    if (samples_[i + 1].at - kept.back().at >= spacing) kept.push_back(samples_[i]);
+    const double spacing =
+        std::max(kMinSpacing_s, (now - samples_[i + 1].observed_at) * kSpacingByAge);
+    if (samples_[i + 1].observed_at - kept.back().observed_at >= spacing)
+      kept.push_back(samples_[i]);
   }
   kept.push_back(samples_.back());
   const std::size_t surplus = kept.size() - std::min(kept.size(), kMaxSamples);
@@ -61,24 +63,24 @@
 double RevisionClock::time_of(std::uint64_t revision, double now) const {
   const auto after = first_reaching(revision);
   if (after == samples_.end()) return now;
-  if (after == samples_.begin()) return after->at;
+  if (after == samples_.begin()) return after->observed_at;
   const RevisionSample& before = *std::prev(after);
   const double part = static_cast<double>(revision - before.revision) /
                       static_cast<double>(after->revision - before.revision);
-  return before.at + (after->at - before.at) * part;
+  return before.observed_at + (after->observed_at - before.observed_at) * part;
 }
 
 std::optional<double> RevisionClock::earliest_time_of(std::uint64_t revision) const {
   if (!first_observed_ || revision <= *first_observed_) return std::nullopt;
   const auto after = first_reaching(revision);
   if (after == samples_.begin()) return std::nullopt;
-  return std::prev(after)->at;
+  return std::prev(after)->observed_at;
 }
 
 wire::Json RevisionClock::encode(double now) const {
   wire::Json samples = wire::Json::array();
   for (const RevisionSample& sample : samples_) {
-    const double age_ms = std::max(0.0, std::round((now - sample.at) * 1000));
+    const double age_ms = std::max(0.0, std::round((now - sample.observed_at) * 1000));
     samples.push_back({sample.revision, static_cast<std::uint64_t>(age_ms)});
   }
   return {{"marks", std::move(samples)}};
@@ -103,9 +105,9 @@
   std::vector<RevisionSample> found;
   for (const wire::Json& item : list) {
     const RevisionSample sample = decode_sample(item, written_at);
-    const bool out_of_order =
-        !found.empty() && (sample.revision < found.back().revision || sample.at < found.back().at);
-    if (sample.revision > revision || written_at - sample.at > kMaxAge_s || out_of_order) {
+    const bool out_of_order = !found.empty() && (sample.revision < found.back().revision ||
+                                                 sample.observed_at < found.back().observed_at);
+    if (sample.revision > revision || written_at - sample.observed_at > kMaxAge_s || out_of_order) {
       throw wire::BadMessage("timeline: marks out of order");
     }
     if (sample.revision < end) found.push_back(sample);
@@ -124,7 +126,7 @@
 }
 
 bool is_stale(const std::string& key, const wire::Json&, std::uint32_t level) {
-  return key == kTimelineKey && level < schema::kAges;
+  return key == kTimelineKey && level < schema::kTimeline;
 }
 
 }  // namespace reachramp::kv
--- a/src/kv/revision_clock.h
+++ b/src/kv/revision_clock.h
@@ -55,7 +55,7 @@
   // both.
   struct RevisionSample {
     std::uint64_t revision = 0;
-    double at = 0;
+    double observed_at = 0;
   };
 
   // The first sample that is not before the revision, or the end.
--- a/src/kv/types.h
+++ b/src/kv/types.h
@@ -46,7 +46,7 @@
 struct ListResult {
   Outcome outcome = Outcome::unknown;
   std::vector<Entry> entries;
-  bool more = false;                 // the page was truncated: go on after its last key
+  bool has_more = false;             // the page was truncated: go on after its last key
   std::uint64_t store_revision = 0;  // as of which the page was read
 };
 
--- a/src/leadership/holder.cpp
+++ b/src/leadership/holder.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 wire::Json encode_holder(const Identity& self, std::uint64_t lease_id) {
-  return {{"node", self.node}, {"at", self.at}, {"nonce", nonce_with(self, lease_id)}};
+  return {{"node", self.node}, {"at", self.address}, {"nonce", nonce_with(self, lease_id)}};
 }
 
 std::string node_of(const wire::Json& value) { return text_in(value, "node"); }
@@ -29,7 +29,7 @@
   if (node.empty()) return Holder::unreadable;
   if (node != self.node) return Holder::other;
   if (lease_id != 0 && text_in(value, "nonce") == nonce_with(self, lease_id)) return Holder::ours;
-  return text_in(value, "at") == self.at ? Holder::predecessor : Holder::other;
+  return text_in(value, "at") == self.address ? Holder::predecessor : Holder::other;
 }
 
 }  // namespace reachramp::leadership
--- a/src/leadership/holder.h
+++ b/src/leadership/holder.h
@@ -15,9 +15,9 @@
 
 // What distinguishes this process from every other that may write the leader's record.
 struct Identity {
-  std::string node;   // name from the settings
-  std::string at;     // host:port for other nodes: the same name elsewhere is not this node
-  std::string nonce;  // random, one for each process
+  std::string node;     // name from the settings
+  std::string address;  // host:port for other nodes: the same name elsewhere is not this node
+  std::string nonce;    // random, one for each process
 };
 
 // Whose record it is, as seen from one process.
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -23,7 +23,7 @@
 // Long worker leases are no reason to leave a dead leader's key longer: meanwhile nothing starts.
 constexpr double kMaxLease_s = 4;
 constexpr double kRenewalsPerLease = 4;
-constexpr double kRetryDelay_s = 0.3;
+constexpr double kElectionRetryDelay_s = 0.3;
 constexpr double kDeferral_s = 0.3;
 // Of a worker's lease: how long a node that has resigned leaves the election to others.
 constexpr double kPauseAfterResigning = 0.1;
@@ -43,8 +43,8 @@
                                ShouldDefer should_defer, IsIsolated is_isolated)
     : store_(store),
       platform_(platform),
-      lease_duration_s_(
-          std::clamp(platform.workers.lease_s * kLeasePerWorkerLease, kMinLease_s, kMaxLease_s)),
+      lease_duration_s_(std::clamp(platform.worker_timings.lease_s * kLeasePerWorkerLease,
+                                   kMinLease_s, kMaxLease_s)),
       self_{platform.node_name,
             platform.cluster_listen.host + ":" + std::to_string(platform.cluster_listen.port),
             random_nonce()},
@@ -102,7 +102,7 @@
   changed_.notify_all();
 }
 
-void LeaderElection::note_seen(std::uint64_t revision) {
+void LeaderElection::note_revision(std::uint64_t revision) {
   std::lock_guard lock(mutex_);
   status_.highest_seen_revision = std::max(status_.highest_seen_revision, revision);
 }
@@ -132,7 +132,7 @@
                     [&] { return status_.fencing_token != fencing_token || stepping_down_; });
 }
 
-void LeaderElection::pause_before_retry() { pause(kv::jittered(kRetryDelay_s).count()); }
+void LeaderElection::pause_before_retry() { pause(kv::jittered(kElectionRetryDelay_s).count()); }
 
 void LeaderElection::run() {
   for (;;) {
@@ -157,7 +157,7 @@
 void LeaderElection::revoke_and_pause() {
   store_.revoke_lease(lease_id_);
   lease_id_ = 0;
-  pause(platform_.workers.lease_s * kPauseAfterResigning);
+  pause(platform_.worker_timings.lease_s * kPauseAfterResigning);
 }
 
 kv::Outcome LeaderElection::renew_lease() {
@@ -266,7 +266,7 @@
 
 void LeaderElection::observe_leader(const kv::Json& value, std::uint64_t revision) {
   has_deferred_ = leaderless_ = false;
-  note_seen(revision);
+  note_revision(revision);
   switch (holder_of(value, self_, lease_id_)) {
     case Holder::ours:
       note_renewed(kv::steady_now());
--- a/src/leadership/leader_election.h
+++ b/src/leadership/leader_election.h
@@ -91,7 +91,7 @@
   // Asks for one renewal, and notes when it was asked for if it is granted.
   kv::Outcome renew_lease();
   void note_renewed(double asked_at);
-  void note_seen(std::uint64_t revision);
+  void note_revision(std::uint64_t revision);
   // `fencing_token`: 0 if `leader` is another node, or empty for none.
   void set_leader(std::uint64_t fencing_token, const std::string& leader);
   // Ends the leadership; the highest observed revision stays known. The caller holds `mutex_`.
--- a/src/leadership/read_freshness.cpp
+++ b/src/leadership/read_freshness.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 // Seconds that a worker needs to end a task, and that clocks which drift add to durations.
-constexpr double kMargin_s = 1;
+constexpr double kTaskEndMargin_s = 1;
 // A leader could not stay within less even while the key-value store is well: watches return every
 // second, and an answer may take a few hundred milliseconds.
-constexpr double kMinBound_s = 3;
+constexpr double kMinStalenessBound_s = 3;
 // While the key-value store is well no read of the jobs is as old; where the bound is short, half
 // of it.
 constexpr double kPollAfter_s = 3;
@@ -19,19 +19,21 @@
 constexpr double kWindowSlack_s = 1;
 
 // What the promise allows, which may be too little or negative.
-double exact_bound(const settings::Workers& workers) {
-  return (workers.cancel_s - workers.lease_s) / (1 + 2 * kDrift) - kMargin_s;
+double exact_bound(const settings::WorkerTimings& workers) {
+  return (workers.cancel_s - workers.lease_s) / (1 + 2 * kMaxClockDrift) - kTaskEndMargin_s;
 }
 
 }  // namespace
 
-double staleness_bound(const settings::Workers& workers) {
-  return std::max(exact_bound(workers), kMinBound_s);
+double staleness_bound(const settings::WorkerTimings& workers) {
+  return std::max(exact_bound(workers), kMinStalenessBound_s);
 }
 
-bool bound_holds(const settings::Workers& workers) { return exact_bound(workers) >= kMinBound_s; }
+bool staleness_bound_holds(const settings::WorkerTimings& workers) {
+  return exact_bound(workers) >= kMinStalenessBound_s;
+}
 
-ReadFreshness::ReadFreshness(const settings::Workers& workers, std::size_t members,
+ReadFreshness::ReadFreshness(const settings::WorkerTimings& workers, std::size_t members,
                              double known_until)
     : bound_s_(staleness_bound(workers)),
       jobs_read_until_(known_until),
@@ -46,10 +48,10 @@
 
 // The member read its list after it was asked and before its answer came. So the time that the list
 // covers began, at the latest, that long before the answer came.
-bool ReadFreshness::apply(const CancellationDigest& digest) {
+bool ReadFreshness::apply_digest(const CancellationDigest& digest) {
   if (digest.member >= members_known_until_.size()) return false;
   double& known_until = members_known_until_[digest.member];
-  const double covered = std::min(digest.window_s, digest.covered_s) / (1 + 2 * kDrift);
+  const double covered = std::min(digest.window_s, digest.covered_s) / (1 + 2 * kMaxClockDrift);
   if (digest.received_at < digest.asked_at || digest.received_at - covered > known_until) {
     return false;
   }
--- a/src/leadership/read_freshness.h
+++ b/src/leadership/read_freshness.h
@@ -24,16 +24,16 @@
 namespace reachramp::leadership {
 
 // By what fraction a steady clock may run fast (PROTOCOL, durations).
-inline constexpr double kDrift = 0.0005;
+inline constexpr double kMaxClockDrift = 0.0005;
 
 // For how many seconds after the moment until which it knows all cancellations a leader may answer
 // workers. Never less than a key-value store that is well needs, or no worker would be answered:
 // see `bound_holds`.
-double staleness_bound(const settings::Workers& workers);
+double staleness_bound(const settings::WorkerTimings& workers);
 // Whether `staleness_bound` ends tasks within cancel_s: nothing does where a worker's lease lasts
 // as long as cancel_s, or nearly. A cancellation is then confirmed only once the job's end is
 // stored.
-bool bound_holds(const settings::Workers& workers);
+bool staleness_bound_holds(const settings::WorkerTimings& workers);
 
 // A member's answer to the question what it has confirmed to users as cancelled.
 struct CancellationDigest {
@@ -51,7 +51,7 @@
  public:
   // `members`: how many nodes can confirm cancellations, this one among them. `known_until`: when
   // the jobs that this leader began with were asked for.
-  ReadFreshness(const settings::Workers& workers, std::size_t members, double known_until);
+  ReadFreshness(const settings::WorkerTimings& workers, std::size_t members, double known_until);
 
   // First proof: all jobs, as they were when they were asked for, are in the leader's state.
   // Answers may overtake each other: an older one changes nothing.
@@ -59,7 +59,7 @@
   // Second proof, together with the other members' digests: its cancellations are in the leader's
   // state. Returns false, and changes nothing, if the digest does not reach back to where this
   // member's cancellations are known; it then proves nothing.
-  bool apply(const CancellationDigest& digest);
+  bool apply_digest(const CancellationDigest& digest);
 
   double cancellations_known_until() const;
   double last_jobs_read_at() const { return jobs_read_until_; }
--- a/src/leadership/read_freshness_test.cpp
+++ b/src/leadership/read_freshness_test.cpp
@@ -20,7 +20,7 @@
 namespace reachramp::leadership {
 namespace {
 
-constexpr settings::Workers kWorkers{1, 10, 15, 4, 30};
+constexpr settings::WorkerTimings kWorkers{1, 10, 15, 4, 30};
 
 TEST(ReadFreshness, MayAnswerEndsBeforeALeaseCouldOutlastACancellation) {
   ReadFreshness freshness(kWorkers, 2, 100);
@@ -35,29 +35,30 @@
 TEST(ReadFreshness, DigestsAdvanceItOnlyOnceAllMembersAnswered) {
   ReadFreshness freshness(kWorkers, 2, 100);
   const double window = freshness.query_windows(104).front();
-  EXPECT_TRUE(freshness.apply({0, window, 50, 104, 104.1, {}}));
+  EXPECT_TRUE(freshness.apply_digest({0, window, 50, 104, 104.1, {}}));
   EXPECT_EQ(freshness.cancellations_known_until(), 100) << "the other has not answered";
-  EXPECT_TRUE(freshness.apply({1, window, 50, 104, 104.1, {}}));
+  EXPECT_TRUE(freshness.apply_digest({1, window, 50, 104, 104.1, {}}));
   EXPECT_EQ(freshness.cancellations_known_until(), 104);
 }
 
 TEST(ReadFreshness, DigestWithAGapBeforeItIsRejected) {
   ReadFreshness freshness(kWorkers, 2, 100);
   const double window = freshness.query_windows(104).front();
-  EXPECT_TRUE(freshness.apply({0, window, 50, 104, 104.1, {}}));
-  EXPECT_FALSE(freshness.apply({1, window, 2, 104, 104.1, {}})) << "it began two seconds ago";
-  EXPECT_FALSE(freshness.apply({1, window, 50, 104, 106, {}})) << "its answer was held up";
-  EXPECT_FALSE(freshness.apply({1, window, 50, 104, 103, {}}));
-  EXPECT_FALSE(freshness.apply({2, window, 50, 104, 104.1, {}})) << "no member";
+  EXPECT_TRUE(freshness.apply_digest({0, window, 50, 104, 104.1, {}}));
+  EXPECT_FALSE(freshness.apply_digest({1, window, 2, 104, 104.1, {}}))
+      << "it began two seconds ago";
+  EXPECT_FALSE(freshness.apply_digest({1, window, 50, 104, 106, {}})) << "its answer was held up";
+  EXPECT_FALSE(freshness.apply_digest({1, window, 50, 104, 103, {}}));
+  EXPECT_FALSE(freshness.apply_digest({2, window, 50, 104, 104.1, {}})) << "no member";
   EXPECT_EQ(freshness.cancellations_known_until(), 100);
-  EXPECT_TRUE(freshness.apply({1, window, 50, 104, 104.1, {}}));
+  EXPECT_TRUE(freshness.apply_digest({1, window, 50, 104, 104.1, {}}));
   EXPECT_EQ(freshness.cancellations_known_until(), 104);
 }
 
 TEST(ReadFreshness, BoundDoesNotHoldWhereALeaseLastsNearlyAsLongAsCancelS) {
-  EXPECT_TRUE(bound_holds(kWorkers));
-  EXPECT_FALSE(bound_holds({1, 10, 15, 4, 12}));
-  EXPECT_FALSE(bound_holds({1, 10, 15, 4, 8}));
+  EXPECT_TRUE(staleness_bound_holds(kWorkers));
+  EXPECT_FALSE(staleness_bound_holds({1, 10, 15, 4, 12}));
+  EXPECT_FALSE(staleness_bound_holds({1, 10, 15, 4, 8}));
   EXPECT_GT(staleness_bound({1, 10, 15, 4, 8}), 0) << "or no worker would ever be answered";
 }
 
@@ -67,7 +68,7 @@
  public:
   explicit CancellationHistory(std::uint64_t seed) : random_(seed) {
     for (std::size_t i = 0; i < kMembers; ++i) {
-      clocks_[i].speed = 1 + between(0, kDrift);
+      clocks_[i].speed = 1 + between(0, kMaxClockDrift);
       clocks_[i].offset = between(0, 1e6);
       restart_member(i, 0);
     }
@@ -136,7 +137,7 @@
     for (const auto& [job, at] : stored_at_) {
       if (confirmed_at_.contains(job) || !chance(0.3)) continue;
       const std::size_t by = random_() % kMembers;
-      confirmed_[by]->note(job, clock(by, now));
+      confirmed_[by]->record(job, clock(by, now));
       confirmed_at_[job] = now;
     }
   }
@@ -166,9 +167,9 @@
     for (Poll& poll : polls_) {
       if (now < poll.arrives_at || poll.arrived) continue;
       const std::size_t i = poll.digest.member;
-      const peers::RecentCancellations::Since since =
-          confirmed_[i]->since(poll.digest.window_s, clock(i, now));
-      poll.digest.covered_s = since.complete_s;
+      const peers::RecentCancellations::Confirmed since =
+          confirmed_[i]->confirmed_within(poll.digest.window_s, clock(i, now));
+      poll.digest.covered_s = since.covered_s;
       poll.digest.cancelled = since.jobs;
       poll.arrived = true;
     }
@@ -179,7 +180,7 @@
       if (!poll.arrived || now < poll.answered_at) return false;
       poll.digest.received_at = clock(kLeader, now);
       known_.insert(poll.digest.cancelled.begin(), poll.digest.cancelled.end());
-      freshness_->apply(poll.digest);
+      freshness_->apply_digest(poll.digest);
       return true;
     });
   }
@@ -191,7 +192,7 @@
     longest_without_store_s_ = std::max(longest_without_store_s_, now - last_read_at_);
     for (const auto& [job, at] : confirmed_at_) {
       if (known_.contains(job)) continue;
-      RC_ASSERT(now + kWorkers.lease_s * (1 + kDrift) < at + kWorkers.cancel_s);
+      RC_ASSERT(now + kWorkers.lease_s * (1 + kMaxClockDrift) < at + kWorkers.cancel_s);
     }
   }
 
--- a/src/peers/members_bytes_test.cpp
+++ b/src/peers/members_bytes_test.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 TEST(MemberRecordBytes, RecordIsReadAndWrittenAsLiteral) {
-  EXPECT_TRUE(test::is_written_as(encode_member(kRecordFormat), R"({"format":2})"));
+  EXPECT_TRUE(test::is_written_as(encode_member(kMemberRecordFormat), R"({"format":2})"));
   EXPECT_EQ(member_key("node-1"), "member/node-1");
   const auto stands = [](const char* record) {
-    return all_read({"node-1"}, {{"member/node-1", test::received(record), 3, 0}});
+    return all_support_format({"node-1"}, {{"member/node-1", test::received(record), 3, 0}});
   };
   EXPECT_TRUE(stands(R"({"format":2})"));
   EXPECT_TRUE(stands(R"({"format":3})"));
--- a/src/peers/readiness_bytes_test.cpp
+++ b/src/peers/readiness_bytes_test.cpp
@@ -35,14 +35,14 @@
 TEST(PeerBytes, ServedIsAnsweredWithLiteralFields) {
   kv::Client state({"127.0.0.1", 1}, 10);
   RecentCancellations told(1e9, kv::steady_now());
-  told.note("j-1", kv::steady_now());
+  told.record("j-1", kv::steady_now());
   NodeHealth health(state, platform({"127.0.0.1", 1}), told);
-  wire::Json plain = health.served("", 40).body;
+  wire::Json plain = health.handle_served("", 40).body;
   EXPECT_TRUE(plain.at("ago_s").is_number_float());
   plain["ago_s"] = 0.5;
   EXPECT_TRUE(is_written_as(plain, R"({"served":true,"ago_s":0.5,"leader_stamp":40})"));
   wire::Json asked =
-      health.served(wire::encode(wire::Json::parse(R"({"told_within_s":60.5})")), 40).body;
+      health.handle_served(wire::encode(wire::Json::parse(R"({"told_within_s":60.5})")), 40).body;
   EXPECT_TRUE(asked.at("told").at("complete_s").is_number_float());
   asked["ago_s"] = 0.5;
   asked["told"]["complete_s"] = 12.5;
@@ -51,7 +51,7 @@
 }
 
 TEST(PeerBytes, QuestionsToOtherNodesAreLiteral) {
-  test::Recorder other([](const wire::Request&) -> wire::Reply {
+  test::Recorder other([](const wire::Request&) -> wire::Response {
     return {200, received(R"({"served":true,"ago_s":0.5,"leader_stamp":41,
                          "told":{"complete_s":12.5,"cancelled":["j-7"]}})"),
             0};
@@ -62,8 +62,8 @@
   const auto words = health.poll_cancellations({60.5});
   ASSERT_EQ(words.size(), 1u);
   EXPECT_EQ(words[0].cancelled, std::vector<std::string>{"j-7"});
-  EXPECT_TRUE(health.cut_off(100, 5, 40)) << "leader_stamp is later";
-  EXPECT_FALSE(health.cut_off(100, 5, 41));
+  EXPECT_TRUE(health.leader_must_step_down(100, 5, 40)) << "leader_stamp is later";
+  EXPECT_FALSE(health.leader_must_step_down(100, 5, 41));
   const std::vector<test::Asked> asked = other.asked();
   ASSERT_EQ(asked.size(), 3u);
   EXPECT_EQ(asked[0].line, "GET /served");
@@ -74,7 +74,7 @@
 
 TEST(PeerBytes, ReportIsCarriedAsItIs) {
   constexpr const char* kReport = R"({"host":"n-1","newer":1.0})";
-  test::Recorder leader([](const wire::Request&) -> wire::Reply {
+  test::Recorder leader([](const wire::Request&) -> wire::Response {
     return {200, received(R"({"baton":40,"orders":[]})"), 0};
   });
   HeartbeatForwarder relay(platform(leader.at()));
@@ -89,7 +89,7 @@
   EXPECT_TRUE(is_written_as(asked[0].body, kReport));
   EXPECT_EQ(asked[1].line, "POST /relay/onward");
   EXPECT_TRUE(is_written_as(asked[1].body, kReport));
-  EXPECT_EQ(kMisdirected, 421);
+  EXPECT_EQ(kStatusMisdirectedRequest, 421);
 }
 
 }  // namespace
--- a/src/peers/readiness_test.cpp
+++ b/src/peers/readiness_test.cpp
@@ -8,33 +8,33 @@
 TEST(Readiness, ANodeThatAloneIsRefusedSaysSoAndTakesItsTimeToComeBack) {
   Readiness readiness;
   const auto others = [](bool served) { return [served] { return served; }; };
-  EXPECT_TRUE(readiness.judge(0, others(true), 0));
-  EXPECT_TRUE(readiness.judge(1, others(true), 1)) << "one refusal is nothing";
-  EXPECT_FALSE(readiness.judge(3, others(true), 3));
-  EXPECT_FALSE(readiness.judge(0, others(true), 4)) << "not at the first answer";
-  EXPECT_FALSE(readiness.judge(0.5, others(true), 5));
-  EXPECT_FALSE(readiness.judge(0, others(true), 7.5));
-  EXPECT_TRUE(readiness.judge(0, others(true), 8.5));
+  EXPECT_TRUE(readiness.update(0, others(true), 0));
+  EXPECT_TRUE(readiness.update(1, others(true), 1)) << "one refusal is nothing";
+  EXPECT_FALSE(readiness.update(3, others(true), 3));
+  EXPECT_FALSE(readiness.update(0, others(true), 4)) << "not at the first answer";
+  EXPECT_FALSE(readiness.update(0.5, others(true), 5));
+  EXPECT_FALSE(readiness.update(0, others(true), 7.5));
+  EXPECT_TRUE(readiness.update(0, others(true), 8.5));
 }
 
 // Cut, not refused: no answer comes, and users would be told to come back for as long as it lasts.
 TEST(Readiness, ANodeThatIsNotAnsweredIsNotServed) {
-  EXPECT_EQ(unserved_for(0, 5), 0) << "watches are quiet for so long";
-  EXPECT_EQ(unserved_for(0, 9), 9);
-  EXPECT_EQ(unserved_for(2, 5), 2);
+  EXPECT_EQ(unserved_duration_s(0, 5), 0) << "watches are quiet for so long";
+  EXPECT_EQ(unserved_duration_s(0, 9), 9);
+  EXPECT_EQ(unserved_duration_s(2, 5), 2);
   Readiness readiness;
-  EXPECT_FALSE(readiness.judge(
-      unserved_for(0, 9), [] { return true; }, 9));
+  EXPECT_FALSE(readiness.update(
+      unserved_duration_s(0, 9), [] { return true; }, 9));
 }
 
 TEST(Readiness, InAnOutageAllStayReady) {
   Readiness readiness;
   const auto nobody = [] { return false; };
-  EXPECT_TRUE(readiness.judge(30, nobody, 30));
-  EXPECT_FALSE(readiness.judge(
+  EXPECT_TRUE(readiness.update(30, nobody, 30));
+  EXPECT_FALSE(readiness.update(
       31, [] { return true; }, 31))
       << "the others are back";
-  EXPECT_TRUE(readiness.judge(40, nobody, 40)) << "now they are refused too";
+  EXPECT_TRUE(readiness.update(40, nobody, 40)) << "now they are refused too";
 }
 
 // The users' trouble: a controller loses the key-value store and the others, but not its workers,
@@ -57,8 +57,8 @@
 // A member that says what makes no sense vouches for nothing, and stops nothing.
 TEST(Words, OfBadAnswersNothingCounts) {
   const auto word = [](wire::Json body, int status = 200) {
-    wire::Answer answer;
-    answer.answered = true;
+    wire::CallResult answer;
+    answer.received_response = true;
     answer.status = status;
     answer.body = std::move(body);
     return decode_cancellation_digest(answer);
@@ -80,18 +80,19 @@
 
 TEST(Told, ListsWhatWasToldSinceAndHowFarBackThatIsAll) {
   RecentCancellations told(30, 100);
-  told.note("j-1", 101);
-  told.note("j-2", 105);
-  told.note("j-1", 108);  // again: whoever heard of it needs it no more
-  EXPECT_EQ(told.since(4, 108).jobs, std::vector<std::string>{"j-2"});
-  EXPECT_EQ(told.since(100, 108).jobs.size(), 2u);
-  EXPECT_EQ(told.since(100, 108).complete_s, 8) << "since it began";
-  told.note("j-3", 107);  // by a thread that took the time before the last look
-  EXPECT_EQ(told.since(0.5, 108).jobs, std::vector<std::string>{"j-3"});
-  EXPECT_NEAR(told.since(100, 132).complete_s, 31, 1e-9) << "j-1 is too old to be kept";
-  for (int i = 0; i < 5000; ++i) told.note("j-x" + std::to_string(i), 140);
-  EXPECT_LE(told.since(100, 141).jobs.size(), 2000u);
-  EXPECT_LE(told.since(100, 141).complete_s, 1) << "too many to keep: it vouches for less";
+  told.record("j-1", 101);
+  told.record("j-2", 105);
+  told.record("j-1", 108);  // again: whoever heard of it needs it no more
+  EXPECT_EQ(told.confirmed_within(4, 108).jobs, std::vector<std::string>{"j-2"});
+  EXPECT_EQ(told.confirmed_within(100, 108).jobs.size(), 2u);
+  EXPECT_EQ(told.confirmed_within(100, 108).covered_s, 8) << "since it began";
+  told.record("j-3", 107);  // by a thread that took the time before the last look
+  EXPECT_EQ(told.confirmed_within(0.5, 108).jobs, std::vector<std::string>{"j-3"});
+  EXPECT_NEAR(told.confirmed_within(100, 132).covered_s, 31, 1e-9) << "j-1 is too old to be kept";
+  for (int i = 0; i < 5000; ++i) told.record("j-x" + std::to_string(i), 140);
+  EXPECT_LE(told.confirmed_within(100, 141).jobs.size(), 2000u);
+  EXPECT_LE(told.confirmed_within(100, 141).covered_s, 1)
+      << "too many to keep: it vouches for less";
 }
 
 }  // namespace
--- a/src/peers/recent_cancellations.h
+++ b/src/peers/recent_cancellations.h
@@ -12,35 +12,35 @@
 
 class RecentCancellations {
  public:
-  struct Since {
-    double complete_s = 0;  // so far back all that was told is known
+  struct Confirmed {
+    double covered_s = 0;  // so far back all that was told is known
     std::vector<std::string> jobs;
   };
 
   // Nobody is told anything before `now` (steady seconds). Kept for `keep_s`: whoever asks for more
   // may answer no worker any longer.
-  RecentCancellations(double keep_s, double now);
+  RecentCancellations(double retention_s, double now);
 
   // Before the user is answered. Whether it is the first time that this process says so.
-  bool note(const std::string& job, double now);
+  bool record(const std::string& job, double now);
   // What was told within so many seconds, and how far back that is complete.
-  Since since(double window_s, double now);
+  Confirmed confirmed_within(double window_s, double now);
 
  private:
   struct Entry {
     std::string job;
-    double at = 0;
+    double confirmed_at = 0;
   };
 
-  void forget(double now);
+  void drop_expired(double now);
 
-  static constexpr std::size_t kMost =
+  static constexpr std::size_t kMaxRecentCancellations =
       2000;  // 128 KB at the most; an answer stays within its limit
 
-  const double keep_s_;
+  const double retention_s_;
   std::mutex mutex_;
-  double complete_from_;
-  double looked_at_;           // when anybody was told last what is in the list
+  double covered_since_;
+  double last_read_at_;        // when anybody was told last what is in the list
   std::deque<Entry> entries_;  // the oldest first
   std::unordered_set<std::string> jobs_;
 };
--- a/src/pipelines/dependencies_test.cpp
+++ b/src/pipelines/dependencies_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "placement/order.h"
+#include "placement/service_order.h"
 
 namespace reachramp::pipelines {
 namespace {
@@ -11,7 +11,7 @@
 settings::Platform platform() {
   settings::Platform p;
   p.teams = {{"red", 4, 0, 0, 0}, {"blue", 0, 0, 0, 0}};
-  p.workers = {1, 10, 15, 4, 30};
+  p.worker_timings = {1, 10, 15, 4, 30};
   p.objectives = {{settings::ServiceLevelObjective::Kind::wait, "swept", 40, 1},
                   {settings::ServiceLevelObjective::Kind::deadline, "pushed", 0, 1.5}};
   return p;
@@ -27,7 +27,7 @@
     header.spec.job_class = "c";
     header.spec.image = "img";
     header.spec.cpus = 1;
-    header.spec.estimate_s = 10;
+    header.spec.estimated_duration_s = 10;
     header.spec.depends_on = std::move(needs);
     header.cancelled = cancelled;
     return add(header, now);
@@ -43,20 +43,20 @@
     resolve_dependents(cluster_, id, fate, now);
   }
   bool served(Index job) {
-    const auto order = placement::service_order(cluster_, 1).order;
+    const auto order = placement::service_order(cluster_, 1).jobs;
     return std::find(order.begin(), order.end(), job) != order.end();
   }
   placement::Job& job(Index index) { return *cluster_.jobs[index]; }
 
   settings::Platform platform_ = platform();
-  Cluster cluster_{platform_, 1, jobs::Format::compact};
+  Cluster cluster_{platform_, 1, jobs::TaskRecordFormat::compact};
   std::uint64_t revision_ = 0;
 };
 
 TEST_F(Needs, AJobIsServedOnceAllThatItNeedsHaveEndedAsDone) {
   add("j-1", {});
   const Index two = add("j-2", {"j-1", "j-9"});
-  EXPECT_EQ(unknown(cluster_), (std::vector<std::string>{"j-9"}));
+  EXPECT_EQ(unresolved_dependencies(cluster_), (std::vector<std::string>{"j-9"}));
   cluster_.mark_done(0, 0, 1);
   EXPECT_FALSE(served(two)) << "all its tasks are done, but its user may still be told otherwise";
   end("j-1", DependencyState::done);
@@ -64,7 +64,7 @@
   resolve_dependents(cluster_, "j-9", DependencyState::done, 5);
   EXPECT_TRUE(served(two));
   EXPECT_EQ(job(two).unblocked_at, 5);
-  EXPECT_TRUE(unknown(cluster_).empty());
+  EXPECT_TRUE(unresolved_dependencies(cluster_).empty());
 }
 
 TEST_F(Needs, AWaitingJobHoldsNothingOfItsTeamsGuarantee) {
@@ -98,20 +98,20 @@
   header.spec.depends_on = {"j-1"};
   const Index index = cluster_.add_job(header, 5, 0);
   placement::StoredRecord stored;
-  stored.name = jobs::compact_key("j-2", 0, 1);
-  stored.key = *jobs::parse_chunk_key(stored.name);
+  stored.store_key = jobs::compact_task_range_key("j-2", 0, 1);
+  stored.parsed_key = *jobs::parse_task_range_key(stored.store_key);
   stored.record.last_attempt = 1;
   cluster_.restore(index, {stored}, 0);
   track_dependencies(cluster_, index, 0);
-  EXPECT_FALSE(job(index).waits());
+  EXPECT_FALSE(job(index).is_blocked());
 }
 
 TEST_F(Needs, PriorityAndLatestStartsComeFromTheLastJob) {
   add("j-1", {});
   const Index sweep = add("j-2", {"j-1"});
   add("j-3", {"j-1"});
-  inherit_priority(cluster_);
-  EXPECT_TRUE(job(0).start_by.empty());
+  propagate_priorities(cluster_);
+  EXPECT_TRUE(job(0).latest_starts.empty());
   jobs::Header last;
   last.spec = job(sweep).spec;
   last.spec.id = "j-4";
@@ -120,16 +120,16 @@
   last.spec.deadline_s = 100;
   last.spec.depends_on = {"j-2", "j-3"};
   const Index push = add(last, 2);
-  inherit_priority(cluster_);
+  propagate_priorities(cluster_);
   // Ends of 10 s runs with two reports between: 92, then 80, then 68; half as long again as well.
-  EXPECT_EQ(job(push).start_by, (std::vector<double>{92, 142}));
-  EXPECT_EQ(job(sweep).start_by, (std::vector<double>{80, 130}));
-  EXPECT_EQ(job(0).start_by.front(), 68);
+  EXPECT_EQ(job(push).latest_starts, (std::vector<double>{92, 142}));
+  EXPECT_EQ(job(sweep).latest_starts, (std::vector<double>{80, 130}));
+  EXPECT_EQ(job(0).latest_starts.front(), 68);
   EXPECT_EQ(job(0).priority, jobs::Priority::high);
-  cluster_.cancel(push, {.latest = 3});
-  inherit_priority(cluster_);
+  cluster_.cancel_job(push, {.latest = 3});
+  propagate_priorities(cluster_);
   EXPECT_EQ(job(0).priority, jobs::Priority::normal);
-  EXPECT_TRUE(job(0).start_by.empty());
+  EXPECT_TRUE(job(0).latest_starts.empty());
 }
 
 TEST_F(Needs, TimesOtherThanDeadlinesBeginWhenAJobIsFreed) {
@@ -140,10 +140,10 @@
   header.spec.job_class = "swept";
   header.spec.depends_on = {"j-1"};
   const Index sweep = add(header, 0);
-  EXPECT_TRUE(job(sweep).start_by.empty());
+  EXPECT_TRUE(job(sweep).latest_starts.empty());
   end("j-1", DependencyState::done, 30);
-  inherit_priority(cluster_);
-  EXPECT_EQ(job(sweep).start_by, (std::vector<double>{70}));
+  propagate_priorities(cluster_);
+  EXPECT_EQ(job(sweep).latest_starts, (std::vector<double>{70}));
 }
 
 TEST_F(Needs, WaitingJobsAreExpectedAfterTheLongestPath) {
@@ -168,7 +168,7 @@
               (const std::vector<std::set<std::uint8_t>>& shape,
                const std::vector<std::pair<std::uint8_t, bool>>& events)) {
   settings::Platform p = platform();
-  Cluster cluster(p, 1, jobs::Format::compact);
+  Cluster cluster(p, 1, jobs::TaskRecordFormat::compact);
   const auto name = [](std::size_t i) { return "j-" + std::to_string(i); };
   enum class State { live, done, cancelled };
   std::vector<State> states;
@@ -202,17 +202,17 @@
       cluster.remove_job(index);
       resolve_dependents(cluster, name(i), DependencyState::cancelled, 1);
     } else if (cancels) {
-      cluster.cancel(index, {.latest = 1});
+      cluster.cancel_job(index, {.latest = 1});
       resolve_dependents(cluster, name(i), DependencyState::cancelled, 1);
       cancel(i, cancel);
-    } else if (!cluster.jobs[index]->waits()) {
+    } else if (!cluster.jobs[index]->is_blocked()) {
       cluster.remove_job(index);
       resolve_dependents(cluster, name(i), DependencyState::done, 1);
       states[i] = State::done;
     }
-    inherit_priority(cluster);
+    propagate_priorities(cluster);
     for (std::size_t j = 0; j < shape.size(); ++j) {
-      const placement::Job* job = cluster.job(name(j));
+      const placement::Job* job = cluster.find_job(name(j));
       if (job == nullptr) {
         RC_ASSERT(states[j] != State::live);
         continue;
@@ -220,7 +220,7 @@
       RC_ASSERT(job->cancelled == (states[j] == State::cancelled));
       const bool may_begin = std::all_of(needs[j].begin(), needs[j].end(),
                                          [&](std::size_t n) { return states[n] == State::done; });
-      RC_ASSERT(job->waits() != may_begin);
+      RC_ASSERT(job->is_blocked() != may_begin);
     }
   }
 }
--- a/src/placement/openings_test.cpp
+++ b/src/placement/available_hosts_test.cpp
@@ -1,4 +1,4 @@
-#include "placement/openings.h"
+#include "placement/available_hosts.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -18,7 +18,7 @@
 }
 
 struct World {
-  World() : cluster(p, 1, jobs::Format::compact) {
+  World() : cluster(p, 1, jobs::TaskRecordFormat::compact) {
     cluster.set_catalog({{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a", "b"}},
                          {"odd", 4, 1, 16, 50, 1, 0.4, 0.1, 5, {"b"}},
                          {"large", 32, 0, 128, 50, 1, 3.2, 0.8, 5, {"a", "b"}}});
@@ -31,7 +31,7 @@
     made.spec.cpus = cpus;
     made.spec.ram_gb = ram_gb;
     made.spec.image = "img-" + std::to_string(cluster.jobs.size() % 3);
-    made.spec.spot = true;
+    made.spec.allow_spot = true;
     return cluster.add_job(made, cluster.jobs.size() + 1, 0);
   }
   settings::Platform p = platform();
@@ -44,12 +44,12 @@
   std::vector<std::tuple<bool, double, Index, bool, Index>> found;
   for (Index i = 0; i < cluster.hosts.size(); ++i) {
     const Host& host = *cluster.hosts[i];
-    if (kept[i] || !usable(cluster, host, 1) || !allows(cluster, job, host) ||
+    if (kept[i] || !is_usable(cluster, host, 1) || !may_run_on(cluster, job, host) ||
         !host.free.holds(job.resources_per_task)) {
       continue;
     }
     found.emplace_back(!host.spot, cluster.type_of(host)->cpus, host.type,
-                       !host.images.contains(job.spec.image), i);
+                       !host.cached_images.contains(job.spec.image), i);
   }
   std::sort(found.begin(), found.end());
   std::vector<Index> order;
@@ -67,28 +67,28 @@
   for (int i = 0, size = 1 + pick(20); i < size; ++i) {
     const Index host = test::add_machine(cluster, types[pick(3)], pick(2) ? "a" : "b", pick(2));
     cluster.hosts[host]->draining = pick(6) == 0;
-    cluster.hosts[host]->images.insert("img-" + std::to_string(pick(3)));
+    cluster.hosts[host]->cached_images.insert("img-" + std::to_string(pick(3)));
   }
   for (int i = 0; i < 6; ++i) {
     const Index job = world.add(30, 1 + pick(6), pick(20));
     cluster.jobs[job]->zone = pick(3) == 0 ? cluster.zones.find("a") : kNone;
-    cluster.jobs[job]->spec.spot = pick(3) != 0;
+    cluster.jobs[job]->spec.allow_spot = pick(3) != 0;
   }
-  Openings open(cluster, 1);
+  AvailableHosts open(cluster, 1);
   std::vector<bool> kept(cluster.hosts.size());
   for (int step = 0; step < 30; ++step) {
     const Index index = static_cast<Index>(pick(6));
     Job& job = *cluster.jobs[index];
     const auto found = open.candidates(job);
     RC_ASSERT(found == one_by_one(cluster, job, kept));
-    const std::uint32_t task = cluster.next_pending(job, 0);
+    const std::uint32_t task = cluster.next_pending_task(job, 0);
     if (!found.empty() && task < job.spec.tasks && pick(4) > 0) {
       cluster.place(index, task, 1, found[pick(static_cast<int>(found.size()))], 1);
     } else if (!job.attempts.empty() && pick(2) == 0) {
       cluster.end_attempt(index, job.attempts.begin()->first, 1);
-      open.grown();
+      open.refresh_bounds();
     } else if (!found.empty()) {
-      open.keep({found.front()});
+      open.exclude({found.front()});
       kept[found.front()] = true;
     }
   }
@@ -103,15 +103,15 @@
   }
   const Index first = world.add(kMachines * 4, 1, 1);
   EXPECT_EQ(plan(world.cluster, 1), static_cast<int>(kMachines * 4));
-  Openings open(world.cluster, 1);
+  AvailableHosts open(world.cluster, 1);
   for (std::size_t i = 0; i < kJobs; ++i) {
     const Job& job = *world.cluster.jobs[world.add(10, 1, 1)];
     EXPECT_TRUE(open.candidates(job).empty());
-    EXPECT_TRUE(open.growing(job).empty());
+    EXPECT_TRUE(open.hosts_with_partial_room(job).empty());
   }
-  EXPECT_EQ(open.looked_at(), kMachines) << "once, when the plan began";
+  EXPECT_EQ(open.hosts_examined(), kMachines) << "once, when the plan began";
   world.cluster.end_attempt(first, 0, 1);
-  open.grown();
+  open.refresh_bounds();
   EXPECT_EQ(open.candidates(*world.cluster.jobs.back()).size(), 1u);
 }
 
