--- a/src/placement/cluster.cpp
+++ b/src/placement/cluster.cpp
@@ -6,40 +6,45 @@
 
 namespace {
 
-constexpr double kSlack = 1e-9;
-constexpr double kKeepForLarge_s = 300;
+constexpr double kUsageTolerance = 1e-9;
+constexpr double kLargeTaskReservation_s = 300;
 
 }  // namespace
 
-Cluster::Cluster(const settings::Platform& p, std::uint64_t b, jobs::Format format)
-    : platform(p),
-      fencing_token(b),
-      used(p.teams.size()),
+Cluster::Cluster(const settings::Platform& platform_settings, std::uint64_t token,
+                 jobs::TaskRecordFormat format)
+    : platform(platform_settings),
+      fencing_token(token),
+      usage_by_team(platform_settings.teams.size()),
       format_(format),
-      limits_(format == jobs::Format::whole ? p.state_limits : p.lasting()) {}
+      limits_(format == jobs::TaskRecordFormat::legacy
+                  ? platform_settings.store_limits
+                  : platform_settings.strictest_store_limits()) {}
 
-void Cluster::set_catalog(const cloud::Catalog& fresh) {
-  catalog = fresh;
+void Cluster::set_catalog(const cloud::Catalog& new_catalog) {
+  catalog = new_catalog;
   for (const auto& type : catalog) {
     types.add(type.name);
     for (const auto& zone : type.zones) zones.add(zone);
   }
-  kinds_.assign(types.size(), nullptr);
-  for (const auto& type : catalog) kinds_[types.find(type.name)] = &type;
+  machine_types_.assign(types.size(), nullptr);
+  for (const auto& type : catalog) machine_types_[types.find(type.name)] = &type;
   for (const auto& job : jobs) {
-    if (job) measure(*job);
+    if (job) update_fitting_types(*job);
   }
 }
 
 // Asked for every job and machine at every plan, so it is worked out once.
-void Cluster::measure(Job& job) const {
-  job.fits.assign(kinds_.size(), false);
-  job.smallest = kNone;
-  for (Index type = 0; type < kinds_.size(); ++type) {
-    if (kinds_[type] == nullptr || !jobs::fits_type(job.spec, *kinds_[type])) continue;
-    job.fits[type] = true;
-    if (job.smallest == kNone || kinds_[type]->cpus < kinds_[job.smallest]->cpus) {
-      job.smallest = type;
+void Cluster::update_fitting_types(Job& job) const {
+  job.fits_type.assign(machine_types_.size(), false);
+  job.smallest_fitting_type = kNone;
+  for (Index type = 0; type < machine_types_.size(); ++type) {
+    if (machine_types_[type] == nullptr || !jobs::fits_type(job.spec, *machine_types_[type]))
+      continue;
+    job.fits_type[type] = true;
+    if (job.smallest_fitting_type == kNone ||
+        machine_types_[type]->cpus < machine_types_[job.smallest_fitting_type]->cpus) {
+      job.smallest_fitting_type = type;
     }
   }
 }
@@ -47,26 +52,26 @@
 Index Cluster::add_job(const jobs::Header& header, std::uint64_t revision, double seen_at,
                        CancellationTime cancelled_at) {
   Index index;
-  if (free_jobs_.empty()) {
+  if (free_job_indices_.empty()) {
     index = static_cast<Index>(jobs.size());
     jobs.emplace_back();
   } else {
-    index = free_jobs_.back();
-    free_jobs_.pop_back();
+    index = free_job_indices_.back();
+    free_job_indices_.pop_back();
   }
-  auto made = std::make_unique<Job>();
-  Job& job = *made;
+  auto new_job = std::make_unique<Job>();
+  Job& job = *new_job;
   job.spec = header.spec;
   job.resources_per_task = {job.spec.cpus, job.spec.gpus, job.spec.ram_gb};
   job.revision = revision;
-  job.accepted_revision = header.born != 0 ? header.born : revision;
+  job.accepted_revision = header.accepted_revision != 0 ? header.accepted_revision : revision;
   job.done.resize(job.spec.tasks);
-  cut(job);
-  job.accepted_at = job.unblocked_at = job.idle_since = seen_at;
+  split_into_ranges(job);
+  job.accepted_at = job.unblocked_at = job.attempts_ended_by = seen_at;
   job.priority = job.spec.priority;
-  for (const std::string& need : job.spec.depends_on) {
-    job.dependencies.push_back({need, DependencyState::unknown});
-    dependents[need].insert(index);
+  for (const std::string& dependency_id : job.spec.depends_on) {
+    job.dependencies.push_back({dependency_id, DependencyState::unknown});
+    dependents[dependency_id].insert(index);
   }
   job.reported_done = header.done;
   job.reported_running = header.running;
@@ -74,60 +79,63 @@
     if (platform.teams[i].name == job.spec.team) job.team = i;
   }
   if (job.spec.zone) job.zone = zones.add(*job.spec.zone);
-  expect(job, {});
-  measure(job);
+  compute_latest_starts(job, {});
+  update_fitting_types(job);
   job_index[job.spec.id] = index;
-  jobs[index] = std::move(made);
+  jobs[index] = std::move(new_job);
   jobs_with_changed_counts.insert(index);
-  if (header.cancelled) cancel(index, cancelled_at);
+  if (header.cancelled) cancel_job(index, cancelled_at);
   return index;
 }
 
-void Cluster::expect(Job& job, const std::vector<double>& inherited) const {
-  const double estimate = job.spec.estimate_s;
-  job.due_starts = inherited;
+void Cluster::compute_latest_starts(Job& job, const std::vector<double>& inherited) const {
+  const double estimate = job.spec.estimated_duration_s;
+  job.deadline_latest_starts = inherited;
   if (job.spec.deadline_s) {
-    job.due_starts.push_back(job.accepted_at + *job.spec.deadline_s - estimate);
+    job.deadline_latest_starts.push_back(job.accepted_at + *job.spec.deadline_s - estimate);
   }
-  std::vector<double> others;
+  std::vector<double> objective_starts;
   for (const settings::ServiceLevelObjective& objective : platform.objectives) {
     if (objective.job_class != job.spec.job_class) continue;
     switch (objective.kind) {
       case settings::ServiceLevelObjective::Kind::wait:
-        others.push_back(job.unblocked_at + objective.within_s);
+        objective_starts.push_back(job.unblocked_at + objective.within_s);
         break;
       case settings::ServiceLevelObjective::Kind::finished:
-        others.push_back(job.unblocked_at + objective.within_s - estimate);
+        objective_starts.push_back(job.unblocked_at + objective.within_s - estimate);
         break;
       case settings::ServiceLevelObjective::Kind::deadline:
-        if (job.spec.deadline_s && objective.times != 1) {
-          job.due_starts.push_back(job.accepted_at + *job.spec.deadline_s * objective.times -
-                                   estimate);
+        if (job.spec.deadline_s && objective.deadline_factor != 1) {
+          job.deadline_latest_starts.push_back(
+              job.accepted_at + *job.spec.deadline_s * objective.deadline_factor - estimate);
         }
         break;
     }
   }
-  std::sort(job.due_starts.begin(), job.due_starts.end());
-  job.start_by = job.due_starts;
+  std::sort(job.deadline_latest_starts.begin(), job.deadline_latest_starts.end());
+  job.latest_starts = job.deadline_latest_starts;
   // Times other than deadlines begin when nothing holds the job back any more.
-  if (!job.waits()) job.start_by.insert(job.start_by.end(), others.begin(), others.end());
-  std::sort(job.start_by.begin(), job.start_by.end());
+  if (!job.is_blocked())
+    job.latest_starts.insert(job.latest_starts.end(), objective_starts.begin(),
+                             objective_starts.end());
+  std::sort(job.latest_starts.begin(), job.latest_starts.end());
 }
 
-double Job::next_start_by(double time) const {
-  const auto at = std::lower_bound(start_by.begin(), start_by.end(), time);
-  return at == start_by.end() ? kNever : *at;
+double Job::next_latest_start(double time) const {
+  const auto at = std::lower_bound(latest_starts.begin(), latest_starts.end(), time);
+  return at == latest_starts.end() ? kNever : *at;
 }
 
 void Cluster::remove_job(Index index) {
   Job& job = *jobs[index];
   for (const auto& [task, attempt] : job.attempts) {
-    charge(job, -1);
+    adjust_team_usage(job, -1);
     Host& host = *hosts[attempt.host];
     host.attempts.erase({index, task});
     host.free += job.resources_per_task;
   }
-  for (std::size_t chunk = 0; chunk < job.task_ranges.size(); ++chunk) dirty.erase({index, chunk});
+  for (std::size_t chunk = 0; chunk < job.task_ranges.size(); ++chunk)
+    dirty_task_ranges.erase({index, chunk});
   finished_jobs.erase(index);
   jobs_with_changed_counts.erase(index);
   for (const Dependency& need : job.dependencies) {
@@ -138,10 +146,10 @@
   }
   job_index.erase(job.spec.id);
   jobs[index].reset();
-  free_jobs_.push_back(index);
+  free_job_indices_.push_back(index);
 }
 
-Job* Cluster::job(const std::string& id) {
+Job* Cluster::find_job(const std::string& id) {
   const auto at = job_index.find(id);
   return at == job_index.end() ? nullptr : jobs[at->second].get();
 }
@@ -149,22 +157,23 @@
 Index Cluster::add_host(const std::string& name, double now) {
   const auto known = host_index.find(name);
   if (known != host_index.end()) return known->second;
-  const auto index = free_hosts_.empty() ? static_cast<Index>(hosts.size()) : *free_hosts_.begin();
-  auto made = std::make_unique<Host>();
-  made->name = name;
-  made->known_at = made->rented_at = made->idle_since = now;
-  if (free_hosts_.empty()) {
-    hosts.push_back(std::move(made));
+  const auto index =
+      free_host_indices_.empty() ? static_cast<Index>(hosts.size()) : *free_host_indices_.begin();
+  auto new_host = std::make_unique<Host>();
+  new_host->name = name;
+  new_host->first_known_at = new_host->rented_at = new_host->idle_since = now;
+  if (free_host_indices_.empty()) {
+    hosts.push_back(std::move(new_host));
   } else {
-    hosts[index] = std::move(made);
-    free_hosts_.erase(index);
+    hosts[index] = std::move(new_host);
+    free_host_indices_.erase(index);
   }
   host_index[name] = index;
-  share_names(name);
+  update_name_prefix(name);
   return index;
 }
 
-void Cluster::describe_host(Index index, const std::string& type, const std::string& zone,
+void Cluster::set_host_type(Index index, const std::string& type, const std::string& zone,
                             bool spot) {
   Host& host = *hosts[index];
   if (host.type != kNone) return;
@@ -183,18 +192,18 @@
   for (const TaskRef& ref : attempts) end_attempt(ref.job, ref.task, now);
   host_index.erase(hosts[index]->name);
   hosts[index].reset();
-  free_hosts_.insert(index);
+  free_host_indices_.insert(index);
 }
 
-Host* Cluster::host(const std::string& name) {
+Host* Cluster::find_host(const std::string& name) {
   const auto at = host_index.find(name);
   return at == host_index.end() ? nullptr : hosts[at->second].get();
 }
 
-void Cluster::charge(const Job& job, double sign) {
+void Cluster::adjust_team_usage(const Job& job, double sign) {
   if (job.team == kNone) return;
-  used[job.team].cpus += sign * job.resources_per_task.cpus;
-  used[job.team].gpus += sign * job.resources_per_task.gpus;
+  usage_by_team[job.team].cpus += sign * job.resources_per_task.cpus;
+  usage_by_team[job.team].gpus += sign * job.resources_per_task.gpus;
 }
 
 void Cluster::place(Index index, std::uint32_t task, std::uint64_t number, Index host, double now) {
@@ -205,14 +214,14 @@
   attempt.placed_at = now;
   job.attempts[task] = attempt;
   if (job.spec.shape == jobs::Shape::gang) job.last_attempt = std::max(job.last_attempt, number);
-  const std::size_t chunk = job.chunk_of(task);
-  ++job.task_ranges[chunk].waiting;
-  job.task_ranges[chunk].bytes += bytes_for(index, task, number, *hosts[host]);
+  const std::size_t chunk = job.range_index(task);
+  ++job.task_ranges[chunk].unpersisted_attempts;
+  job.task_ranges[chunk].placement_bytes += added_record_bytes(index, task, number, *hosts[host]);
   hosts[host]->attempts.insert({index, task});
   hosts[host]->was_backfilled = false;
   hosts[host]->free -= job.resources_per_task;
-  charge(job, 1);
-  touch(index, task, now);
+  adjust_team_usage(job, 1);
+  mark_range_dirty(index, task, now);
 }
 
 void Cluster::end_attempt(Index index, std::uint32_t task, double now) {
@@ -223,23 +232,24 @@
   host.attempts.erase({index, task});
   host.free += job.resources_per_task;
   if (host.attempts.empty()) host.idle_since = now;
-  charge(job, -1);
+  adjust_team_usage(job, -1);
   mark_persisted(job, task);
-  job.task_ranges[job.chunk_of(task)].bytes -= bytes_for(index, task, at->second.number, host);
+  job.task_ranges[job.range_index(task)].placement_bytes -=
+      added_record_bytes(index, task, at->second.number, host);
   const bool ran = at->second.running_since >= 0 || at->second.from_previous_leader;
   if (ran && !job.done[task] && !job.cancelled)
     job.interruptions[task] = {now, at->second.voluntary};
   if (!job.done[task]) job.last_attempt = std::max(job.last_attempt, at->second.number);
-  job.idle_since = std::max(job.idle_since, std::min(now, may_run_until(host)));
+  job.attempts_ended_by = std::max(job.attempts_ended_by, std::min(now, tasks_may_run_until(host)));
   job.attempts.erase(at);
-  job.hint = std::min(job.hint, task);
+  job.first_pending_hint = std::min(job.first_pending_hint, task);
   if (job.attempts.empty()) job.gang_started = false;
-  touch(index, task, now);
-  notice_over(index);
+  mark_range_dirty(index, task, now);
+  update_finished(index);
 }
 
-double Cluster::may_run_until(const Host& host) const {
-  return std::max(host.last_heartbeat_at, host.known_at) + platform.workers.lease_s;
+double Cluster::tasks_may_run_until(const Host& host) const {
+  return std::max(host.last_heartbeat_at, host.first_known_at) + platform.worker_timings.lease_s;
 }
 
 void Cluster::mark_done(Index index, std::uint32_t task, double now) {
@@ -248,27 +258,27 @@
   job.done[task] = true;
   job.interruptions.erase(task);
   ++job.done_count;
-  const auto twin = job.attempts.find(task);
-  if (twin != job.attempts.end()) twin->second.stopping = true;
-  touch(index, task, now);
-  notice_over(index);
+  const auto attempt = job.attempts.find(task);
+  if (attempt != job.attempts.end()) attempt->second.stopping = true;
+  mark_range_dirty(index, task, now);
+  update_finished(index);
 }
 
-void Cluster::note_running(Job& job, std::uint32_t task, double since) {
+void Cluster::mark_running(Job& job, std::uint32_t task, double since) {
   Attempt& attempt = job.attempts.at(task);
   if (attempt.running_since < 0) attempt.running_since = since;
   job.interruptions.erase(task);
 }
 
-void Cluster::stop(Index index, std::uint32_t task, double wind_down_s, bool voluntary) {
+void Cluster::request_stop(Index index, std::uint32_t task, double grace_period_s, bool voluntary) {
   Attempt& attempt = jobs[index]->attempts.at(task);
   if (attempt.stopping) return;
   attempt.stopping = true;
   attempt.voluntary = voluntary;
-  attempt.grace_period_s = wind_down_s;
+  attempt.grace_period_s = grace_period_s;
 }
 
-void Cluster::cancel(Index index, CancellationTime at) {
+void Cluster::cancel_job(Index index, CancellationTime at) {
   Job& job = *jobs[index];
   job.cancelled = true;
   job.cancelled_at = at;
@@ -277,29 +287,31 @@
     attempt.stopping = true;
     attempt.grace_period_s = 0;
   }
-  release_unsent(index, at.latest);
-  notice_over(index);
+  end_unsent_attempts(index, at.latest);
+  update_finished(index);
 }
 
-bool Cluster::fills(const Job& job, Index index) const {
-  const cloud::MachineType& type = *kinds_[index];
+bool Cluster::takes_over_half(const Job& job, Index index) const {
+  const cloud::MachineType& type = *machine_types_[index];
   return job.resources_per_task.cpus > type.cpus / 2 ||
          job.resources_per_task.ram_gb > type.ram_gb / 2 ||
          (type.gpus > 0 && job.resources_per_task.gpus > type.gpus / 2);
 }
 
-void Cluster::keep_for_large(double now) {
-  std::erase_if(reserved_for_large, [&](const auto& kept) { return kept.second < now; });
+void Cluster::update_large_task_reservations(double now) {
+  std::erase_if(large_task_reservations, [&](const auto& kept) { return kept.second < now; });
   for (const auto& job : jobs) {
-    if (!job || job->cancelled || job->waits() || job->fails_everywhere() ||
-        job->smallest == kNone || !fills(*job, job->smallest))
+    if (!job || job->cancelled || job->is_blocked() || job->fails_everywhere() ||
+        job->smallest_fitting_type == kNone || !takes_over_half(*job, job->smallest_fitting_type))
       continue;
-    reserved_for_large[{job->smallest, false}] = now + kKeepForLarge_s;
-    if (job->spec.spot) reserved_for_large[{job->smallest, true}] = now + kKeepForLarge_s;
-    if (job->attempts.size() + job->done_count == job->spec.tasks || !within_limit(*job, 1))
+    large_task_reservations[{job->smallest_fitting_type, false}] = now + kLargeTaskReservation_s;
+    if (job->spec.allow_spot)
+      large_task_reservations[{job->smallest_fitting_type, true}] = now + kLargeTaskReservation_s;
+    if (job->attempts.size() + job->done_count == job->spec.tasks || !within_team_limit(*job, 1))
       continue;
     for (const auto& host : hosts) {
-      if (host && host->backfilled && job->fits[host->type] && (job->spec.spot || !host->spot) &&
+      if (host && host->backfilled && job->fits_type[host->type] &&
+          (job->spec.allow_spot || !host->spot) &&
           (job->zone == kNone || job->zone == host->zone)) {
         host->backfilled = false;
       }
@@ -307,45 +319,47 @@
   }
 }
 
-bool Cluster::is_kept_from(const Job& job, Index type, bool spot) const {
-  if (!reserved_for_large.contains({type, spot}) || fills(job, type)) return false;
-  return job.smallest != kNone && kinds_[job.smallest]->cpus < kinds_[type]->cpus;
+bool Cluster::is_reserved_for_larger_tasks(const Job& job, Index type, bool spot) const {
+  if (!large_task_reservations.contains({type, spot}) || takes_over_half(job, type)) return false;
+  return job.smallest_fitting_type != kNone &&
+         machine_types_[job.smallest_fitting_type]->cpus < machine_types_[type]->cpus;
 }
 
-void Cluster::release_unsent(Index index, double now) {
+void Cluster::end_unsent_attempts(Index index, double now) {
   Job& job = *jobs[index];
   std::vector<std::uint32_t> unsent;
   for (const auto& [task, attempt] : job.attempts) {
-    const bool elsewhere = attempt.from_previous_leader || attempt.start_sent ||
-                           attempt.observed != ObservedState::unobserved;
-    if (attempt.stopping && !elsewhere) unsent.push_back(task);
+    const bool may_have_started = attempt.from_previous_leader || attempt.start_sent ||
+                                  attempt.observed_state != ObservedState::unobserved;
+    if (attempt.stopping && !may_have_started) unsent.push_back(task);
   }
   for (const std::uint32_t task : unsent) end_attempt(index, task, now);
 }
 
-void Cluster::notice_over(Index index) {
+void Cluster::update_finished(Index index) {
   // A cancelled job looks over until the attempts that an earlier leader recorded are loaded.
-  if (jobs[index]->finished()) {
+  if (jobs[index]->is_finished()) {
     finished_jobs.insert(index);
   } else {
     finished_jobs.erase(index);
   }
 }
 
-bool Cluster::within_limit(const Job& job, double tasks, const Usage& kept) const {
+bool Cluster::within_team_limit(const Job& job, double tasks, const Usage& reserved) const {
   if (job.team == kNone) return false;
   const settings::Team& team = platform.teams[job.team];
-  const Usage use{used[job.team].cpus + kept.cpus, used[job.team].gpus + kept.gpus};
-  return (team.cpus_max <= 0 ||
-          use.cpus + job.resources_per_task.cpus * tasks <= team.cpus_max + kSlack) &&
-         (team.gpus_max <= 0 ||
-          use.gpus + job.resources_per_task.gpus * tasks <= team.gpus_max + kSlack);
+  const Usage usage{usage_by_team[job.team].cpus + reserved.cpus,
+                    usage_by_team[job.team].gpus + reserved.gpus};
+  return (team.max_cpus <= 0 ||
+          usage.cpus + job.resources_per_task.cpus * tasks <= team.max_cpus + kUsageTolerance) &&
+         (team.max_gpus <= 0 ||
+          usage.gpus + job.resources_per_task.gpus * tasks <= team.max_gpus + kUsageTolerance);
 }
 
-std::uint32_t Cluster::next_pending(Job& job, std::uint32_t from) const {
-  std::uint32_t task = std::max(from, job.hint);
+std::uint32_t Cluster::next_pending_task(Job& job, std::uint32_t from) const {
+  std::uint32_t task = std::max(from, job.first_pending_hint);
   while (task < job.spec.tasks && (job.done[task] || job.attempts.contains(task))) ++task;
-  if (from <= job.hint) job.hint = task;
+  if (from <= job.first_pending_hint) job.first_pending_hint = task;
   return task;
 }
 
--- a/src/placement/cluster_records.cpp
+++ b/src/placement/cluster_records.cpp
@@ -17,126 +17,137 @@
 
 // Whole records are cut as version 0.2.0 cuts them: it drops a record, with what it says is done
 // and placed, whose number is past its own count, and would start those tasks again.
-std::size_t Cluster::chunk_tasks(jobs::Shape shape) const {
-  const bool whole = format_ == jobs::Format::whole;
-  const double each = shape != jobs::Shape::array ? kBytesPerTask
-                      : whole                     ? kBytesPerArrayTask
-                                                  : kCompactBytesPerArrayTask;
-  return static_cast<std::size_t>(std::max(8.0, value_bytes() / each));
+std::size_t Cluster::tasks_per_range(jobs::Shape shape) const {
+  const bool whole = format_ == jobs::TaskRecordFormat::legacy;
+  const double bytes_per_task = shape != jobs::Shape::array ? kBytesPerTask
+                                : whole                     ? kBytesPerArrayTask
+                                                            : kCompactBytesPerArrayTask;
+  return static_cast<std::size_t>(std::max(8.0, max_record_bytes() / bytes_per_task));
 }
 
-void Cluster::cut(Job& job) const {
-  job.chunk_tasks = chunk_tasks(job.spec.shape);
-  job.task_ranges.assign((job.spec.tasks + job.chunk_tasks - 1) / job.chunk_tasks, {});
+void Cluster::split_into_ranges(Job& job) const {
+  job.tasks_per_range = tasks_per_range(job.spec.shape);
+  job.task_ranges.assign((job.spec.tasks + job.tasks_per_range - 1) / job.tasks_per_range, {});
   for (std::size_t i = 0; i < job.task_ranges.size(); ++i) {
-    job.task_ranges[i].first = static_cast<std::uint32_t>(i * job.chunk_tasks);
+    job.task_ranges[i].first = static_cast<std::uint32_t>(i * job.tasks_per_range);
     job.task_ranges[i].end = static_cast<std::uint32_t>(
-        std::min<std::size_t>(job.spec.tasks, (i + 1) * job.chunk_tasks));
+        std::min<std::size_t>(job.spec.tasks, (i + 1) * job.tasks_per_range));
   }
 }
 
-std::string Cluster::chunk_key(const Job& job, std::size_t chunk) const {
-  return format_ == jobs::Format::whole
-             ? jobs::chunk_key(job.spec.id, chunk)
-             : jobs::compact_key(job.spec.id, job.task_ranges[chunk].first,
-                                 job.task_ranges[chunk].end);
+std::string Cluster::task_range_key(const Job& job, std::size_t chunk) const {
+  return format_ == jobs::TaskRecordFormat::legacy
+             ? jobs::legacy_task_range_key(job.spec.id, chunk)
+             : jobs::compact_task_range_key(job.spec.id, job.task_ranges[chunk].first,
+                                            job.task_ranges[chunk].end);
 }
 
-jobs::Json Cluster::encode_chunk(const jobs::ChunkRecord& record) const {
-  return format_ == jobs::Format::whole ? jobs::encode_chunk(record) : jobs::encode_compact(record);
+jobs::Json Cluster::encode_task_range(const jobs::TaskRangeRecord& record) const {
+  return format_ == jobs::TaskRecordFormat::legacy ? jobs::encode_legacy_task_range(record)
+                                                   : jobs::encode_compact_task_range(record);
 }
 
-void Cluster::use_compact(double now) {
-  if (format_ == jobs::Format::compact) return;
-  format_ = jobs::Format::compact;
-  limits_ = platform.lasting();
-  dirty.clear();
+void Cluster::switch_to_compact_records(double now) {
+  if (format_ == jobs::TaskRecordFormat::compact) return;
+  format_ = jobs::TaskRecordFormat::compact;
+  limits_ = platform.strictest_store_limits();
+  dirty_task_ranges.clear();
   for (Index index = 0; index < jobs.size(); ++index) {
     if (!jobs[index]) continue;
     Job& job = *jobs[index];
-    const std::vector<TaskRange> before = std::move(job.task_ranges);
-    for (std::size_t i = 0; i < before.size(); ++i) {
-      if (before[i].revision != 0) {
-        job.obsolete_records.push_back({jobs::chunk_key(job.spec.id, i), before[i].revision});
+    const std::vector<TaskRange> old_ranges = std::move(job.task_ranges);
+    for (std::size_t i = 0; i < old_ranges.size(); ++i) {
+      if (old_ranges[i].revision != 0) {
+        job.obsolete_records.push_back(
+            {jobs::legacy_task_range_key(job.spec.id, i), old_ranges[i].revision});
       }
     }
-    cut(job);
+    split_into_ranges(job);
     for (const auto& [task, attempt] : job.attempts) {
-      if (!attempt.persisted) ++job.task_ranges[job.chunk_of(task)].waiting;
+      if (!attempt.persisted) ++job.task_ranges[job.range_index(task)].unpersisted_attempts;
     }
-    for (const TaskRange& chunk : before) {
-      if (chunk.changed == chunk.stored) continue;
+    for (const TaskRange& chunk : old_ranges) {
+      if (chunk.version == chunk.stored_version) continue;
       for (std::uint32_t task = chunk.first; task < chunk.end;) {
-        touch(index, task, now);
-        task = job.task_ranges[job.chunk_of(task)].end;
+        mark_range_dirty(index, task, now);
+        task = job.task_ranges[job.range_index(task)].end;
       }
     }
-    count_bytes(index);
+    recompute_placement_bytes(index);
   }
 }
 
 // Placements are reckoned without the letters that all names share; as those grow fewer, records
 // grow longer.
-void Cluster::share_names(const std::string& name) {
-  const std::size_t before = shared_.size();
+void Cluster::update_name_prefix(const std::string& name) {
+  const std::size_t before = name_prefix_.size();
   if (host_index.size() == 1) {
-    shared_ = name;
+    name_prefix_ = name;
   } else {
-    const auto differ = std::mismatch(shared_.begin(), shared_.end(), name.begin(), name.end());
-    shared_.erase(differ.first, shared_.end());
+    const auto differ =
+        std::mismatch(name_prefix_.begin(), name_prefix_.end(), name.begin(), name.end());
+    name_prefix_.erase(differ.first, name_prefix_.end());
   }
-  if (format_ == jobs::Format::whole || shared_.size() >= before) return;
+  if (format_ == jobs::TaskRecordFormat::legacy || name_prefix_.size() >= before) return;
   for (Index index = 0; index < jobs.size(); ++index) {
-    if (jobs[index]) count_bytes(index);
+    if (jobs[index]) recompute_placement_bytes(index);
   }
 }
 
-void Cluster::count_bytes(Index index) {
+void Cluster::recompute_placement_bytes(Index index) {
   Job& job = *jobs[index];
-  for (TaskRange& chunk : job.task_ranges) chunk.bytes = 0;
-  std::set<std::tuple<std::size_t, Index, std::uint64_t>> named;
+  for (TaskRange& chunk : job.task_ranges) chunk.placement_bytes = 0;
+  std::set<std::tuple<std::size_t, Index, std::uint64_t>> counted_machines;
   for (const auto& [task, attempt] : job.attempts) {
-    const std::size_t number = job.chunk_of(task);
+    const std::size_t number = job.range_index(task);
     TaskRange& chunk = job.task_ranges[number];
-    chunk.bytes += jobs::placement_bytes(format_, task, chunk.first, attempt.number);
-    const std::uint64_t same = format_ == jobs::Format::whole ? 0 : attempt.number;
-    if (named.insert({number, attempt.host, same}).second) {
-      chunk.bytes +=
-          jobs::machine_bytes(format_, hosts[attempt.host]->name, attempt.number, shared_.size());
+    chunk.placement_bytes += jobs::max_placement_bytes(format_, task, chunk.first, attempt.number);
+    const std::uint64_t attempt_group =
+        format_ == jobs::TaskRecordFormat::legacy ? 0 : attempt.number;
+    if (counted_machines.insert({number, attempt.host, attempt_group}).second) {
+      chunk.placement_bytes += jobs::max_machine_bytes(format_, hosts[attempt.host]->name,
+                                                       attempt.number, name_prefix_.size());
     }
   }
 }
 
-std::size_t Cluster::bytes_for(Index index, std::uint32_t task, std::uint64_t attempt,
-                               const Host& host) const {
+std::size_t Cluster::added_record_bytes(Index index, std::uint32_t task, std::uint64_t attempt,
+                                        const Host& host) const {
   const Job& job = *jobs[index];
-  const TaskRange& chunk = job.task_ranges[job.chunk_of(task)];
-  const bool whole = format_ == jobs::Format::whole;
-  bool named = false;
+  const TaskRange& chunk = job.task_ranges[job.range_index(task)];
+  const bool whole = format_ == jobs::TaskRecordFormat::legacy;
+  bool machine_counted = false;
   for (auto other = host.attempts.lower_bound({index, chunk.first});
-       !named && other != host.attempts.end() && other->job == index && other->task < chunk.end;
+       !machine_counted && other != host.attempts.end() && other->job == index &&
+       other->task < chunk.end;
        ++other) {
-    named = other->task != task && (whole || job.attempts.at(other->task).number == attempt);
+    machine_counted =
+        other->task != task && (whole || job.attempts.at(other->task).number == attempt);
   }
-  return jobs::placement_bytes(format_, task, chunk.first, attempt) +
-         (named ? 0 : jobs::machine_bytes(format_, host.name, attempt, shared_.size()));
+  return jobs::max_placement_bytes(format_, task, chunk.first, attempt) +
+         (machine_counted
+              ? 0
+              : jobs::max_machine_bytes(format_, host.name, attempt, name_prefix_.size()));
 }
 
-bool Cluster::fits_value(const Job& job, std::size_t chunk, std::size_t more) const {
-  return static_cast<double>(jobs::empty_chunk_bytes(format_, job.chunk_tasks, shared_.size()) +
-                             job.task_ranges[chunk].bytes + more) <= value_bytes();
+bool Cluster::record_fits(const Job& job, std::size_t chunk, std::size_t extra_bytes) const {
+  return static_cast<double>(
+             jobs::max_empty_range_bytes(format_, job.tasks_per_range, name_prefix_.size()) +
+             job.task_ranges[chunk].placement_bytes + extra_bytes) <= max_record_bytes();
 }
 
-bool Cluster::has_room(Index index, std::uint32_t task, std::uint64_t attempt, Index host) const {
+bool Cluster::record_has_room(Index index, std::uint32_t task, std::uint64_t attempt,
+                              Index host) const {
   const Job& job = *jobs[index];
-  return fits_value(job, job.chunk_of(task), bytes_for(index, task, attempt, *hosts[host]));
+  return record_fits(job, job.range_index(task),
+                     added_record_bytes(index, task, attempt, *hosts[host]));
 }
 
 void Cluster::mark_persisted(Job& job, std::uint32_t task) {
   Attempt& attempt = job.attempts.at(task);
   if (attempt.persisted) return;
   attempt.persisted = true;
-  --job.task_ranges[job.chunk_of(task)].waiting;
+  --job.task_ranges[job.range_index(task)].unpersisted_attempts;
 }
 
 // The newest record that covers a task tells of it. So records may be cut anew, one at a time and
@@ -148,13 +159,13 @@
             [](const StoredRecord& a, const StoredRecord& b) { return a.revision > b.revision; });
   std::vector<bool> covered(job.spec.tasks);
   for (const StoredRecord& stored : records) {
-    const jobs::ChunkRecord& record = stored.record;
+    const jobs::TaskRangeRecord& record = stored.record;
     job.last_attempt = std::max(job.last_attempt, record.last_attempt);
-    std::vector<std::uint32_t> told;
+    std::vector<std::uint32_t> described_tasks;
     for (const std::uint32_t task : record.done) {
       if (task >= job.spec.tasks || covered[task]) continue;
       mark_done(index, task, now);
-      told.push_back(task);
+      described_tasks.push_back(task);
     }
     for (const jobs::Placement& placement : record.placements) {
       const std::uint32_t task = placement.task;
@@ -165,33 +176,34 @@
       attempt.placed_at = stored.stored_at;
       mark_persisted(job, task);
       attempt.stopping = job.cancelled;
-      told.push_back(task);
+      described_tasks.push_back(task);
     }
-    for (const std::uint32_t task : told) covered[task] = true;
-    const bool compact = stored.key.format == jobs::Format::compact;
+    for (const std::uint32_t task : described_tasks) covered[task] = true;
+    const bool compact = stored.parsed_key.format == jobs::TaskRecordFormat::compact;
     if (compact) {
-      for (std::uint32_t task = stored.key.first; task < std::min(stored.key.end, job.spec.tasks);
-           ++task) {
+      for (std::uint32_t task = stored.parsed_key.first;
+           task < std::min(stored.parsed_key.end, job.spec.tasks); ++task) {
         covered[task] = true;
       }
     }
-    const std::size_t number = compact ? record.first / job.chunk_tasks : stored.key.first;
-    if (stored.key.format == format_ && number < job.task_ranges.size() &&
-        job.task_ranges[number].first == record.first &&
-        (!compact || job.task_ranges[number].end == stored.key.end)) {
-      job.task_ranges[number].revision = stored.revision;
+    const std::size_t range_number =
+        compact ? record.first / job.tasks_per_range : stored.parsed_key.first;
+    if (stored.parsed_key.format == format_ && range_number < job.task_ranges.size() &&
+        job.task_ranges[range_number].first == record.first &&
+        (!compact || job.task_ranges[range_number].end == stored.parsed_key.end)) {
+      job.task_ranges[range_number].revision = stored.revision;
     } else {
-      job.obsolete_records.push_back({stored.name, stored.revision});
+      job.obsolete_records.push_back({stored.store_key, stored.revision});
     }
   }
   for (std::size_t i = 0; i < job.task_ranges.size(); ++i) {
-    job.task_ranges[i].stored = job.task_ranges[i].changed;
-    dirty.erase({index, i});
+    job.task_ranges[i].stored_version = job.task_ranges[i].version;
+    dirty_task_ranges.erase({index, i});
   }
-  notice_over(index);
+  update_finished(index);
 }
 
-void Cluster::release_unstored(Index index, std::size_t chunk, double now) {
+void Cluster::end_unstored_attempts(Index index, std::size_t chunk, double now) {
   Job& job = *jobs[index];
   std::vector<std::uint32_t> unstored;
   for (std::uint32_t task = job.task_ranges[chunk].first; task < job.task_ranges[chunk].end;
@@ -204,32 +216,32 @@
   for (const std::uint32_t task : unstored) end_attempt(index, task, now);
 }
 
-bool Cluster::renew_older(Index index, std::uint64_t revision, double now) {
+bool Cluster::rewrite_older_records(Index index, std::uint64_t revision, double now) {
   Job& job = *jobs[index];
-  bool none = true;
+  bool all_newer = true;
   for (const TaskRange& chunk : job.task_ranges) {
     if (chunk.revision > revision) continue;
-    none = false;
-    if (chunk.changed == chunk.stored) touch(index, chunk.first, now);
+    all_newer = false;
+    if (chunk.version == chunk.stored_version) mark_range_dirty(index, chunk.first, now);
   }
-  return none;
+  return all_newer;
 }
 
-void Cluster::touch(Index index, std::uint32_t task, double now) {
+void Cluster::mark_range_dirty(Index index, std::uint32_t task, double now) {
   jobs_with_changed_counts.insert(index);
-  const std::size_t number = jobs[index]->chunk_of(task);
+  const std::size_t number = jobs[index]->range_index(task);
   TaskRange& chunk = jobs[index]->task_ranges[number];
-  if (chunk.changed++ == chunk.stored) chunk.dirty_since = now;
-  dirty.insert({index, number});
+  if (chunk.version++ == chunk.stored_version) chunk.dirty_since = now;
+  dirty_task_ranges.insert({index, number});
 }
 
-bool Cluster::chunk_is_stored(const Job& job, std::uint32_t task) const {
-  const TaskRange& chunk = job.task_ranges[job.chunk_of(task)];
-  return chunk.changed == chunk.stored;
+bool Cluster::range_is_stored(const Job& job, std::uint32_t task) const {
+  const TaskRange& chunk = job.task_ranges[job.range_index(task)];
+  return chunk.version == chunk.stored_version;
 }
 
-jobs::ChunkRecord Cluster::chunk_record(const Job& job, std::size_t chunk) const {
-  jobs::ChunkRecord record;
+jobs::TaskRangeRecord Cluster::make_range_record(const Job& job, std::size_t chunk) const {
+  jobs::TaskRangeRecord record;
   record.last_attempt = job.last_attempt;
   record.first = job.task_ranges[chunk].first;
   const std::uint32_t end = job.task_ranges[chunk].end;
@@ -238,10 +250,10 @@
   }
   // Whatever was placed had room; a task found running that nobody had placed may have none, and
   // shows again in its worker's next report.
-  const bool full = !fits_value(job, chunk, 0);
+  const bool is_full = !record_fits(job, chunk, 0);
   for (auto at = job.attempts.lower_bound(record.first);
        at != job.attempts.end() && at->first < end; ++at) {
-    if (full && at->second.reconciled) continue;
+    if (is_full && at->second.reconciled) continue;
     record.placements.push_back({at->first, at->second.number, hosts[at->second.host]->name});
   }
   return record;
--- a/src/placement/plan.cpp
+++ b/src/placement/plan.cpp
@@ -7,39 +7,40 @@
 #include <iterator>
 #include <limits>
 
-#include "placement/openings.h"
-#include "placement/order.h"
+#include "placement/available_hosts.h"
 #include "placement/preempt.h"
+#include "placement/service_order.h"
 #include "placement/zone_rules.h"
 
 namespace reachramp::placement {
 
 namespace {
 
-constexpr double kLeastNotice = 1.5;
-constexpr double kSurelyUp = 3;  // boot times
+constexpr double kReclaimStopMargin_s = 1.5;
+constexpr double kBootTimesUntilUp = 3;  // boot times
 // A gang waits so long behind its own team's limit before the team's arrays give way.
-constexpr double kGiveWayAfter_s = 30;
-constexpr Usage kNothing{};
+constexpr double kGangWaitBeforeReservation_s = 30;
+constexpr Usage kNoUsage{};
 // The users expect first tasks within four minutes of a job's acceptance. Room must still come, and
 // a change of leaders may lie between.
-constexpr double kBeginWithin_s = 120;
+constexpr double kFirstTaskAfter_s = 120;
 // Room that is kept for others is not kept from a job that has had no task for so long. The users
 // allow 90 s. Its record, the next report and the fetch of its image come after, and an outage of
 // the key-value store of some twenty seconds may lie between, in which nothing starts.
-constexpr double kStandStill_s = 30;
+constexpr double kMaxIdleBesideReservedRoom_s = 30;
 // Work that has waited so long is served whether or not it can still be in time.
-constexpr double kServeWithin_s = 240;
+constexpr double kLongWait_s = 240;
 
 // For a job that must stay in one zone and has not begun: the zone that holds most of it.
 Index best_zone(const Cluster& cluster, const Job& job, const std::vector<Index>& hosts) {
-  std::map<Index, std::uint32_t> room;
+  std::map<Index, std::uint32_t> capacity_by_zone;
   for (const Index i : hosts) {
-    room[cluster.hosts[i]->zone] += cluster.hosts[i]->free.copies(job.resources_per_task);
+    capacity_by_zone[cluster.hosts[i]->zone] +=
+        cluster.hosts[i]->free.capacity_for(job.resources_per_task);
   }
   Index best = kNone;
-  for (const auto& [zone, copies] : room) {
-    if (best == kNone || copies > room[best]) best = zone;
+  for (const auto& [zone, copies] : capacity_by_zone) {
+    if (best == kNone || copies > capacity_by_zone[best]) best = zone;
   }
   return best;
 }
@@ -47,20 +48,21 @@
 // Room too small for the job's tasks is kept from all that come after it, where it may grow: tasks
 // of one core took every core as it came free, and tasks of two cores that went before them waited
 // two minutes for a machine with two. On so many machines at most.
-void keep_growing_room(const Cluster& cluster, const Job& job, std::size_t most, Openings& open) {
-  if (!cluster.within_limit(job, 1)) return;
-  std::size_t missing = job.spec.tasks - job.done_count;
-  missing = std::min(most, missing - std::min(missing, job.attempts.size()));
-  std::vector<Index> growing = open.growing(job);
-  std::stable_sort(growing.begin(), growing.end(), [&](Index a, Index b) {
+void reserve_partial_room(const Cluster& cluster, const Job& job, std::size_t max_hosts,
+                          AvailableHosts& available) {
+  if (!cluster.within_team_limit(job, 1)) return;
+  std::size_t wanted_hosts = job.spec.tasks - job.done_count;
+  wanted_hosts = std::min(max_hosts, wanted_hosts - std::min(wanted_hosts, job.attempts.size()));
+  std::vector<Index> hosts = available.hosts_with_partial_room(job);
+  std::stable_sort(hosts.begin(), hosts.end(), [&](Index a, Index b) {
     return cluster.hosts[a]->free.cpus > cluster.hosts[b]->free.cpus;
   });
-  growing.resize(std::min(growing.size(), missing));
-  open.keep(growing);
+  hosts.resize(std::min(hosts.size(), wanted_hosts));
+  available.exclude(hosts);
 }
 
 // Of a team's limit, what all but one gang leave to it.
-struct Kept {
+struct GangReservation {
   Usage usage;
   Index gang = kNone;
 };
@@ -68,86 +70,88 @@
 // By team: the gang that has waited longest, for a while at least. It asks for all its tasks at
 // once, while arrays took each core as it came free, and smaller gangs what was left: one waited
 // 705 s of 730. Not while machines that are up could not hold it, and not against a guarantee.
-std::vector<Kept> kept_for_gangs(const Cluster& cluster, const Service& service,
-                                 const Openings& open, double now) {
-  std::vector<Kept> kept(cluster.used.size());
-  for (const Index index : service.order) {
+std::vector<GangReservation> reserve_limits_for_gangs(const Cluster& cluster,
+                                                      const ServiceOrder& order,
+                                                      const AvailableHosts& available, double now) {
+  std::vector<GangReservation> reservations(cluster.usage_by_team.size());
+  for (const Index index : order.jobs) {
     const Job& job = *cluster.jobs[index];
     if (job.spec.shape != jobs::Shape::gang || !job.attempts.empty() || job.fails_everywhere() ||
-        now < job.not_before || now - job.unblocked_at < kGiveWayAfter_s) {
+        now < job.retry_not_before || now - job.unblocked_at < kGangWaitBeforeReservation_s) {
       continue;
     }
-    Index& oldest = kept[job.team].gang;
+    Index& oldest = reservations[job.team].gang;
     if (oldest != kNone && cluster.jobs[oldest]->unblocked_at <= job.unblocked_at) continue;
-    if (open.could_hold(job, job.zone, job.spec.tasks)) oldest = index;
+    if (available.could_hold_when_empty(job, job.zone, job.spec.tasks)) oldest = index;
   }
-  std::vector<Usage> beside(cluster.used.size());  // what others than arrays use
+  std::vector<Usage> non_array_usage(cluster.usage_by_team.size());  // what others than arrays use
   for (const auto& job : cluster.jobs) {
     if (!job || job->team == kNone || job->spec.shape == jobs::Shape::array) continue;
-    beside[job->team].cpus +=
+    non_array_usage[job->team].cpus +=
         job->resources_per_task.cpus * static_cast<double>(job->attempts.size());
-    beside[job->team].gpus +=
+    non_array_usage[job->team].gpus +=
         job->resources_per_task.gpus * static_cast<double>(job->attempts.size());
   }
   const auto fits = [](double limit, double used, double more) {
     return limit <= 0 || used + more <= limit + 1e-6;
   };
-  for (Index team = 0; team < kept.size(); ++team) {
-    if (kept[team].gang == kNone) continue;
+  for (Index team = 0; team < reservations.size(); ++team) {
+    if (reservations[team].gang == kNone) continue;
     const settings::Team& limits = cluster.platform.teams[team];
-    const Job& gang = *cluster.jobs[kept[team].gang];
+    const Job& gang = *cluster.jobs[reservations[team].gang];
     const double tasks = gang.spec.tasks;
     const Usage need{gang.resources_per_task.cpus * tasks, gang.resources_per_task.gpus * tasks};
     // While gangs of its own team are in the way, giving way would help nobody.
-    if (fits(limits.cpus_max, beside[team].cpus, need.cpus) &&
-        fits(limits.gpus_max, beside[team].gpus, need.gpus)) {
-      kept[team].usage = need;
+    if (fits(limits.max_cpus, non_array_usage[team].cpus, need.cpus) &&
+        fits(limits.max_gpus, non_array_usage[team].gpus, need.gpus)) {
+      reservations[team].usage = need;
     }
   }
-  return kept;
+  return reservations;
 }
 
-int place_array(Cluster& cluster, Index index, Openings& open, const Usage& kept, double now,
-                int most = std::numeric_limits<int>::max()) {
+int place_tasks(Cluster& cluster, Index index, AvailableHosts& available, const Usage& reserved,
+                double now, int max_tasks = std::numeric_limits<int>::max()) {
   Job& job = *cluster.jobs[index];
-  std::uint32_t task = cluster.next_pending(job, 0);
+  std::uint32_t task = cluster.next_pending_task(job, 0);
   if (task == job.spec.tasks) return 0;
   // What fails everywhere is tried one by one: a broken array of hundreds took all room each time.
   if (job.fails_everywhere()) {
     if (!job.attempts.empty()) return 0;
-    most = std::min(most, 1);
+    max_tasks = std::min(max_tasks, 1);
   }
-  std::vector<Index> hosts = open.candidates(job);
+  std::vector<Index> hosts = available.candidates(job);
   if (hosts.empty()) return 0;
-  auto in_use = zones_in_use(cluster, job);
-  if (!in_use) return 0;
-  if (job.spec.one_zone && in_use->empty()) {
+  auto tasks_by_zone = count_tasks_by_zone(cluster, job);
+  if (!tasks_by_zone) return 0;
+  if (job.spec.single_zone && tasks_by_zone->empty()) {
     const Index zone = best_zone(cluster, job, hosts);
     std::erase_if(hosts, [&](Index i) { return cluster.hosts[i]->zone != zone; });
   }
   // The loss of a zone should leave a service half of its replicas; where there is no room
   // elsewhere it stands as it can.
-  const bool rather_halved = job.spec.shape == jobs::Shape::service && !job.spec.one_zone;
-  ZoneRules rules(job, std::move(*in_use));
-  if (rather_halved) rules.halve(job, true);
+  const bool prefers_spread = job.spec.shape == jobs::Shape::service && !job.spec.single_zone;
+  ZoneRules rules(job, std::move(*tasks_by_zone));
+  if (prefers_spread) rules.limit_to_half(job, true);
   int placed = 0;
   const std::uint64_t attempt = job.last_attempt + 1;
   const auto fill = [&] {
     for (const Index host : hosts) {
-      while (task < job.spec.tasks && placed < most &&
+      while (task < job.spec.tasks && placed < max_tasks &&
              cluster.hosts[host]->free.holds(job.resources_per_task) &&
-             rules.allow(cluster.hosts[host]->zone) && cluster.within_limit(job, 1, kept) &&
-             cluster.has_room(index, task, attempt, host)) {
-        rules.take(cluster.hosts[host]->zone);
+             rules.allows(cluster.hosts[host]->zone) &&
+             cluster.within_team_limit(job, 1, reserved) &&
+             cluster.record_has_room(index, task, attempt, host)) {
+        rules.add_task(cluster.hosts[host]->zone);
         cluster.place(index, task, attempt, host, now);
         ++placed;
-        task = cluster.next_pending(job, task + 1);
+        task = cluster.next_pending_task(job, task + 1);
       }
     }
   };
   fill();
-  if (rather_halved && !job.spec.spread) {
-    rules.halve(job, false);
+  if (prefers_spread && !job.spec.spread_over_zones) {
+    rules.limit_to_half(job, false);
     fill();
   }
   return placed;
@@ -156,7 +160,8 @@
 // All tasks of a gang or none; while it still gathers, replacements join the same attempt. A gang
 // that lacks machines keeps those of its zone from all that come after it: smaller gangs took them
 // one by one, and one of three machines waited 80 s although it was the first in line.
-int place_gang(Cluster& cluster, Index index, Openings& open, const Usage& kept, double now) {
+int place_gang(Cluster& cluster, Index index, AvailableHosts& available, const Usage& reserved,
+               double now) {
   Job& job = *cluster.jobs[index];
   const bool gathering = !job.attempts.empty();
   const auto wanted = job.spec.tasks - static_cast<std::uint32_t>(job.attempts.size());
@@ -167,35 +172,36 @@
       if (attempt.stopping || attempt.number != job.last_attempt) return 0;
     }
   }
-  auto in_use = zones_in_use(cluster, job);
-  if (!in_use) return 0;
-  std::vector<Index> hosts = open.candidates(job);
+  auto tasks_by_zone = count_tasks_by_zone(cluster, job);
+  if (!tasks_by_zone) return 0;
+  std::vector<Index> hosts = available.candidates(job);
   if (gathering) {
     // A machine that still lists the attempt would ignore a start with the same number.
     std::erase_if(hosts, [&](Index i) {
-      const auto& exited = cluster.hosts[i]->exited;
+      const auto& exited = cluster.hosts[i]->exited_tasks;
       return std::any_of(exited.begin(), exited.end(),
-                         [&](const Exited& e) { return e.job == job.spec.id; });
+                         [&](const ExitedTask& e) { return e.job == job.spec.id; });
     });
   }
-  if (!cluster.within_limit(job, wanted, gathering ? kNothing : kept)) return 0;
-  if (job.spec.one_zone && in_use->empty()) {
+  if (!cluster.within_team_limit(job, wanted, gathering ? kNoUsage : reserved)) return 0;
+  if (job.spec.single_zone && tasks_by_zone->empty()) {
     const Index zone = best_zone(cluster, job, hosts);
     std::erase_if(hosts, [&](Index i) { return cluster.hosts[i]->zone != zone; });
   }
-  ZoneRules rules(job, std::move(*in_use));
+  ZoneRules rules(job, std::move(*tasks_by_zone));
   std::vector<Index> chosen;
   for (const Index host : hosts) {
-    std::uint32_t copies = cluster.hosts[host]->free.copies(job.resources_per_task);
-    while (copies-- > 0 && chosen.size() < wanted && rules.allow(cluster.hosts[host]->zone)) {
-      rules.take(cluster.hosts[host]->zone);
+    std::uint32_t capacity = cluster.hosts[host]->free.capacity_for(job.resources_per_task);
+    while (capacity-- > 0 && chosen.size() < wanted && rules.allows(cluster.hosts[host]->zone)) {
+      rules.add_task(cluster.hosts[host]->zone);
       chosen.push_back(host);
     }
   }
   if (chosen.size() < wanted) {
     const Index zone =
-        job.spec.one_zone && !chosen.empty() ? cluster.hosts[chosen.front()]->zone : kNone;
-    if (!job.fails_everywhere() && open.could_hold(job, zone, wanted)) open.keep(chosen);
+        job.spec.single_zone && !chosen.empty() ? cluster.hosts[chosen.front()]->zone : kNone;
+    if (!job.fails_everywhere() && available.could_hold_when_empty(job, zone, wanted))
+      available.exclude(chosen);
     return 0;
   }
   const std::uint64_t attempt = gathering ? job.last_attempt : job.last_attempt + 1;
@@ -213,14 +219,15 @@
 }
 
 // Jobs that have waited for so long, the longest first; of those that have begun, none unless told.
-std::vector<Index> long_waiting(const Cluster& cluster, std::vector<Index>::const_iterator begin,
-                                std::vector<Index>::const_iterator end, double longer_than_s,
-                                bool begun, double now) {
+std::vector<Index> jobs_waiting_longer_than(const Cluster& cluster,
+                                            std::vector<Index>::const_iterator begin,
+                                            std::vector<Index>::const_iterator end,
+                                            double longer_than_s, bool include_begun, double now) {
   std::vector<Index> found;
   std::copy_if(begin, end, std::back_inserter(found), [&](Index index) {
     const Job& job = *cluster.jobs[index];
-    return !job.fails_everywhere() && now >= job.not_before &&
-           now - job.unblocked_at > longer_than_s && (begun || !has_begun(job));
+    return !job.fails_everywhere() && now >= job.retry_not_before &&
+           now - job.unblocked_at > longer_than_s && (include_begun || !has_begun(job));
   });
   std::stable_sort(found.begin(), found.end(), [&](Index a, Index b) {
     return cluster.jobs[a]->unblocked_at < cluster.jobs[b]->unblocked_at;
@@ -231,21 +238,22 @@
 // The first task, or the gang, of each job that has waited long for it, whatever its rank: the
 // users expect that within four minutes, and the order of service, which counts jobs in time, puts
 // the largest last.
-int place_firsts(Cluster& cluster, const Service& service, Openings& open, double now) {
+int place_overdue_first_tasks(Cluster& cluster, const ServiceOrder& order,
+                              AvailableHosts& available, double now) {
   int placed = 0;
-  for (const Index index : long_waiting(cluster, service.order.begin(), service.order.end(),
-                                        kBeginWithin_s, false, now)) {
+  for (const Index index : jobs_waiting_longer_than(cluster, order.jobs.begin(), order.jobs.end(),
+                                                    kFirstTaskAfter_s, false, now)) {
     const Job& job = *cluster.jobs[index];
-    const int more = job.spec.shape == jobs::Shape::gang
-                         ? place_gang(cluster, index, open, kNothing, now)
-                         : place_array(cluster, index, open, kNothing, now, 1);
-    if (more > 0) {
+    const int newly_placed = job.spec.shape == jobs::Shape::gang
+                                 ? place_gang(cluster, index, available, kNoUsage, now)
+                                 : place_tasks(cluster, index, available, kNoUsage, now, 1);
+    if (newly_placed > 0) {
       spdlog::info("job {}: begins after {:.1f} s, before its turn", job.spec.id,
                    now - job.unblocked_at);
     } else if (job.spec.shape != jobs::Shape::gang) {
-      keep_growing_room(cluster, job, 1, open);
+      reserve_partial_room(cluster, job, 1, available);
     }
-    placed += more;
+    placed += newly_placed;
   }
   return placed;
 }
@@ -254,48 +262,50 @@
 // all machines or its limit, before its others. Not before those of a higher rank: a guest's idle
 // batch took a quarter of the machines from guaranteed work. Not a part of all machines either:
 // that was a small team's whole limit, and its small jobs waited three times as long.
-int place_long_waiting(Cluster& cluster, std::vector<Index>::const_iterator begin,
-                       std::vector<Index>::const_iterator end, Openings& open, double share,
-                       double now) {
-  const std::vector<Index> waiting = long_waiting(cluster, begin, end, kServeWithin_s, true, now);
+int place_long_waiting_jobs(Cluster& cluster, std::vector<Index>::const_iterator begin,
+                            std::vector<Index>::const_iterator end, AvailableHosts& available,
+                            double share, double now) {
+  const std::vector<Index> waiting =
+      jobs_waiting_longer_than(cluster, begin, end, kLongWait_s, true, now);
   if (waiting.empty()) return 0;  // as in most plans
   double all_cores = 0;
   for (const auto& host : cluster.hosts) {
-    if (host && usable(cluster, *host, now)) all_cores += cluster.type_of(*host)->cpus;
+    if (host && is_usable(cluster, *host, now)) all_cores += cluster.type_of(*host)->cpus;
   }
-  std::vector<double> left(cluster.used.size());
-  for (Index team = 0; team < left.size(); ++team) {
-    const double limit = cluster.platform.teams[team].cpus_max;
-    left[team] = share * (limit > 0 ? std::min(limit, all_cores) : all_cores);
+  std::vector<double> cores_left(cluster.usage_by_team.size());
+  for (Index team = 0; team < cores_left.size(); ++team) {
+    const double limit = cluster.platform.teams[team].max_cpus;
+    cores_left[team] = share * (limit > 0 ? std::min(limit, all_cores) : all_cores);
   }
   for (const Index index : waiting) {
     const Job& job = *cluster.jobs[index];
-    left[job.team] -= job.resources_per_task.cpus * static_cast<double>(job.attempts.size());
+    cores_left[job.team] -= job.resources_per_task.cpus * static_cast<double>(job.attempts.size());
   }
   int placed = 0;
   for (const Index index : waiting) {
     const Job& job = *cluster.jobs[index];
-    double& cores = left[job.team];
+    double& cores = cores_left[job.team];
     const double tasks =
         job.resources_per_task.cpus > 0 ? cores / job.resources_per_task.cpus : job.spec.tasks;
-    int more = 0;
+    int newly_placed = 0;
     if (job.spec.shape == jobs::Shape::gang) {
-      if (tasks >= job.spec.tasks) more = place_gang(cluster, index, open, kNothing, now);
+      if (tasks >= job.spec.tasks)
+        newly_placed = place_gang(cluster, index, available, kNoUsage, now);
     } else if (tasks >= 1) {
-      more = place_array(cluster, index, open, kNothing, now,
-                         static_cast<int>(std::min<double>(tasks, job.spec.tasks)));
+      newly_placed = place_tasks(cluster, index, available, kNoUsage, now,
+                                 static_cast<int>(std::min<double>(tasks, job.spec.tasks)));
     }
-    cores -= job.resources_per_task.cpus * more;
-    placed += more;
+    cores -= job.resources_per_task.cpus * newly_placed;
+    placed += newly_placed;
   }
   return placed;
 }
 
 // How long none of its tasks can have run, what is placed on machines that are silent included.
-double still_for(const Cluster& cluster, const Job& job, double now) {
-  double ran_until = std::max(job.idle_since, job.unblocked_at);
+double idle_time_s(const Cluster& cluster, const Job& job, double now) {
+  double ran_until = std::max(job.attempts_ended_by, job.unblocked_at);
   for (const auto& [task, attempt] : job.attempts) {
-    ran_until = std::max(ran_until, cluster.may_run_until(*cluster.hosts[attempt.host]));
+    ran_until = std::max(ran_until, cluster.tasks_may_run_until(*cluster.hosts[attempt.host]));
     if (now < ran_until) return 0;
   }
   return now - ran_until;
@@ -305,53 +315,55 @@
 // is under its limit. Room is kept for growth, beside large tasks, and of a limit for gangs;
 // whoever has stood still for so long gets one task in it all the same, where it takes least. A job
 // whose tasks were lost with their zone counts from the end of their leases, not from their proof.
-int place_one_beside(Cluster& cluster, const Service& service, double now) {
-  std::vector<Index> still;
-  for (const Index index : service.order) {
+int place_in_reserved_room(Cluster& cluster, const ServiceOrder& order, double now) {
+  std::vector<Index> idle_jobs;
+  for (const Index index : order.jobs) {
     Job& job = *cluster.jobs[index];
-    if (!job.fails_everywhere() && now >= job.not_before && job.spec.shape != jobs::Shape::gang &&
-        still_for(cluster, job, now) >= kStandStill_s &&
-        cluster.next_pending(job, 0) < job.spec.tasks) {
-      still.push_back(index);
+    if (!job.fails_everywhere() && now >= job.retry_not_before &&
+        job.spec.shape != jobs::Shape::gang &&
+        idle_time_s(cluster, job, now) >= kMaxIdleBesideReservedRoom_s &&
+        cluster.next_pending_task(job, 0) < job.spec.tasks) {
+      idle_jobs.push_back(index);
     }
   }
-  if (still.empty()) return 0;  // as in most plans
-  std::vector<Index> roomy;
+  if (idle_jobs.empty()) return 0;  // as in most plans
+  std::vector<Index> hosts_with_room;
   for (Index i = 0; i < cluster.hosts.size(); ++i) {
     const auto& host = cluster.hosts[i];
-    if (host && host->free.cpus > 0 && usable(cluster, *host, now) &&
+    if (host && host->free.cpus > 0 && is_usable(cluster, *host, now) &&
         cluster.type_of(*host) != nullptr) {
-      roomy.push_back(i);
+      hosts_with_room.push_back(i);
     }
   }
-  std::stable_sort(roomy.begin(), roomy.end(), [&](Index a, Index b) {
+  std::stable_sort(hosts_with_room.begin(), hosts_with_room.end(), [&](Index a, Index b) {
     return cluster.hosts[a]->free.cpus < cluster.hosts[b]->free.cpus;
   });
   int placed = 0;
-  for (const Index index : still) {
+  for (const Index index : idle_jobs) {
     Job& job = *cluster.jobs[index];
-    if (!cluster.within_limit(job, 1)) continue;
-    const std::uint32_t task = cluster.next_pending(job, 0);
+    if (!cluster.within_team_limit(job, 1)) continue;
+    const std::uint32_t task = cluster.next_pending_task(job, 0);
     const std::uint64_t attempt = job.last_attempt + 1;
-    const auto host = std::find_if(roomy.begin(), roomy.end(), [&](Index i) {
+    const auto host = std::find_if(hosts_with_room.begin(), hosts_with_room.end(), [&](Index i) {
       const Host& one = *cluster.hosts[i];
       const auto avoided = job.failed_on.find(i);
       // An idle one that is kept for large tasks stays so: with one small task on it, no large one
       // could begin there (gangs waited eight minutes).
-      if (cluster.is_kept_from(job, one) && one.free.cpus > cluster.type_of(one)->cpus / 2) {
+      if (cluster.is_reserved_for_larger_tasks(job, one) &&
+          one.free.cpus > cluster.type_of(one)->cpus / 2) {
         return false;
       }
-      return one.free.holds(job.resources_per_task) && in_zone(job, one.zone) &&
-             (job.spec.spot || !one.spot) && job.fits[one.type] &&
+      return one.free.holds(job.resources_per_task) && is_zone_allowed(job, one.zone) &&
+             (job.spec.allow_spot || !one.spot) && job.fits_type[one.type] &&
              (avoided == job.failed_on.end() || now >= avoided->second) &&
-             cluster.has_room(index, task, attempt, i);
+             cluster.record_has_room(index, task, attempt, i);
     });
-    if (host == roomy.end()) continue;
+    if (host == hosts_with_room.end()) continue;
     if (!has_begun(job)) {
       spdlog::info("job {}: begins after {:.1f} s", job.spec.id, now - job.unblocked_at);
     }
     spdlog::info("job {}: has stood still for {:.0f} s: a task in room that is kept for others",
-                 job.spec.id, still_for(cluster, job, now));
+                 job.spec.id, idle_time_s(cluster, job, now));
     cluster.place(index, task, attempt, *host, now);
     ++placed;
   }
@@ -362,22 +374,22 @@
 // it is gone. Returns whether that freed room.
 bool stop_broken_gang(Cluster& cluster, Index index) {
   Job& job = *cluster.jobs[index];
-  if (job.complete()) return false;
-  const bool torn = job.gang_started && job.attempts.size() < job.spec.tasks;
+  if (job.is_complete()) return false;
+  const bool lost_task = job.gang_started && job.attempts.size() < job.spec.tasks;
   const bool stopping = std::any_of(job.attempts.begin(), job.attempts.end(),
                                     [](const auto& entry) { return entry.second.stopping; });
-  if (!torn && !stopping) return false;
-  const std::size_t before = job.attempts.size();
+  if (!lost_task && !stopping) return false;
+  const std::size_t attempts_before = job.attempts.size();
   for (auto& [task, attempt] : job.attempts) {
-    cluster.stop(index, task, torn ? 0 : job.spec.save_s + 1);
+    cluster.request_stop(index, task, lost_task ? 0 : job.spec.checkpoint_duration_s + 1);
   }
-  cluster.release_unsent(index, 0);
-  return job.attempts.size() < before;
+  cluster.end_unsent_attempts(index, 0);
+  return job.attempts.size() < attempts_before;
 }
 
 // A machine under notice takes no new work. What can save its progress does so while there is
 // time; the rest runs on, since some of it will finish.
-void heed_notices(Cluster& cluster, double now) {
+void stop_tasks_on_leaving_hosts(Cluster& cluster, double now) {
   for (const auto& host : cluster.hosts) {
     if (!host) continue;
     const bool reclaimed = host->reclaim_at != kNever;
@@ -390,13 +402,14 @@
       const bool started = attempt.start_sent || attempt.from_previous_leader;
       // To what runs on a machine that does not hear us nothing can be said.
       if (started && !host->draining) continue;
-      const bool saves = job.spec.checkpoint_s > 0;
-      if (!started || (saves && attempt.observed == ObservedState::running) ||
-          (reclaimed && attempt.observed == ObservedState::fetching)) {
-        cluster.stop(ref.job, ref.task,
-                     reclaimed ? std::max(job.spec.save_s, host->reclaim_at - now - kLeastNotice)
-                               : job.spec.save_s + 1);
-        cluster.release_unsent(ref.job, now);
+      const bool saves_progress = job.spec.checkpoint_interval_s > 0;
+      if (!started || (saves_progress && attempt.observed_state == ObservedState::running) ||
+          (reclaimed && attempt.observed_state == ObservedState::fetching)) {
+        cluster.request_stop(ref.job, ref.task,
+                             reclaimed ? std::max(job.spec.checkpoint_duration_s,
+                                                  host->reclaim_at - now - kReclaimStopMargin_s)
+                                       : job.spec.checkpoint_duration_s + 1);
+        cluster.end_unsent_attempts(ref.job, now);
       }
     }
   }
@@ -404,83 +417,91 @@
 
 }  // namespace
 
-bool usable(const Cluster& cluster, const Host& host, double now) {
+bool is_usable(const Cluster& cluster, const Host& host, double now) {
   return host.phase == HostPhase::up && !host.draining && !host.cordoned && !host.zone_suspected &&
          host.type != kNone && !host.quarantined && host.unreachable_since < 0 &&
-         !host.unconfirmed && now - host.last_heartbeat_at < cluster.platform.workers.lease_s;
+         !host.identity_unconfirmed &&
+         now - host.last_heartbeat_at < cluster.platform.worker_timings.lease_s;
 }
 
-bool should_be_heard(const Cluster& cluster, const Host& host, double now) {
+bool is_expected_to_report(const Cluster& cluster, const Host& host, double now) {
   if (host.phase != HostPhase::booting) return host.phase == HostPhase::up;
   const auto* type = cluster.type_of(host);
-  return host.runs && type != nullptr && now - host.rented_at > kSurelyUp * type->boot_s;
+  return host.listed_as_running && type != nullptr &&
+         now - host.rented_at > kBootTimesUntilUp * type->boot_s;
 }
 
-bool allows(const Cluster& cluster, const Job& job, Index type, bool spot) {
-  return (job.spec.spot || !spot) && job.fits[type] && !cluster.is_kept_from(job, type, spot);
+bool may_run_on(const Cluster& cluster, const Job& job, Index type, bool spot) {
+  return (job.spec.allow_spot || !spot) && job.fits_type[type] &&
+         !cluster.is_reserved_for_larger_tasks(job, type, spot);
 }
 
-bool in_zone(const Job& job, Index zone) { return job.zone == kNone || job.zone == zone; }
+bool is_zone_allowed(const Job& job, Index zone) { return job.zone == kNone || job.zone == zone; }
 
-bool allows(const Cluster& cluster, const Job& job, const Host& host) {
-  return cluster.type_of(host) != nullptr && in_zone(job, host.zone) &&
-         (job.spec.spot || !host.spot) && job.fits[host.type] && !cluster.is_kept_from(job, host);
+bool may_run_on(const Cluster& cluster, const Job& job, const Host& host) {
+  return cluster.type_of(host) != nullptr && is_zone_allowed(job, host.zone) &&
+         (job.spec.allow_spot || !host.spot) && job.fits_type[host.type] &&
+         !cluster.is_reserved_for_larger_tasks(job, host);
 }
 
-bool backfill(Cluster& cluster, Index index) {
+bool try_backfill(Cluster& cluster, Index index) {
   Host& host = *cluster.hosts[index];
   if (host.backfilled || host.was_backfilled || cluster.type_of(host) == nullptr) return false;
   host.backfilled = std::any_of(cluster.jobs.begin(), cluster.jobs.end(), [&](const auto& job) {
-    return job && !job->cancelled && !job->waits() && job->spec.shape == jobs::Shape::array &&
+    return job && !job->cancelled && !job->is_blocked() && job->spec.shape == jobs::Shape::array &&
            job->attempts.size() + job->done_count < job->spec.tasks &&
-           cluster.is_kept_from(*job, host) && (job->spec.spot || !host.spot) &&
-           job->fits[host.type] && in_zone(*job, host.zone) && cluster.within_limit(*job, 1);
+           cluster.is_reserved_for_larger_tasks(*job, host) &&
+           (job->spec.allow_spot || !host.spot) && job->fits_type[host.type] &&
+           is_zone_allowed(*job, host.zone) && cluster.within_team_limit(*job, 1);
   });
   host.was_backfilled = host.backfilled;
   return host.backfilled;
 }
 
-int plan(Cluster& cluster, double now, const Gate& gate, double share_of_waiting) {
-  cluster.keep_for_large(now);
-  heed_notices(cluster, now);
-  Openings open(cluster, now);
+int plan(Cluster& cluster, double now, const DisruptionApprover& approve_disruption,
+         double long_waiting_share) {
+  cluster.update_large_task_reservations(now);
+  stop_tasks_on_leaving_hosts(cluster, now);
+  AvailableHosts available(cluster, now);
   int placed = 0;
-  const Service service = service_order(cluster, now);
-  const std::vector<Kept> kept = kept_for_gangs(cluster, service, open, now);
-  if (share_of_waiting > 0) placed += place_firsts(cluster, service, open, now);
+  const ServiceOrder order = service_order(cluster, now);
+  const std::vector<GangReservation> gang_reservations =
+      reserve_limits_for_gangs(cluster, order, available, now);
+  if (long_waiting_share > 0) placed += place_overdue_first_tasks(cluster, order, available, now);
   const auto rank = [&](Index index) {
-    return std::pair(bool(service.guaranteed[index]), cluster.jobs[index]->priority);
+    return std::pair(bool(order.guaranteed[index]), cluster.jobs[index]->priority);
   };
-  auto rank_end = service.order.begin();
-  for (auto at = service.order.begin(); at != service.order.end(); ++at) {
+  auto rank_end = order.jobs.begin();
+  for (auto at = order.jobs.begin(); at != order.jobs.end(); ++at) {
     if (at == rank_end) {
-      rank_end = std::find_if(at, service.order.end(),
-                              [&](Index other) { return rank(other) != rank(*at); });
-      placed += place_long_waiting(cluster, at, rank_end, open, share_of_waiting, now);
+      rank_end =
+          std::find_if(at, order.jobs.end(), [&](Index other) { return rank(other) != rank(*at); });
+      placed += place_long_waiting_jobs(cluster, at, rank_end, available, long_waiting_share, now);
     }
     const Index index = *at;
     Job& job = *cluster.jobs[index];
     const bool gang = job.spec.shape == jobs::Shape::gang;
     const bool begun = has_begun(job);
-    if (gang && stop_broken_gang(cluster, index)) open.grown();
-    if (now < job.not_before) continue;
-    const bool owner = service.guaranteed[index] || kept[job.team].gang == index;
-    const Usage& left = owner ? kNothing : kept[job.team].usage;
-    const int more = gang ? place_gang(cluster, index, open, left, now)
-                          : place_array(cluster, index, open, left, now);
-    placed += more;
-    if (more > 0 && !begun) {
+    if (gang && stop_broken_gang(cluster, index)) available.refresh_bounds();
+    if (now < job.retry_not_before) continue;
+    const bool ignores_reservation =
+        order.guaranteed[index] || gang_reservations[job.team].gang == index;
+    const Usage& reserved = ignores_reservation ? kNoUsage : gang_reservations[job.team].usage;
+    const int newly_placed = gang ? place_gang(cluster, index, available, reserved, now)
+                                  : place_tasks(cluster, index, available, reserved, now);
+    placed += newly_placed;
+    if (newly_placed > 0 && !begun) {
       spdlog::info("job {}: begins after {:.1f} s", job.spec.id, now - job.unblocked_at);
     }
-    if (!gang && !job.fails_everywhere() && cluster.next_pending(job, 0) < job.spec.tasks) {
-      keep_growing_room(cluster, job, job.spec.tasks, open);
+    if (!gang && !job.fails_everywhere() && cluster.next_pending_task(job, 0) < job.spec.tasks) {
+      reserve_partial_room(cluster, job, job.spec.tasks, available);
     }
-    if (more > 0 && cluster.next_pending(job, 0) == job.spec.tasks) {
+    if (newly_placed > 0 && cluster.next_pending_task(job, 0) == job.spec.tasks) {
       spdlog::info("job {}: all tasks placed after {:.1f} s", job.spec.id, now - job.unblocked_at);
     }
   }
-  placed += place_one_beside(cluster, service, now);
-  preempt(cluster, service, gate, now);
+  placed += place_in_reserved_room(cluster, order, now);
+  preempt(cluster, order, approve_disruption, now);
   return placed;
 }
 
--- a/src/placement/plan_test.cpp
+++ b/src/placement/plan_test.cpp
@@ -3,14 +3,14 @@
 #include <gtest/gtest.h>
 
 #include "machines.h"
-#include "placement/order.h"
+#include "placement/service_order.h"
 
 namespace reachramp::placement {
 namespace {
 
 class Plan : public ::testing::Test {
  protected:
-  Plan() : cluster_(platform_, 1, jobs::Format::compact) {
+  Plan() : cluster_(platform_, 1, jobs::TaskRecordFormat::compact) {
     cluster_.set_catalog({{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a", "b"}},
                           {"large", 32, 0, 128, 50, 1, 3.2, 0.8, 5, {"a", "b"}}});
   }
@@ -26,8 +26,8 @@
     made.spec.tasks = tasks;
     made.spec.cpus = cpus;
     made.spec.image = "img";
-    made.spec.spot = true;
-    made.spec.estimate_s = 10;
+    made.spec.allow_spot = true;
+    made.spec.estimated_duration_s = 10;
     return made;
   }
 
@@ -48,7 +48,7 @@
 TEST_F(Plan, SpotIsOnlyForJobsThatAllowIt) {
   machine("small", "a", true);
   jobs::Header barred = header(1, 1);
-  barred.spec.spot = false;
+  barred.spec.allow_spot = false;
   cluster_.add_job(barred, 1, 0);
   EXPECT_EQ(plan(cluster_, 1), 0);
   machine("small", "a", false);
@@ -60,7 +60,7 @@
   machine("small", "b");
   jobs::Header gang = header(2, 3);
   gang.spec.shape = jobs::Shape::gang;
-  gang.spec.one_zone = true;
+  gang.spec.single_zone = true;
   const Index job = cluster_.add_job(gang, 1, 0);
   EXPECT_EQ(plan(cluster_, 1), 0);
   machine("small", "b");
@@ -78,7 +78,7 @@
   jobs::Header gang = header(1, 3);
   gang.spec.team = "free";
   gang.spec.shape = jobs::Shape::gang;
-  gang.spec.one_zone = true;
+  gang.spec.single_zone = true;
   cluster_.add_job(gang, 1, 0);
   ASSERT_EQ(plan(cluster_, 1), 1);
   ASSERT_EQ(cluster_.jobs[0]->attempts.at(0).host, busy);
@@ -103,13 +103,14 @@
 }
 
 // A record that is longer than a value may be is refused by the key-value store again and again.
-class RecordRoom : public Plan, public ::testing::WithParamInterface<jobs::Format> {};
+class RecordRoom : public Plan, public ::testing::WithParamInterface<jobs::TaskRecordFormat> {};
 INSTANTIATE_TEST_SUITE_P(Formats, RecordRoom,
-                         ::testing::Values(jobs::Format::whole, jobs::Format::compact));
+                         ::testing::Values(jobs::TaskRecordFormat::legacy,
+                                           jobs::TaskRecordFormat::compact));
 
 TEST_P(RecordRoom, PlacementsWaitUntilThereIsSome) {
   settings::Platform tight = platform_;
-  tight.state_limits.value_kb = 1;
+  tight.store_limits.value_kb = 1;
   Cluster cluster(tight, 1, GetParam());
   cluster.set_catalog({{"tiny", 1, 0, 16, 50, 1, 0.4, 0.1, 5, {"a"}}});
   for (int i = 0; i < 100; ++i) {
@@ -120,11 +121,11 @@
   array.spec.team = "free";
   const Index job = cluster.add_job(array, 1, 0);
   std::uint32_t rounds = 0;
-  for (double now = 1; !cluster.jobs[job]->complete(); ++now) {
+  for (double now = 1; !cluster.jobs[job]->is_complete(); ++now) {
     ASSERT_GT(plan(cluster, now), 0);
     for (std::size_t chunk = 0; chunk < cluster.jobs[job]->task_ranges.size(); ++chunk) {
-      const auto record = cluster.chunk_record(*cluster.jobs[job], chunk);
-      EXPECT_LE(wire::json_size(cluster.encode_chunk(record)), 1024u);
+      const auto record = cluster.make_range_record(*cluster.jobs[job], chunk);
+      EXPECT_LE(wire::json_size(cluster.encode_task_range(record)), 1024u);
     }
     const auto attempts = cluster.jobs[job]->attempts;
     for (const auto& [task, attempt] : attempts) {
@@ -185,7 +186,7 @@
 TEST_F(Plan, SpreadPutsAtMostHalfRoundedUpInOneZone) {
   machine("large", "a");
   jobs::Header spread = header(5, 1);
-  spread.spec.spread = true;
+  spread.spec.spread_over_zones = true;
   cluster_.add_job(spread, 1, 0);
   EXPECT_EQ(plan(cluster_, 1), 3);
   machine("large", "b");
@@ -200,7 +201,7 @@
   owed.spec.team = "blue";
   owed.spec.priority = jobs::Priority::low;
   const Index guaranteed = cluster_.add_job(owed, 2, 0);
-  EXPECT_EQ(service_order(cluster_, 0).order, (std::vector<Index>{guaranteed, borrowed}));
+  EXPECT_EQ(service_order(cluster_, 0).jobs, (std::vector<Index>{guaranteed, borrowed}));
 }
 
 TEST_F(Plan, WhatCanBeInTimeGoesBeforeWhatCannotButNotForEver) {
@@ -208,9 +209,9 @@
   late.spec.deadline_s = 20;
   const Index first = cluster_.add_job(late, 1, 0);
   const Index second = cluster_.add_job(late, 2, 15);
-  EXPECT_EQ(service_order(cluster_, 5).order, (std::vector<Index>{first, second}));
-  EXPECT_EQ(service_order(cluster_, 16).order, (std::vector<Index>{second, first}));
-  EXPECT_EQ(service_order(cluster_, 40).order, (std::vector<Index>{first, second}));
+  EXPECT_EQ(service_order(cluster_, 5).jobs, (std::vector<Index>{first, second}));
+  EXPECT_EQ(service_order(cluster_, 16).jobs, (std::vector<Index>{second, first}));
+  EXPECT_EQ(service_order(cluster_, 40).jobs, (std::vector<Index>{first, second}));
 }
 
 // Small tasks once filled the few machines that whole-machine gangs wait for.
@@ -274,7 +275,7 @@
   cluster_.hosts[large]->last_heartbeat_at = 2;
   cluster_.add_job(big, 2, 2);
   ASSERT_EQ(plan(cluster_, 2), 1);
-  const double still_from = 1 + cluster_.platform.workers.lease_s;
+  const double still_from = 1 + cluster_.platform.worker_timings.lease_s;
   const auto at = [&](double now) {
     cluster_.hosts[large]->last_heartbeat_at = now;
     return plan(cluster_, now);
@@ -298,26 +299,26 @@
   jobs::Header ordinary = header(1, 30);
   ordinary.spec.id = "j-8";
   ordinary.spec.team = "free";
-  ordinary.spec.spot = false;
+  ordinary.spec.allow_spot = false;
   cluster_.add_job(ordinary, 2, 2);
   jobs::Header small = header(40, 1);
   small.spec.id = "j-9";
   small.spec.team = "free";
   small.spec.zone = "a";
   cluster_.add_job(small, 3, 2);
-  ASSERT_TRUE(backfill(cluster_, host));
-  cluster_.keep_for_large(3);
+  ASSERT_TRUE(try_backfill(cluster_, host));
+  cluster_.update_large_task_reservations(3);
   EXPECT_TRUE(cluster_.hosts[host]->backfilled) << "the large one that waits may not use spot";
   EXPECT_GT(plan(cluster_, 3), 0);
   const Index idle = machine("large", "a", true);
-  ASSERT_TRUE(backfill(cluster_, idle));
+  ASSERT_TRUE(try_backfill(cluster_, idle));
   jobs::Header fitting = big;
   fitting.spec.id = "j-10";
   fitting.spec.zone = "a";
   cluster_.add_job(fitting, 4, 3);
-  cluster_.keep_for_large(3.5);
+  cluster_.update_large_task_reservations(3.5);
   EXPECT_FALSE(cluster_.hosts[idle]->backfilled) << "taken back";
-  EXPECT_FALSE(backfill(cluster_, idle)) << "and, if it is not needed after all, given back";
+  EXPECT_FALSE(try_backfill(cluster_, idle)) << "and, if it is not needed after all, given back";
 }
 
 // hunt-7b89-3: three machines that large tasks had needed before went back as "not needed" while
@@ -330,16 +331,16 @@
   EXPECT_EQ(plan(cluster_, 1), 1);
   cluster_.end_attempt(large, 0, 2);
   cluster_.mark_done(large, 0, 2);
-  EXPECT_FALSE(backfill(cluster_, host)) << "nobody waits";
+  EXPECT_FALSE(try_backfill(cluster_, host)) << "nobody waits";
   jobs::Header small = header(4, 1);
   const Index job = cluster_.add_job(small, 2, 2);
   cluster_.jobs[job]->cancelled = true;
-  EXPECT_FALSE(backfill(cluster_, host)) << "cancelled";
+  EXPECT_FALSE(try_backfill(cluster_, host)) << "cancelled";
   cluster_.jobs[job]->cancelled = false;
   EXPECT_EQ(plan(cluster_, 3), 0);
-  EXPECT_TRUE(backfill(cluster_, host));
+  EXPECT_TRUE(try_backfill(cluster_, host));
   EXPECT_EQ(plan(cluster_, 3.5), 4);
-  EXPECT_FALSE(backfill(cluster_, host)) << "once, or it would never go back";
+  EXPECT_FALSE(try_backfill(cluster_, host)) << "once, or it would never go back";
 
   // A large task that waits has it back as soon as it is free.
   big.spec.id = "j-9";
@@ -398,7 +399,7 @@
   const Index array = cluster_.add_job(header(4, 3), 1, 0);
   jobs::Header pair = header(2, 3);
   pair.spec.shape = jobs::Shape::gang;
-  pair.spec.one_zone = true;
+  pair.spec.single_zone = true;
   const Index gang = cluster_.add_job(pair, 2, 0);
   for (const auto& host : cluster_.hosts) host->last_heartbeat_at = 40;
   EXPECT_EQ(plan(cluster_, 40), 2);
@@ -409,12 +410,12 @@
 // hunt-7b89-5: against all machines there was time for all jobs of a team, behind its limit for
 // none.
 TEST_F(Plan, WhatATeamsLimitCannotBringInTimeWaits) {
-  platform_.teams[0].cpus_max = 4;
+  platform_.teams[0].max_cpus = 4;
   settings::ServiceLevelObjective soon;
   soon.kind = settings::ServiceLevelObjective::Kind::finished;
   soon.within_s = 30;
   platform_.objectives = {soon};
-  Cluster cluster(platform_, 1, jobs::Format::compact);
+  Cluster cluster(platform_, 1, jobs::TaskRecordFormat::compact);
   cluster.set_catalog(cluster_.catalog);
   for (int i = 0; i < 5; ++i) test::add_machine(cluster, "small", "a", true);
   jobs::Header big = header(12, 1);
@@ -424,7 +425,7 @@
   cluster.add_job(one, 2, 0.5);
   one.spec.id = "j-9";
   cluster.add_job(one, 3, 0.5);
-  const std::vector<Index> order = service_order(cluster, 1).order;
+  const std::vector<Index> order = service_order(cluster, 1).jobs;
   EXPECT_EQ(order, (std::vector<Index>{1, 2, 0}));
 }
 
--- a/src/placement/preempt_test.cpp
+++ b/src/placement/preempt_test.cpp
@@ -11,15 +11,15 @@
 // Two machines; one team may run there what another may claim back.
 class Preempt : public ::testing::Test {
  protected:
-  Preempt() : cluster_(platform_, 1, jobs::Format::compact) {
+  Preempt() : cluster_(platform_, 1, jobs::TaskRecordFormat::compact) {
     cluster_.set_catalog({{"large", 32, 0, 128, 50, 1, 3.2, 0.8, 5, {"a"}}});
     for (int i = 0; i < 2; ++i) test::add_machine(cluster_, "large", "a", false, 100);
   }
 
   Index gang(const char* team, std::uint32_t tasks, double now) {
     jobs::Header made = test::make_gang(cluster_, team, tasks);
-    made.spec.checkpoint_s = 15;
-    made.spec.save_s = 4;
+    made.spec.checkpoint_interval_s = 15;
+    made.spec.checkpoint_duration_s = 4;
     return cluster_.add_job(made, cluster_.jobs.size() + 1, now);
   }
 
@@ -30,7 +30,7 @@
     job.gang_started = true;
     for (auto& [task, attempt] : job.attempts) {
       attempt.start_sent = true;
-      attempt.observed = ObservedState::running;
+      attempt.observed_state = ObservedState::running;
       attempt.running_since = since;
     }
     return index;
@@ -44,7 +44,7 @@
 
   settings::Platform platform_ = [] {
     settings::Platform p;
-    p.workers.lease_s = 1000;
+    p.worker_timings.lease_s = 1000;
     p.teams = {{"borrows", 30, 0, 0, 0}, {"owed", 60, 0, 0, 0}, {"none", 0, 0, 0, 0}};
     return p;
   }();
--- a/src/placement/resources.cpp
+++ b/src/placement/resources.cpp
@@ -4,32 +4,32 @@
 
 namespace reachramp::placement {
 
-Index Names::add(const std::string& name) {
+Index NameTable::add(const std::string& name) {
   const auto [at, fresh] = indices_.try_emplace(name, size());
   if (fresh) names_.push_back(name);
   return at->second;
 }
 
-Index Names::find(const std::string& name) const {
+Index NameTable::find(const std::string& name) const {
   const auto at = indices_.find(name);
   return at == indices_.end() ? kNone : at->second;
 }
 
-Resources& Resources::operator+=(const Resources& o) {
-  cpus += o.cpus;
-  gpus += o.gpus;
-  ram_gb += o.ram_gb;
+Resources& Resources::operator+=(const Resources& other) {
+  cpus += other.cpus;
+  gpus += other.gpus;
+  ram_gb += other.ram_gb;
   return *this;
 }
 
-Resources& Resources::operator-=(const Resources& o) { return *this += o.times(-1); }
+Resources& Resources::operator-=(const Resources& o) { return *this += o.scaled(-1); }
 
 bool Resources::holds(const Resources& need) const {
   const double slack = 1e-6;
   return need.cpus <= cpus + slack && need.gpus <= gpus + slack && need.ram_gb <= ram_gb + slack;
 }
 
-std::uint32_t Resources::copies(const Resources& need) const {
+std::uint32_t Resources::capacity_for(const Resources& need) const {
   double copies = 1e6;
   if (need.cpus > 0) copies = std::min(copies, (cpus + 1e-6) / need.cpus);
   if (need.gpus > 0) copies = std::min(copies, (gpus + 1e-6) / need.gpus);
@@ -37,6 +37,8 @@
   return copies < 0 ? 0 : static_cast<std::uint32_t>(copies);
 }
 
-Resources Resources::times(double f) const { return {cpus * f, gpus * f, ram_gb * f}; }
+Resources Resources::scaled(double factor) const {
+  return {cpus * factor, gpus * factor, ram_gb * factor};
+}
 
 }  // namespace reachramp::placement
--- a/src/placement/resources.h
+++ b/src/placement/resources.h
@@ -14,7 +14,7 @@
 inline constexpr double kNever = std::numeric_limits<double>::infinity();
 
 // Names become dense indices at the door.
-class Names {
+class NameTable {
  public:
   Index add(const std::string& name);
   Index find(const std::string& name) const;
@@ -34,8 +34,8 @@
   Resources& operator+=(const Resources& other);
   Resources& operator-=(const Resources& other);
   bool holds(const Resources& need) const;
-  std::uint32_t copies(const Resources& need) const;  // how many times it holds it
-  Resources times(double factor) const;
+  std::uint32_t capacity_for(const Resources& need) const;  // how many times it holds it
+  Resources scaled(double factor) const;
 };
 
 }  // namespace reachramp::placement
--- a/src/placement/order.cpp
+++ b/src/placement/service_order.cpp
@@ -1,4 +1,4 @@
-#include "placement/order.h"
+#include "placement/service_order.h"
 
 #include <algorithm>
 #include <optional>
@@ -12,22 +12,22 @@
 namespace {
 
 // A job that is late goes first again after this many times what was expected of it.
-constexpr double kPatience = 3;
+constexpr double kOverdueFactor = 3;
 
-double urgency(const Job& job, double now) {
-  const double next = job.next_start_by(now);
-  if (next != kNever || job.start_by.empty()) return next;
-  const double expected = job.start_by.back() - job.unblocked_at;
-  return now - job.unblocked_at > kPatience * std::max(expected, 1.0) ? -kNever : kNever;
+double urgency_key(const Job& job, double now) {
+  const double next = job.next_latest_start(now);
+  if (next != kNever || job.latest_starts.empty()) return next;
+  const double expected = job.latest_starts.back() - job.unblocked_at;
+  return now - job.unblocked_at > kOverdueFactor * std::max(expected, 1.0) ? -kNever : kNever;
 }
 
 // Cores that arrays can count on: machines that are kept for larger tasks are not theirs.
-double common_cores(const Cluster& cluster, double now) {
+double unreserved_cores(const Cluster& cluster, double now) {
   double cores = 0;
   for (const auto& host : cluster.hosts) {
-    if (!host || !usable(cluster, *host, now)) continue;
+    if (!host || !is_usable(cluster, *host, now)) continue;
     const auto* type = cluster.type_of(*host);
-    if (type != nullptr && !cluster.reserved_for_large.contains({host->type, host->spot})) {
+    if (type != nullptr && !cluster.large_task_reservations.contains({host->type, host->spot})) {
       cores += type->cpus;
     }
   }
@@ -37,27 +37,29 @@
 // Cores, by team, that its arrays can count on: what its limit leaves beside gangs and services, or
 // all of the common ones. Measured against all machines alone, a team behind its limit seemed to
 // have room for its largest jobs, and all of its jobs were late with them.
-std::vector<double> cores_by_team(const Cluster& cluster, double common) {
-  std::vector<double> beside(cluster.used.size());
+std::vector<double> array_cores_by_team(const Cluster& cluster, double unreserved_cores) {
+  std::vector<double> other_cores(cluster.usage_by_team.size());
   for (const auto& job : cluster.jobs) {
     if (!job || job->team == kNone || job->spec.shape == jobs::Shape::array) continue;
-    beside[job->team] += job->resources_per_task.cpus * static_cast<double>(job->attempts.size());
+    other_cores[job->team] +=
+        job->resources_per_task.cpus * static_cast<double>(job->attempts.size());
   }
-  std::vector<double> cores(beside.size(), common);
+  std::vector<double> cores(other_cores.size(), unreserved_cores);
   for (Index team = 0; team < cores.size(); ++team) {
-    const double limit = cluster.platform.teams[team].cpus_max;
-    if (limit > 0) cores[team] = std::clamp(limit - beside[team], 1.0, std::max(1.0, common));
+    const double limit = cluster.platform.teams[team].max_cpus;
+    if (limit > 0)
+      cores[team] = std::clamp(limit - other_cores[team], 1.0, std::max(1.0, unreserved_cores));
   }
   return cores;
 }
 
 // Aims count jobs, whatever their size: where arrays cannot all be in time, the largest wait.
 // `order` is sorted by guarantee, priority and urgency.
-void favour_the_many(const Cluster& cluster, std::vector<Index>& order,
-                     const std::vector<bool>& guaranteed, double now) {
-  const double cores = common_cores(cluster, now);
+void defer_largest_arrays(const Cluster& cluster, std::vector<Index>& order,
+                          const std::vector<bool>& guaranteed, double now) {
+  const double cores = unreserved_cores(cluster, now);
   if (cores <= 0) return;
-  const std::vector<double> by_team = cores_by_team(cluster, cores);
+  const std::vector<double> by_team = array_cores_by_team(cluster, cores);
   const auto rank = [&](Index i) {
     const Job& job = *cluster.jobs[i];
     return std::tuple(job.fails_everywhere(), !guaranteed[i], -static_cast<int>(job.priority));
@@ -68,48 +70,49 @@
     std::vector<Index> arrays;
     for (auto at = begin; at != end; ++at) {
       const Job& job = *cluster.jobs[*at];
-      if (job.spec.shape == jobs::Shape::array && urgency(job, now) != kNever)
+      if (job.spec.shape == jobs::Shape::array && urgency_key(job, now) != kNever)
         arrays.push_back(*at);
     }
     // First what each team's limit does not let through in time, then of the rest what all machines
     // do not.
-    std::vector<bool> later(cluster.jobs.size());
+    std::vector<bool> deferred(cluster.jobs.size());
     const auto drop = [&](double of, std::optional<Index> team) {
       std::vector<Index> of_these;
-      std::vector<Claim> claims;
+      std::vector<MachineTimeRequest> claims;
       for (const Index i : arrays) {
         const Job& job = *cluster.jobs[i];
-        if (later[i] || (team && job.team != *team)) continue;
+        if (deferred[i] || (team && job.team != *team)) continue;
         const double tasks = job.spec.tasks - job.done_count;
         of_these.push_back(i);
-        claims.push_back(
-            {tasks * job.resources_per_task.cpus * job.spec.estimate_s / of, urgency(job, now)});
+        claims.push_back({tasks * job.resources_per_task.cpus * job.spec.estimated_duration_s / of,
+                          urgency_key(job, now)});
       }
-      const std::vector<bool> dropped = dropped_for_the_rest(claims, now);
-      for (std::size_t i = 0; i < of_these.size(); ++i) later[of_these[i]] = dropped[i];
+      const std::vector<bool> dropped = select_late_requests(claims, now);
+      for (std::size_t i = 0; i < of_these.size(); ++i) deferred[of_these[i]] = dropped[i];
     };
     for (Index team = 0; team < by_team.size(); ++team) {
       if (by_team[team] < cores) drop(by_team[team], team);
     }
     drop(cores, std::nullopt);
     // Before those that are late already, which have no due at all.
-    const auto late =
-        std::find_if(begin, end, [&](Index i) { return urgency(*cluster.jobs[i], now) == kNever; });
-    std::stable_partition(begin, late, [&](Index i) { return !later[i]; });
+    const auto late = std::find_if(
+        begin, end, [&](Index i) { return urgency_key(*cluster.jobs[i], now) == kNever; });
+    std::stable_partition(begin, late, [&](Index i) { return !deferred[i]; });
     begin = end;
   }
 }
 
 }  // namespace
 
-std::vector<bool> dropped_for_the_rest(const std::vector<Claim>& claims, double now) {
-  std::vector<bool> dropped(claims.size());
+std::vector<bool> select_late_requests(const std::vector<MachineTimeRequest>& requests,
+                                       double now) {
+  std::vector<bool> dropped(requests.size());
   std::priority_queue<std::pair<double, std::size_t>> longest;
   double end = now;
-  for (std::size_t i = 0; i < claims.size(); ++i) {
-    end += claims[i].length;
-    longest.push({claims[i].length, i});
-    if (end <= claims[i].due || claims[i].due == -kNever) continue;
+  for (std::size_t i = 0; i < requests.size(); ++i) {
+    end += requests[i].duration_s;
+    longest.push({requests[i].duration_s, i});
+    if (end <= requests[i].due_at || requests[i].due_at == -kNever) continue;
     end -= longest.top().first;
     dropped[longest.top().second] = true;
     longest.pop();
@@ -117,29 +120,30 @@
   return dropped;
 }
 
-Service service_order(const Cluster& cluster, double now) {
+ServiceOrder service_order(const Cluster& cluster, double now) {
   std::vector<Index> order;
   for (Index i = 0; i < cluster.jobs.size(); ++i) {
     const auto& job = cluster.jobs[i];
-    if (job && !job->cancelled && !job->complete() && job->team != kNone && !job->waits()) {
+    if (job && !job->cancelled && !job->is_complete() && job->team != kNone && !job->is_blocked()) {
       order.push_back(i);
     }
   }
   std::sort(order.begin(), order.end(), [&](Index a, Index b) {
     return cluster.jobs[a]->accepted_revision < cluster.jobs[b]->accepted_revision;
   });
-  std::vector<Usage> claimed(cluster.used.size());
+  std::vector<Usage> requested(cluster.usage_by_team.size());
   std::vector<bool> guaranteed(cluster.jobs.size());
   for (const Index i : order) {
     const Job& job = *cluster.jobs[i];
     if (job.fails_everywhere()) continue;
     const settings::Team& team = cluster.platform.teams[job.team];
-    Usage& sum = claimed[job.team];
+    Usage& sum = requested[job.team];
     const double left = job.spec.tasks - job.done_count;
     sum.cpus += left * job.resources_per_task.cpus;
     sum.gpus += left * job.resources_per_task.gpus;
-    guaranteed[i] = (team.cpus > 0 || team.gpus > 0) && sum.cpus <= team.cpus + 1e-6 &&
-                    (job.resources_per_task.gpus <= 0 || sum.gpus <= team.gpus + 1e-6);
+    guaranteed[i] = (team.guaranteed_cpus > 0 || team.guaranteed_gpus > 0) &&
+                    sum.cpus <= team.guaranteed_cpus + 1e-6 &&
+                    (job.resources_per_task.gpus <= 0 || sum.gpus <= team.guaranteed_gpus + 1e-6);
   }
   std::stable_sort(order.begin(), order.end(), [&](Index a, Index b) {
     const Job& x = *cluster.jobs[a];
@@ -147,9 +151,9 @@
     if (x.fails_everywhere() != y.fails_everywhere()) return y.fails_everywhere();
     if (guaranteed[a] != guaranteed[b]) return bool(guaranteed[a]);
     if (x.priority != y.priority) return x.priority > y.priority;
-    return urgency(x, now) < urgency(y, now);
+    return urgency_key(x, now) < urgency_key(y, now);
   });
-  favour_the_many(cluster, order, guaranteed, now);
+  defer_largest_arrays(cluster, order, guaranteed, now);
   return {std::move(order), std::move(guaranteed)};
 }
 
--- a/src/placement/order.h
+++ b/src/placement/service_order.h
@@ -10,20 +10,20 @@
 // in time: by the earliest start that is still expected, without the largest ones where there is
 // not time for all. Jobs that nothing can make timely any more wait behind the others, but not for
 // ever.
-struct Service {
-  std::vector<Index> order;
+struct ServiceOrder {
+  std::vector<Index> jobs;
   std::vector<bool> guaranteed;  // by job
 };
-Service service_order(const Cluster& cluster, double now);
+ServiceOrder service_order(const Cluster& cluster, double now);
 
 // A job that takes `length` of all machines' time and must be through by `due`.
-struct Claim {
-  double length = 0;
-  double due = 0;
+struct MachineTimeRequest {
+  double duration_s = 0;
+  double due_at = 0;
 };
 
 // Moore and Hodgson's rule: of claims in the order of their dues, those to be dropped so that the
 // fewest miss theirs.
-std::vector<bool> dropped_for_the_rest(const std::vector<Claim>& claims, double now);
+std::vector<bool> select_late_requests(const std::vector<MachineTimeRequest>& claims, double now);
 
 }  // namespace reachramp::placement
--- a/src/placement/order_test.cpp
+++ b/src/placement/service_order_test.cpp
@@ -1,4 +1,4 @@
-#include "placement/order.h"
+#include "placement/service_order.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -8,12 +8,13 @@
 namespace reachramp::placement {
 namespace {
 
-bool all_in_time(const std::vector<Claim>& claims, const std::vector<bool>& dropped, double now) {
+bool all_in_time(const std::vector<MachineTimeRequest>& claims, const std::vector<bool>& dropped,
+                 double now) {
   double end = now;
   for (std::size_t i = 0; i < claims.size(); ++i) {
     if (dropped[i]) continue;
-    end += claims[i].length;
-    if (end > claims[i].due) return false;
+    end += claims[i].duration_s;
+    if (end > claims[i].due_at) return false;
   }
   return true;
 }
@@ -21,14 +22,15 @@
 // Against every choice there is.
 RC_GTEST_PROP(Order, DropsAsFewAsAnyChoiceCould, ()) {
   const auto count = *rc::gen::inRange<std::size_t>(0, 9);
-  std::vector<Claim> claims;
+  std::vector<MachineTimeRequest> claims;
   for (std::size_t i = 0; i < count; ++i) {
     claims.push_back(
         {static_cast<double>(*rc::gen::inRange(1, 30)), 100.0 + *rc::gen::inRange(1, 90)});
   }
-  std::sort(claims.begin(), claims.end(),
-            [](const Claim& a, const Claim& b) { return a.due < b.due; });
-  const std::vector<bool> dropped = dropped_for_the_rest(claims, 100);
+  std::sort(
+      claims.begin(), claims.end(),
+      [](const MachineTimeRequest& a, const MachineTimeRequest& b) { return a.due_at < b.due_at; });
+  const std::vector<bool> dropped = select_late_requests(claims, 100);
   RC_ASSERT(all_in_time(claims, dropped, 100));
   std::size_t least = count;
   for (unsigned choice = 0; choice < (1u << count); ++choice) {
--- a/src/placement/waits.h
+++ b/src/placement/wait_reasons.h
@@ -10,10 +10,10 @@
 namespace reachramp::placement {
 
 // Jobs that lack tasks in place, the longest waiting first.
-std::vector<Index> longest_waiting(const Cluster& cluster, std::size_t most, double now);
+std::vector<Index> longest_waiting_jobs(const Cluster& cluster, std::size_t most, double now);
 
 // In words, for the log. Of a job all of whose tasks are placed: what the first that does not run
 // waits for, or that it runs.
-std::string why_waits(Cluster& cluster, Index job, double now);
+std::string wait_reason(Cluster& cluster, Index job, double now);
 
 }  // namespace reachramp::placement
--- a/src/placement/waits_test.cpp
+++ b/src/placement/wait_reasons_test.cpp
@@ -1,6 +1,6 @@
 // Who waits, and how long: scarce worlds played with and without the part of the machines that goes
 // to those that have waited longest.
-#include "placement/waits.h"
+#include "placement/wait_reasons.h"
 
 #include <gtest/gtest.h>
 
@@ -32,7 +32,7 @@
   finished.job_class = "c";
   finished.within_s = 100;
   platform.objectives = {finished};
-  Cluster cluster(platform, 1, jobs::Format::compact);
+  Cluster cluster(platform, 1, jobs::TaskRecordFormat::compact);
   cluster.set_catalog({{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a"}}});
   for (std::uint32_t i = 0; i < kMachines; ++i) test::add_machine(cluster, "small", "a", true);
   std::mt19937 random(seed);
@@ -52,8 +52,8 @@
       header.spec.priority = random() % 4 == 0 ? jobs::Priority::high : jobs::Priority::normal;
       header.spec.tasks = static_cast<std::uint32_t>(std::clamp(size(random), 1.0, 400.0));
       header.spec.cpus = 1;
-      header.spec.spot = true;
-      header.spec.estimate_s = 10;
+      header.spec.allow_spot = true;
+      header.spec.estimated_duration_s = 10;
       cluster.add_job(header, static_cast<std::uint64_t>(made), now);
       came[header.spec.id] = now;
       tasks[header.spec.id] = header.spec.tasks;
@@ -72,7 +72,7 @@
         cluster.mark_done(index, task, now);
         cluster.end_attempt(index, task, now);
       }
-      if (job.complete()) {
+      if (job.is_complete()) {
         ended[job.spec.id] = now;
         cluster.remove_job(index);
       }
@@ -100,7 +100,7 @@
   Served sums[2];
   for (unsigned seed = 1; seed <= 8; ++seed) {
     for (const bool with : {false, true}) {
-      const Served one = play(seed, with ? kShareOfWaiting : 0);
+      const Served one = play(seed, with ? kLongWaitingShare : 0);
       Served& sum = sums[with];
       sum.came += one.came;
       sum.in_time += one.in_time;
@@ -127,7 +127,7 @@
 TEST(Waits, EachHasAReason) {
   settings::Platform platform;
   platform.teams = {{"red", 0, 2, 0, 0}, {"blue", 0, 0, 0, 0}};
-  Cluster cluster(platform, 1, jobs::Format::compact);
+  Cluster cluster(platform, 1, jobs::TaskRecordFormat::compact);
   cluster.set_catalog({{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a", "b"}}});
   const auto add = [&](const std::string& team, std::uint32_t tasks) -> Index {
     jobs::Header header;
@@ -135,21 +135,21 @@
     header.spec.team = team;
     header.spec.tasks = tasks;
     header.spec.cpus = 1;
-    header.spec.spot = true;
+    header.spec.allow_spot = true;
     return cluster.add_job(header, 1, 0);
   };
   const Index limited = add("red", 5);
   const Index first = add("blue", 2);
   const Index second = add("blue", 9);
-  EXPECT_EQ(why_waits(cluster, first, 1), "no machine that it may run on is up");
+  EXPECT_EQ(wait_reason(cluster, first, 1), "no machine that it may run on is up");
   test::add_machine(cluster, "small", "a", true);
   plan(cluster, 1);
-  EXPECT_EQ(why_waits(cluster, limited, 1), "its team's limit: red");
-  EXPECT_EQ(why_waits(cluster, first, 1), "task 0 on n-0: its record is not stored yet");
-  EXPECT_EQ(why_waits(cluster, second, 1), "1 machines have room for 0 tasks");
-  cluster.jobs[second]->not_before = 5;
-  EXPECT_EQ(why_waits(cluster, second, 1), "tried again in 4 s: it failed on 0 machines");
-  EXPECT_EQ(longest_waiting(cluster, 5, 1).size(), 2u);
+  EXPECT_EQ(wait_reason(cluster, limited, 1), "its team's limit: red");
+  EXPECT_EQ(wait_reason(cluster, first, 1), "task 0 on n-0: its record is not stored yet");
+  EXPECT_EQ(wait_reason(cluster, second, 1), "1 machines have room for 0 tasks");
+  cluster.jobs[second]->retry_not_before = 5;
+  EXPECT_EQ(wait_reason(cluster, second, 1), "tried again in 4 s: it failed on 0 machines");
+  EXPECT_EQ(longest_waiting_jobs(cluster, 5, 1).size(), 2u);
 }
 
 }  // namespace
--- a/src/placement/zone_rules.h
+++ b/src/placement/zone_rules.h
@@ -10,8 +10,8 @@
 
 // Tasks of the job by zone, ended attempts excepted. Nothing if one of them is in a zone that is
 // not known.
-inline std::optional<std::map<Index, std::uint32_t>> zones_in_use(const Cluster& cluster,
-                                                                  const Job& job) {
+inline std::optional<std::map<Index, std::uint32_t>> count_tasks_by_zone(const Cluster& cluster,
+                                                                         const Job& job) {
   std::map<Index, std::uint32_t> in_use;
   for (const auto& [task, attempt] : job.attempts) {
     const Index zone = cluster.hosts[attempt.host]->zone;
@@ -24,26 +24,28 @@
 // Keeps to the zone rules of one job while its tasks are placed one by one.
 class ZoneRules {
  public:
-  ZoneRules(const Job& job, std::map<Index, std::uint32_t> in_use)
-      : in_use_(std::move(in_use)), one_zone_(job.spec.one_zone), most_(job.spec.tasks) {
-    halve(job, job.spec.spread);
+  ZoneRules(const Job& job, std::map<Index, std::uint32_t> tasks_by_zone)
+      : tasks_by_zone_(std::move(tasks_by_zone)),
+        one_zone_(job.spec.single_zone),
+        max_tasks_per_zone_(job.spec.tasks) {
+    limit_to_half(job, job.spec.spread_over_zones);
   }
 
   // Whether at most half of the tasks, rounded up, may be in one zone.
-  void halve(const Job& job, bool halved) {
-    most_ = halved ? (job.spec.tasks + 1) / 2 : job.spec.tasks;
+  void limit_to_half(const Job& job, bool at_most_half) {
+    max_tasks_per_zone_ = at_most_half ? (job.spec.tasks + 1) / 2 : job.spec.tasks;
   }
-  bool allow(Index zone) const {
-    if (one_zone_ && !in_use_.empty() && !in_use_.contains(zone)) return false;
-    const auto at = in_use_.find(zone);
-    return (at == in_use_.end() ? 0 : at->second) < most_;
+  bool allows(Index zone) const {
+    if (one_zone_ && !tasks_by_zone_.empty() && !tasks_by_zone_.contains(zone)) return false;
+    const auto at = tasks_by_zone_.find(zone);
+    return (at == tasks_by_zone_.end() ? 0 : at->second) < max_tasks_per_zone_;
   }
-  void take(Index zone) { ++in_use_[zone]; }
+  void add_task(Index zone) { ++tasks_by_zone_[zone]; }
 
  private:
-  std::map<Index, std::uint32_t> in_use_;
+  std::map<Index, std::uint32_t> tasks_by_zone_;
   bool one_zone_;
-  std::uint32_t most_;
+  std::uint32_t max_tasks_per_zone_;
 };
 
 }  // namespace reachramp::placement
--- a/src/quarantine/fault_attribution.h
+++ b/src/quarantine/fault_attribution.h
@@ -12,7 +12,7 @@
 
 // Failures that speak against a machine as those of jobs that never fail elsewhere would, before it
 // is taken for faulty.
-inline constexpr double kFaultyFrom = 1.5;
+inline constexpr double kFaultyEvidenceThreshold = 1.5;
 
 // What the failures on the machine since its last success weigh. Those of a job that works
 // elsewhere count by how seldom it fails there; one that has failed here alone counts for little,
--- a/src/quarantine/fault_attribution_test.cpp
+++ b/src/quarantine/fault_attribution_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 struct World {
-  World() : cluster(platform, 1, jobs::Format::compact) {
+  World() : cluster(platform, 1, jobs::TaskRecordFormat::compact) {
     cluster.set_catalog({{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a"}}});
   }
   Index machine() { return test::add_machine(cluster, "small", "a", true); }
@@ -23,7 +23,7 @@
     header.spec.team = "red";
     header.spec.tasks = tasks;
     header.spec.cpus = 1;
-    header.spec.spot = true;
+    header.spec.allow_spot = true;
     return cluster.add_job(header, 1 + made, now);
   }
   // What is placed runs for a moment and ends.
@@ -93,7 +93,7 @@
     }
     faulty_machines += static_cast<int>(faulty);
     for (Index job = 0; job < world.cluster.jobs.size(); ++job) {
-      unfinished += !broken.contains(job) && !world.cluster.jobs[job]->complete();
+      unfinished += !broken.contains(job) && !world.cluster.jobs[job]->is_complete();
     }
   }
   std::cout << blamed << " of " << 60 * 20 - faulty_machines << " healthy machines blamed, "
@@ -117,7 +117,7 @@
   EXPECT_TRUE(world.cluster.jobs[broken]->fails_everywhere());
   const Index other = world.job(40);
   world.pass(fails);
-  EXPECT_TRUE(world.cluster.jobs[other]->complete());
+  EXPECT_TRUE(world.cluster.jobs[other]->is_complete());
   const int before = world.attempts;
   for (int i = 0; i < 300; ++i) world.pass(fails);
   EXPECT_LE(world.attempts - before, 12);
@@ -136,11 +136,11 @@
   world.now = 100;
   const Index other = world.job(12);
   for (int i = 0; i < 40; ++i) world.pass([](Index, Index host) { return host < 2; });
-  EXPECT_TRUE(world.cluster.jobs[other]->complete());
+  EXPECT_TRUE(world.cluster.jobs[other]->is_complete());
   EXPECT_TRUE(world.cluster.hosts[0]->quarantined && world.cluster.hosts[1]->quarantined);
   EXPECT_FALSE(world.cluster.jobs[first]->fails_everywhere());
   for (int i = 0; i < 3; ++i) world.pass([](Index, Index host) { return host < 2; });
-  EXPECT_TRUE(world.cluster.jobs[first]->complete());
+  EXPECT_TRUE(world.cluster.jobs[first]->is_complete());
 }
 
 }  // namespace
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -52,19 +52,21 @@
 }
 
 std::optional<std::string> downgrade_rejection(const StoredSchema& stored) {
-  if (stored.level > kNewest) return "this version does not know the level";
-  const auto& reason = schema_level(stored.writes).no_downgrade_because;
+  if (stored.level > kNewestLevel) return "this version does not know the level";
+  const auto& reason = schema_level(stored.written_level).no_downgrade_because;
   return reason ? std::optional<std::string>(*reason) : std::nullopt;
 }
 
 // Writers leave the level first; `level` itself follows once its records are gone.
 std::optional<SchemaMigration> downgrade(const StoredSchema& stored, ClaimSummary summary) {
   if (auto reason = downgrade_rejection(stored)) {
-    return SchemaMigration{
-        {stored.level, stored.writes, false}, std::move(summary.revisions), std::move(reason)};
+    return SchemaMigration{{stored.level, stored.written_level, false},
+                           std::move(summary.revisions),
+                           std::move(reason)};
   }
-  if (stored.writes < stored.level) return std::nullopt;  // the last one is not settled yet
-  return SchemaMigration{{stored.level, stored.writes - 1, false}, std::move(summary.revisions)};
+  if (stored.written_level < stored.level) return std::nullopt;  // the last one is not settled yet
+  return SchemaMigration{{stored.level, stored.written_level - 1, false},
+                         std::move(summary.revisions)};
 }
 
 std::optional<SchemaMigration> resume_upgrade(const StoredSchema& stored, ClaimSummary summary) {
@@ -73,7 +75,7 @@
 }
 
 std::optional<SchemaMigration> upgrade(const StoredSchema& stored, ClaimSummary summary) {
-  const std::uint32_t target = std::min({summary.newest, summary.hold_at, kNewest});
+  const std::uint32_t target = std::min({summary.newest, summary.hold_at, kNewestLevel});
   if (!stored.settled || target <= stored.level) return std::nullopt;
   return SchemaMigration{{stored.level + 1, stored.level + 1, false}, std::move(summary.revisions)};
 }
@@ -95,7 +97,7 @@
 }
 
 // The operators' page quotes this text.
-std::string incompatibility(const StoredSchema& stored, const SupportedVersions& supported) {
+std::string incompatibility(const StoredSchema& stored, const SupportedLevels& supported) {
   if (stored.level >= supported.oldest && stored.level <= supported.newest) return {};
   return fmt::format(
       "the stored state is at level {}, version {} speaks {} to {}: start a {} version",
@@ -107,21 +109,22 @@
                                               const std::vector<Claim>& claims,
                                               const std::vector<std::string>& nodes) {
   ClaimSummary summary = summarize(claims, nodes);
-  if (summary.hold_at < stored.writes) return downgrade(stored, std::move(summary));
+  if (summary.hold_at < stored.written_level) return downgrade(stored, std::move(summary));
   if (!summary.all_nodes_present) return std::nullopt;
-  if (stored.writes < stored.level) return resume_upgrade(stored, std::move(summary));
+  if (stored.written_level < stored.level) return resume_upgrade(stored, std::move(summary));
   return upgrade(stored, std::move(summary));
 }
 
 StoredSchema settled_form(const StoredSchema& stored) {
-  return {stored.writes, stored.writes, true};
+  return {stored.written_level, stored.written_level, true};
 }
 
 std::vector<std::string> nodes_with_other_settings(const std::vector<Claim>& claims,
                                                    std::uint64_t own_digest) {
   std::vector<std::string> nodes;
   for (const Claim& claim : claims) {
-    if (claim.digest != 0 && claim.digest != own_digest) nodes.push_back(claim.node);
+    if (claim.settings_digest != 0 && claim.settings_digest != own_digest)
+      nodes.push_back(claim.node);
   }
   return nodes;
 }
--- a/src/schema/schema.h
+++ b/src/schema/schema.h
@@ -43,13 +43,15 @@
 };
 
 // Whether records of `level` are written.
-inline bool has(const StoredSchema& stored, std::uint32_t level) { return stored.writes >= level; }
+inline bool has_level(const StoredSchema& stored, std::uint32_t level) {
+  return stored.written_level >= level;
+}
 // Why a process with these supported versions must not serve anybody; empty if it may.
-std::string incompatibility(const StoredSchema& stored, const SupportedVersions& supported);
+std::string incompatibility(const StoredSchema& stored, const SupportedLevels& supported);
 
 // A change of the record `level`, or the reason for which a requested one is rejected.
 struct SchemaMigration {
-  StoredSchema to;
+  StoredSchema target;
   // Keys and revisions of the claims that the decision rests on: it is to be committed only if none
   // of them has changed. In the form that kv::Transaction takes.
   std::vector<std::pair<std::string, std::uint64_t>> preconditions;
--- a/src/schema/schema_bytes_test.cpp
+++ b/src/schema/schema_bytes_test.cpp
@@ -34,7 +34,7 @@
   EXPECT_EQ(claim.oldest, 1u);
   EXPECT_EQ(claim.newest, 6u);
   EXPECT_EQ(claim.hold_at, 4u);
-  EXPECT_EQ(claim.digest, 18446744073709551615ull);
+  EXPECT_EQ(claim.settings_digest, 18446744073709551615ull);
   EXPECT_EQ(claim.revision, 30u);
   EXPECT_EQ(claim_key("node-1"), "claim/node-1");
 }
@@ -47,7 +47,7 @@
   EXPECT_EQ(claim.version, "0.4.0");
   EXPECT_EQ(claim.newest, 5u);
   EXPECT_EQ(claim.hold_at, 0u);
-  EXPECT_EQ(claim.digest, 4711u);
+  EXPECT_EQ(claim.settings_digest, 4711u);
 }
 
 // Every node announces it in its claim and compares it with the others'. During a rolling upgrade
--- a/src/schema/schema_levels.h
+++ b/src/schema/schema_levels.h
@@ -27,22 +27,22 @@
   std::optional<std::string_view> no_downgrade_because{};
 };
 
-inline constexpr std::uint32_t kWhole = 1;        // a record names its tasks one by one
+inline constexpr std::uint32_t kUncompacted = 1;  // a record names its tasks one by one
 inline constexpr std::uint32_t kCompact = 2;      // announced by member/; see peers/members.h
-inline constexpr std::uint32_t kAges = 3;         // the revision clock; no level 1 record remains
+inline constexpr std::uint32_t kTimeline = 3;     // the revision clock; no level 1 record remains
 inline constexpr std::uint32_t kClosedPools = 4;  // a pool without scale-out request has no record
 inline constexpr std::uint32_t kShares = 5;       // the record "shares"
 inline constexpr std::uint32_t kDrains = 6;       // the records "drains", "drains/used", "zones"
 // The range that this program version supports.
-inline constexpr std::uint32_t kOldest = kWhole;
-inline constexpr std::uint32_t kNewest = kDrains;
+inline constexpr std::uint32_t kOldestLevel = kUncompacted;
+inline constexpr std::uint32_t kNewestLevel = kDrains;
 
 // All levels that this program version supports, in ascending order.
-inline constexpr std::array<SchemaLevel, kNewest> kSchemaLevels{{
-    {kWhole, "0.2.0", "task/<job>/<chunk>", "", "", "it is the oldest level"},
+inline constexpr std::array<SchemaLevel, kNewestLevel> kSchemaLevels{{
+    {kUncompacted, "0.2.0", "task/<job>/<chunk>", "", "", "it is the oldest level"},
     {kCompact, "0.3.0", "task/<job>/<first>-<end>, waits_on, the limits to come",
      "as records change", "", "0.2.0 drops records it does not know and restarts their tasks"},
-    {kAges, "0.4.0", "timeline", "the leader rewrites level 1 records and removes the old ones",
+    {kTimeline, "0.4.0", "timeline", "the leader rewrites level 1 records and removes the old ones",
      "timeline is removed; compact records remain, which 0.3.0 can read"},
     {kClosedPools, "0.4.0", "pool/ only while a request is pending",
      "the leader removes records of closed pools",
--- a/src/schema/schema_records.cpp
+++ b/src/schema/schema_records.cpp
@@ -17,34 +17,34 @@
 
 // Whether a leader can have written it: migrations move one level at a time.
 bool is_consistent(const StoredSchema& stored) {
-  if (stored.writes < kCompact) return false;
-  if (stored.level < stored.writes || stored.level > stored.writes + 1) return false;
-  return !stored.settled || stored.level == stored.writes;
+  if (stored.written_level < kCompact) return false;
+  if (stored.level < stored.written_level || stored.level > stored.written_level + 1) return false;
+  return !stored.settled || stored.level == stored.written_level;
 }
 
 }  // namespace
 
-std::string claim_key(const std::string& node) { return kClaims + node; }
+std::string claim_key(const std::string& node) { return kClaimPrefix + node; }
 
 kv::Json encode_claim(const Claim& claim) {
   return {{"version", claim.version},
           {"oldest", claim.oldest},
           {"newest", claim.newest},
           {"hold", claim.hold_at},
-          {"digest", claim.digest}};
+          {"digest", claim.settings_digest}};
 }
 
 Claim decode_claim(const kv::Entry& entry) {
-  if (!entry.key.starts_with(kClaims) || !entry.value.is_object()) {
+  if (!entry.key.starts_with(kClaimPrefix) || !entry.value.is_object()) {
     throw wire::BadMessage("not a claim");
   }
   Claim claim;
-  claim.node = entry.key.substr(std::string_view(kClaims).size());
+  claim.node = entry.key.substr(std::string_view(kClaimPrefix).size());
   claim.version = wire::text(entry.value, "version");
   claim.oldest = read_level(entry.value, "oldest");
   claim.newest = read_level(entry.value, "newest");
   claim.hold_at = wire::find(entry.value, "hold") != nullptr ? read_level(entry.value, "hold") : 0;
-  claim.digest =
+  claim.settings_digest =
       wire::find(entry.value, "digest") != nullptr ? wire::count(entry.value, "digest") : 0;
   claim.revision = entry.revision;
   if (claim.oldest > claim.newest || claim.newest == 0) throw wire::BadMessage("newest: too low");
@@ -64,7 +64,7 @@
 }
 
 kv::Json encode_stored(const StoredSchema& stored) {
-  return {{"level", stored.level}, {"writes", stored.writes}, {"settled", stored.settled}};
+  return {{"level", stored.level}, {"writes", stored.written_level}, {"settled", stored.settled}};
 }
 
 StoredSchema decode_stored(const std::optional<kv::Json>& value) {
@@ -72,7 +72,7 @@
   if (!value->is_object()) throw wire::BadMessage("level: not a map");
   StoredSchema stored;
   stored.level = read_level(*value, "level");
-  stored.writes = read_level(*value, "writes");
+  stored.written_level = read_level(*value, "writes");
   stored.settled = wire::flag(*value, "settled");
   if (!is_consistent(stored)) throw wire::BadMessage("level: inconsistent");
   return stored;
--- a/src/schema/schema_records.h
+++ b/src/schema/schema_records.h
@@ -18,13 +18,13 @@
 // The key of the one record of StoredSchema.
 inline constexpr const char* kLevelKey = "level";
 // The prefix of the keys of claims, before the node's name.
-inline constexpr const char* kClaims = "claim/";
+inline constexpr const char* kClaimPrefix = "claim/";
 
 // Which schema levels a process supports. The defaults are this program's; tests narrow the range
 // to act as an older version, or widen it.
-struct SupportedVersions {
-  std::uint32_t oldest = kOldest;
-  std::uint32_t newest = kNewest;
+struct SupportedLevels {
+  std::uint32_t oldest = kOldestLevel;
+  std::uint32_t newest = kNewestLevel;
   std::uint32_t hold_at = 0;  // the operator wants the schema at or below this level; 0: no limit
   std::string version = REACHRAMP_VERSION;  // of the program
 };
@@ -33,18 +33,19 @@
 struct Claim {
   std::string node;
   std::string version;  // of the program
-  std::uint32_t oldest = kOldest;
-  std::uint32_t newest = kWhole;
-  std::uint32_t hold_at = 0;   // as in SupportedVersions
-  std::uint64_t digest = 0;    // of the settings that nodes must share; 0: not announced
-  std::uint64_t revision = 0;  // of the record itself; not part of its value
+  std::uint32_t oldest = kOldestLevel;
+  std::uint32_t newest = kUncompacted;
+  std::uint32_t hold_at = 0;          // as in SupportedVersions
+  std::uint64_t settings_digest = 0;  // of the settings that nodes must share; 0: not announced
+  std::uint64_t revision = 0;         // of the record itself; not part of its value
 };
 
 // The schema level of what is stored.
 struct StoredSchema {
-  std::uint32_t level = kCompact;   // what a reader must support
-  std::uint32_t writes = kCompact;  // the form that writers use; below `level` during a downgrade
-  bool settled = true;              // no record of another level remains
+  std::uint32_t level = kCompact;  // what a reader must support
+  std::uint32_t written_level =
+      kCompact;         // the form that writers use; below `level` during a downgrade
+  bool settled = true;  // no record of another level remains
   bool operator==(const StoredSchema&) const = default;
 };
 
--- a/src/schema/schema_test.cpp
+++ b/src/schema/schema_test.cpp
@@ -19,7 +19,7 @@
   return claims;
 }
 
-Claim own_claim() { return {"node-1", "0.4.0", 1, kNewest, 0, 7, 0}; }
+Claim own_claim() { return {"node-1", "0.4.0", 1, kNewestLevel, 0, 7, 0}; }
 
 // The record that the process before left under the key of own_claim().
 kv::Entry predecessor(const kv::Json& value, std::uint64_t lease_id) {
@@ -44,7 +44,7 @@
   other.newest = kCompact;
   EXPECT_EQ(disposition_of(predecessor(encode_claim(other), 9), own), PredecessorClaim::replace);
   other = own;
-  other.digest = 8;
+  other.settings_digest = 8;
   EXPECT_EQ(disposition_of(predecessor(encode_claim(other), 9), own), PredecessorClaim::replace);
   kv::Json later = encode_claim(own);
   later["more"] = 1;
@@ -59,9 +59,9 @@
 }
 
 TEST(Levels, UpgradeMovesOneLevelOnConditionOfAllClaims) {
-  const auto migration = next_migration({}, claims(kNewest), kNodes);
+  const auto migration = next_migration({}, claims(kNewestLevel), kNodes);
   ASSERT_TRUE(migration);
-  EXPECT_EQ(migration->to, (StoredSchema{3, 3, false}));
+  EXPECT_EQ(migration->target, (StoredSchema{3, 3, false}));
   EXPECT_FALSE(migration->rejection_reason);
   EXPECT_EQ(migration->preconditions.size(), kNodes.size());
   EXPECT_EQ(migration->preconditions[2],
@@ -70,49 +70,50 @@
 
 TEST(Levels, NoUpgradeBeforePreviousOneIsSettled) {
   const StoredSchema migrating{3, 3, false};
-  EXPECT_FALSE(next_migration(migrating, claims(kNewest), kNodes));
+  EXPECT_FALSE(next_migration(migrating, claims(kNewestLevel), kNodes));
   EXPECT_EQ(settled_form(migrating), (StoredSchema{3, 3, true}));
 }
 
 TEST(Levels, NoUpgradeWithoutClaimOfEveryNode) {
-  auto incomplete = claims(kNewest);
+  auto incomplete = claims(kNewestLevel);
   incomplete.pop_back();
   EXPECT_FALSE(next_migration({}, incomplete, kNodes)) << "a node is missing";
-  incomplete.push_back({"node-7", "0.4.0", 1, kNewest, 0, 7, 30});
+  incomplete.push_back({"node-7", "0.4.0", 1, kNewestLevel, 0, 7, 30});
   EXPECT_FALSE(next_migration({}, incomplete, kNodes)) << "node-7 is not in the settings";
 }
 
 TEST(Levels, NoUpgradeBeyondWhatOneNodeSupports) {
-  auto older = claims(kNewest);
+  auto older = claims(kNewestLevel);
   older[1].newest = 2;
   EXPECT_FALSE(next_migration({}, older, kNodes));
 }
 
 TEST(Levels, NoUpgradeBeyondNewestLevelOfThisVersion) {
-  EXPECT_FALSE(next_migration({kNewest, kNewest, true}, claims(kNewest + 3), kNodes));
+  EXPECT_FALSE(
+      next_migration({kNewestLevel, kNewestLevel, true}, claims(kNewestLevel + 3), kNodes));
 }
 
 std::vector<Claim> claims_with_hold_on_one_node(std::uint32_t hold_at) {
-  auto held = claims(kNewest);
+  auto held = claims(kNewestLevel);
   held[1].hold_at = hold_at;
   return held;
 }
 
 TEST(Levels, UpgradeEndsAtHoldOfOneNode) {
   const auto held = claims_with_hold_on_one_node(3);
-  EXPECT_EQ(next_migration({}, held, kNodes)->to.level, 3u);
+  EXPECT_EQ(next_migration({}, held, kNodes)->target.level, 3u);
   EXPECT_FALSE(next_migration({3, 3, true}, held, kNodes));
 }
 
 TEST(Levels, HoldBelowWrittenLevelDowngradesOneLevel) {
   const auto held = claims_with_hold_on_one_node(3);
-  EXPECT_EQ(next_migration({4, 4, true}, held, kNodes)->to, (StoredSchema{4, 3, false}));
+  EXPECT_EQ(next_migration({4, 4, true}, held, kNodes)->target, (StoredSchema{4, 3, false}));
   EXPECT_FALSE(next_migration({4, 3, false}, held, kNodes)) << "under way";
   EXPECT_EQ(settled_form({4, 3, false}), (StoredSchema{3, 3, true}));
 }
 
 TEST(Levels, WithdrawnHoldResumesUpgrade) {
-  EXPECT_EQ(next_migration({4, 3, false}, claims(kNewest), kNodes)->to,
+  EXPECT_EQ(next_migration({4, 3, false}, claims(kNewestLevel), kNodes)->target,
             (StoredSchema{4, 4, false}));
 }
 
@@ -122,33 +123,33 @@
 }
 
 TEST(Levels, DowngradeFromLevelUnknownToThisVersionIsRejected) {
-  const auto migration =
-      next_migration({kNewest + 1, kNewest + 1, true}, claims_with_hold_on_one_node(3), kNodes);
+  const auto migration = next_migration({kNewestLevel + 1, kNewestLevel + 1, true},
+                                        claims_with_hold_on_one_node(3), kNodes);
   ASSERT_TRUE(migration);
   EXPECT_EQ(migration->rejection_reason, "this version does not know the level");
 }
 
 // A downgrade makes no process incompatible, so it needs no claim of every node.
 TEST(Levels, MissingClaimDoesNotPreventDowngrade) {
-  auto held = claims(kNewest);
+  auto held = claims(kNewestLevel);
   held.erase(held.begin());
   held[0].hold_at = 3;
-  EXPECT_EQ(next_migration({4, 4, true}, held, kNodes)->to, (StoredSchema{4, 3, false}));
+  EXPECT_EQ(next_migration({4, 4, true}, held, kNodes)->target, (StoredSchema{4, 3, false}));
 }
 
 TEST(Levels, ProcessThatSupportsStoredLevelIsCompatible) {
-  EXPECT_EQ(incompatibility({}, SupportedVersions{}), "");
+  EXPECT_EQ(incompatibility({}, SupportedLevels{}), "");
 }
 
 TEST(Levels, ProcessOlderThanStoredLevelIsIncompatible) {
-  EXPECT_NE(incompatibility({kNewest + 1, kNewest + 1, true}, {}).find("start a later"),
+  EXPECT_NE(incompatibility({kNewestLevel + 1, kNewestLevel + 1, true}, {}).find("start a later"),
             std::string::npos);
-  EXPECT_NE(incompatibility({kNewest + 1, kNewest, false}, SupportedVersions{}), "")
+  EXPECT_NE(incompatibility({kNewestLevel + 1, kNewestLevel, false}, SupportedLevels{}), "")
       << "a downgrade that is not settled";
 }
 
 TEST(Levels, ProcessNewerThanStoredLevelIsIncompatible) {
-  SupportedVersions supported;
+  SupportedLevels supported;
   supported.oldest = 3;
   EXPECT_NE(incompatibility({}, supported).find("start a former"), std::string::npos);
 }
@@ -189,9 +190,9 @@
   RC_ASSERT(encode_claim(decoded) == encode_claim(claim));
   RC_ASSERT(decoded.node == claim.node && decoded.revision == claim.revision);
   StoredSchema stored;
-  stored.writes = *rc::gen::inRange(2u, 9u);
-  stored.level = stored.writes + *rc::gen::inRange(0u, 2u);
-  stored.settled = stored.level == stored.writes && *rc::gen::arbitrary<bool>();
+  stored.written_level = *rc::gen::inRange(2u, 9u);
+  stored.level = stored.written_level + *rc::gen::inRange(0u, 2u);
+  stored.settled = stored.level == stored.written_level && *rc::gen::arbitrary<bool>();
   RC_ASSERT(decode_stored(encode_stored(stored)) == stored);
 }
 
@@ -212,7 +213,7 @@
   other.members = {{"node-0", "a", {}}};
   EXPECT_EQ(shared_settings_digest(one), shared_settings_digest(other))
       << "own name and address do not count";
-  other.teams[0].cpus_max = 3;
+  other.teams[0].max_cpus = 3;
   EXPECT_NE(shared_settings_digest(one), shared_settings_digest(other));
   EXPECT_EQ(nodes_with_other_settings({{"node-1", "", 1, 4, 0, shared_settings_digest(other), 1}},
                                       shared_settings_digest(one)),
--- a/src/schema/schema_version_tracker.cpp
+++ b/src/schema/schema_version_tracker.cpp
@@ -16,8 +16,8 @@
 using kv::Outcome;
 
 // Each round of run() renews the claim once, so that three renewals may fail before it ends.
-constexpr double kRound_s = kClaimLease_s / 4;
-constexpr double kRetry_s = 0.5;
+constexpr double kClaimRenewalInterval_s = kClaimLease_s / 4;
+constexpr double kSchemaRetryDelay_s = 0.5;
 constexpr int kRoundsPerClaimsRead = 3;
 
 std::chrono::milliseconds millis(double seconds) {
@@ -27,25 +27,26 @@
 }  // namespace
 
 SchemaVersionTracker::SchemaVersionTracker(kv::Client& store, const settings::Platform& platform,
-                                           const SupportedVersions& supported)
+                                           const SupportedLevels& supported)
     : store_(store),
       supported_(supported),
       node_(platform.node_name),
-      digest_(shared_settings_digest(platform)) {}
+      settings_digest_(shared_settings_digest(platform)) {}
 
 void SchemaVersionTracker::run(const std::function<void(bool incompatible)>& on_checked) {
   for (int round = 0;; ++round) {
     maintain_claim();
     if (round % kRoundsPerClaimsRead == 0) read_claims();
-    if (watched_to_ == 0) watched_to_ = read().value_or(0);
+    if (watched_to_ == 0) watched_to_ = read_stored_schema().value_or(0);
     on_checked(incompatible_);
     const bool can_watch = watched_to_ != 0;
-    if (!can_watch || !claim_lease_id_) std::this_thread::sleep_for(kv::jittered(kRetry_s));
+    if (!can_watch || !claim_lease_id_)
+      std::this_thread::sleep_for(kv::jittered(kSchemaRetryDelay_s));
     if (!can_watch) continue;
     if (wait_for_change()) {
       on_checked(incompatible_);
     } else {
-      std::this_thread::sleep_for(kv::jittered(kRetry_s));
+      std::this_thread::sleep_for(kv::jittered(kSchemaRetryDelay_s));
     }
   }
 }
@@ -63,9 +64,13 @@
 // claim is not known to be stored.
 std::optional<std::uint64_t> SchemaVersionTracker::announce() {
   const kv::ReadResult found = store_.get(claim_key(node_));
-  const Claim claim{
-      node_, supported_.version, supported_.oldest, supported_.newest, supported_.hold_at, digest_,
-      0};
+  const Claim claim{node_,
+                    supported_.version,
+                    supported_.oldest,
+                    supported_.newest,
+                    supported_.hold_at,
+                    settings_digest_,
+                    0};
   if (found.outcome == Outcome::absent) return publish(claim, 0);
   if (found.outcome != Outcome::ok) return std::nullopt;
   switch (disposition_of(found.entry, claim)) {
@@ -97,7 +102,7 @@
 }
 
 void SchemaVersionTracker::read_claims() {
-  const kv::ListResult page = store_.list(kClaims, "");
+  const kv::ListResult page = store_.list(kClaimPrefix, "");
   if (page.outcome != Outcome::ok) return;
   const std::vector<Claim> claims = decode_claims(page.entries);
   defers_leadership_ = std::any_of(claims.begin(), claims.end(), [&](const Claim& claim) {
@@ -108,7 +113,8 @@
 
 void SchemaVersionTracker::check_shared_settings(const std::vector<Claim>& claims) {
   std::string nodes;
-  for (const std::string& node : nodes_with_other_settings(claims, digest_)) nodes += " " + node;
+  for (const std::string& node : nodes_with_other_settings(claims, settings_digest_))
+    nodes += " " + node;
   if (nodes != last_logged_nodes_ && !nodes.empty()) {
     spdlog::error("settings that nodes must share differ from those of{}", nodes);
   }
@@ -118,14 +124,16 @@
 // Waits for changes of the level, for one round at most. False if the watch has failed: the level
 // must be read again.
 bool SchemaVersionTracker::wait_for_change() {
-  const kv::WatchResult result = store_.watch(kLevelKey, watched_to_, millis(kRound_s));
+  const kv::WatchResult result =
+      store_.watch(kLevelKey, watched_to_, millis(kClaimRenewalInterval_s));
   if (result.outcome != Outcome::ok) {
     watched_to_ = 0;
     return false;
   }
   watched_to_ = std::max(watched_to_, result.store_revision);
   for (const kv::KeyChange& change : result.changes) {
-    if (change.key == kLevelKey) update(change.value, change.value ? change.revision : 0);
+    if (change.key == kLevelKey)
+      update_stored_schema(change.value, change.value ? change.revision : 0);
   }
   return true;
 }
@@ -146,7 +154,7 @@
 }
 
 std::optional<std::uint64_t> SchemaVersionTracker::read_revision() {
-  if (!read()) return std::nullopt;
+  if (!read_stored_schema()) return std::nullopt;
   std::lock_guard lock(mutex_);
   if (incompatible_) return std::nullopt;
   return latest_->revision;
@@ -154,20 +162,21 @@
 
 // Lists the one key, since a list also returns the store's revision: the record's own may be older
 // than any that a watch can start from.
-std::optional<std::uint64_t> SchemaVersionTracker::read() {
+std::optional<std::uint64_t> SchemaVersionTracker::read_stored_schema() {
   const kv::ListResult page = store_.list(kLevelKey, "");
   if (page.outcome != Outcome::ok) return std::nullopt;
   const auto record = std::find_if(page.entries.begin(), page.entries.end(),
                                    [](const kv::Entry& entry) { return entry.key == kLevelKey; });
   if (record == page.entries.end()) {
-    update(std::nullopt, 0);
+    update_stored_schema(std::nullopt, 0);
   } else {
-    update(record->value, record->revision);
+    update_stored_schema(record->value, record->revision);
   }
   return page.store_revision;
 }
 
-void SchemaVersionTracker::update(const std::optional<kv::Json>& value, std::uint64_t revision) {
+void SchemaVersionTracker::update_stored_schema(const std::optional<kv::Json>& value,
+                                                std::uint64_t revision) {
   std::string reason;
   StoredSchema stored;
   try {
--- a/src/schema/schema_version_tracker.h
+++ b/src/schema/schema_version_tracker.h
@@ -22,7 +22,7 @@
  public:
   // `store` must outlive the tracker.
   SchemaVersionTracker(kv::Client& store, const settings::Platform& platform,
-                       const SupportedVersions& supported);
+                       const SupportedLevels& supported);
 
   // Renews the claim and watches the level. Never returns. Calls `on_checked` after each check of
   // the level with whether this process is incompatible with it and must not serve anybody.
@@ -52,14 +52,14 @@
   void check_shared_settings(const std::vector<Claim>& claims);
   bool wait_for_change();
   // Reads the stored level; returns the store's revision, none if the store does not answer.
-  std::optional<std::uint64_t> read();
-  void update(const std::optional<kv::Json>& value, std::uint64_t revision);
+  std::optional<std::uint64_t> read_stored_schema();
+  void update_stored_schema(const std::optional<kv::Json>& value, std::uint64_t revision);
   void log_compatibility(const std::string& reason);
 
   kv::Client& store_;
-  const SupportedVersions supported_;
+  const SupportedLevels supported_;
   const std::string node_;
-  const std::uint64_t digest_;
+  const std::uint64_t settings_digest_;
 
   // For the thread of run() only.
   std::optional<std::uint64_t> claim_lease_id_;  // none: the claim is not announced
--- a/src/schema/shared_settings.cpp
+++ b/src/schema/shared_settings.cpp
@@ -19,16 +19,17 @@
   std::sort(nodes.begin(), nodes.end());
   shared["nodes"] = nodes;
   for (const settings::Team& team : platform.teams) {
-    shared["teams"].push_back({team.name, team.cpus, team.cpus_max, team.gpus, team.gpus_max});
+    shared["teams"].push_back(
+        {team.name, team.guaranteed_cpus, team.max_cpus, team.guaranteed_gpus, team.max_gpus});
   }
   for (const settings::ServiceLevelObjective& objective : platform.objectives) {
     shared["objectives"].push_back({static_cast<int>(objective.kind), objective.job_class,
-                                    objective.within_s, objective.times});
+                                    objective.within_s, objective.deadline_factor});
   }
-  const settings::Workers& workers = platform.workers;
-  shared["workers"] = {workers.report_s, workers.lease_s, workers.gang_wait_s, workers.gang_peer_s,
-                       workers.cancel_s};
-  const settings::StateLimits& limits = platform.state_limits;
+  const settings::WorkerTimings& workers = platform.worker_timings;
+  shared["workers"] = {workers.report_interval_s, workers.lease_s, workers.gang_wait_s,
+                       workers.gang_peer_s, workers.cancel_s};
+  const settings::StoreLimits& limits = platform.store_limits;
   shared["state"] = {limits.rps, limits.write_rps, limits.value_kb, limits.txn_ops};
   const std::string text = shared.dump();
   return XXH3_64bits(text.data(), text.size());
--- a/src/settings/policy.cpp
+++ b/src/settings/policy.cpp
@@ -5,64 +5,66 @@
 #include <sstream>
 
 #include "schema/schema_levels.h"
+#include "settings/s_expression.h"
 #include "settings/settings.h"
-#include "settings/tree.h"
 
 namespace reachramp::settings {
 
 namespace {
 
-struct Knob {
+struct NumericSetting {
   double Policy::*field;
-  double least;
-  double most;
+  double min;
+  double max;
 };
 
-const std::map<std::string, Knob>& knobs() {
-  static const std::map<std::string, Knob> all{
-      {"target", {&Policy::target, 0.5, 0.9999}},
+const std::map<std::string, NumericSetting>& numeric_settings() {
+  static const std::map<std::string, NumericSetting> all{
+      {"target", {&Policy::target_utility, 0.5, 0.9999}},
       {"gamma", {&Policy::gamma, 1e-9, 1}},
-      {"prior", {&Policy::prior, 0, 1}},
+      {"prior", {&Policy::prior_reclaim_probability, 0, 1}},
       {"price-window-s", {&Policy::price_window_s, 10, 86400}},
-      {"tick-s", {&Policy::tick_s, 0.1, 600}},
+      {"tick-s", {&Policy::scaling_interval_s, 0.1, 600}},
       {"horizon-s", {&Policy::horizon_s, 1, 86400}}};
   return all;
 }
 
 // (levels (hold-at N))
-void read_levels(const Tree& section, Policy& policy, const std::string& path) {
+void read_levels(const SExpression& section, Policy& policy, const std::string& path) {
   for (std::size_t i = 1; i < section.items.size(); ++i) {
-    const Tree& entry = section.items[i];
-    if (entry.name().empty()) refuse(path, entry, "levels", "expected (name value)");
+    const SExpression& entry = section.items[i];
+    if (entry.name().empty()) throw_bad_settings(path, entry, "levels", "expected (name value)");
     if (entry.name() != "hold-at") continue;  // a newer version's setting
-    const double level = number_in(entry, schema::kCompact, schema::kNewest, path);
+    const double level = parse_number(entry, schema::kCompact, schema::kNewestLevel, path);
     policy.hold_at = static_cast<unsigned>(level);
-    if (policy.hold_at != level) refuse(path, entry, "hold-at", "not a whole number");
+    if (policy.hold_at != level) throw_bad_settings(path, entry, "hold-at", "not a whole number");
   }
 }
 
 }  // namespace
 
 Policy parse_policy(const std::string& text, const std::string& path) {
-  const Tree tree = parse_tree(text, path);
-  if (tree.name() != "policy") refuse(path, tree, "policy", "expected (policy (name value) ...)");
+  const SExpression tree = parse_s_expression(text, path);
+  if (tree.name() != "policy")
+    throw_bad_settings(path, tree, "policy", "expected (policy (name value) ...)");
   Policy policy;
-  std::set<std::string> given;
+  std::set<std::string> seen;
   for (std::size_t i = 1; i < tree.items.size(); ++i) {
-    const Tree& entry = tree.items[i];
+    const SExpression& entry = tree.items[i];
     const std::string& name = entry.name();
-    if (name.empty()) refuse(path, entry, "policy", "expected (name value)");
-    const auto knob = knobs().find(name);
-    if (knob == knobs().end() && name != "levels" && name != "drains") {
+    if (name.empty()) throw_bad_settings(path, entry, "policy", "expected (name value)");
+    const auto setting = numeric_settings().find(name);
+    if (setting == numeric_settings().end() && name != "levels" && name != "drains") {
       continue;  // a newer version's setting
     }
-    if (!given.insert(name).second) refuse(path, entry, name, "given twice");
+    if (!seen.insert(name).second) throw_bad_settings(path, entry, name, "given twice");
     if (name == "levels") {
       read_levels(entry, policy, path);
     } else if (name == "drains") {
-      policy.drains = std::make_shared<const Tree>(entry);
+      policy.drains = std::make_shared<const SExpression>(entry);
     } else {
-      policy.*(knob->second.field) = number_in(entry, knob->second.least, knob->second.most, path);
+      policy.*(setting->second.field) =
+          parse_number(entry, setting->second.min, setting->second.max, path);
     }
   }
   return policy;
--- a/src/settings/tree.cpp
+++ b/src/settings/s_expression.cpp
@@ -1,4 +1,4 @@
-#include "settings/tree.h"
+#include "settings/s_expression.h"
 
 #include <sexp.h>
 
@@ -11,13 +11,13 @@
 
 namespace {
 
-struct Freed {
+struct SexpDeleter {
   void operator()(sexp_t* tree) const { destroy_sexp(tree); }
 };
 
 // The library does not tell where it found what. Lists open in the text in the order in which a
 // walk through the tree meets them.
-std::vector<int> lines_of_lists(const std::string& text) {
+std::vector<int> list_start_lines(const std::string& text) {
   std::vector<int> lines;
   int line = 1;
   bool quoted = false, comment = false;
@@ -39,46 +39,47 @@
   return lines;
 }
 
-Tree build(const sexp_t* from, const std::vector<int>& lines, std::size_t& lists, int line) {
-  Tree tree;
+SExpression convert(const sexp_t* source, const std::vector<int>& lines, std::size_t& next_list,
+                    int line) {
+  SExpression tree;
   tree.line = line;
-  if (from->ty != SEXP_LIST) {
-    tree.atom = from->val == nullptr ? "" : from->val;
+  if (source->ty != SEXP_LIST) {
+    tree.atom = source->val == nullptr ? "" : source->val;
     return tree;
   }
   tree.is_list = true;
-  if (lists < lines.size()) tree.line = lines[lists];
-  ++lists;
-  for (const sexp_t* item = from->list; item != nullptr; item = item->next) {
-    tree.items.push_back(build(item, lines, lists, tree.line));
+  if (next_list < lines.size()) tree.line = lines[next_list];
+  ++next_list;
+  for (const sexp_t* item = source->list; item != nullptr; item = item->next) {
+    tree.items.push_back(convert(item, lines, next_list, tree.line));
   }
   return tree;
 }
 
 }  // namespace
 
-const std::string& Tree::name() const {
+const std::string& SExpression::name() const {
   static const std::string none;
   return is_list && !items.empty() && !items.front().is_list ? items.front().atom : none;
 }
 
-void refuse(const std::string& path, const Tree& at, std::string_view field,
-            const std::string& reason) {
-  throw BadSettings(path + ": line " + std::to_string(at.line) + ": " + std::string(field) + ": " +
-                    reason);
+void throw_bad_settings(const std::string& path, const SExpression& expression,
+                        std::string_view field, const std::string& reason) {
+  throw BadSettings(path + ": line " + std::to_string(expression.line) + ": " + std::string(field) +
+                    ": " + reason);
 }
 
-Tree parse_tree(const std::string& text, const std::string& path) {
+SExpression parse_s_expression(const std::string& text, const std::string& path) {
   std::string copy = text;
-  const std::unique_ptr<sexp_t, Freed> tree(parse_sexp(copy.data(), copy.size()));
+  const std::unique_ptr<sexp_t, SexpDeleter> tree(parse_sexp(copy.data(), copy.size()));
   if (!tree || tree->ty != SEXP_LIST) {
     throw BadSettings(path + ": line 1: policy: expected (policy (name value) ...)");
   }
   std::size_t lists = 0;
-  return build(tree.get(), lines_of_lists(text), lists, 1);
+  return convert(tree.get(), list_start_lines(text), lists, 1);
 }
 
-std::string to_text(const Tree& tree) {
+std::string to_text(const SExpression& tree) {
   if (!tree.is_list) {
     const bool plain =
         !tree.atom.empty() && tree.atom.find_first_of(" \t\n\r()\";\\'") == std::string::npos;
@@ -91,41 +92,42 @@
     return quoted + "\"";
   }
   std::string text = "(";
-  for (const Tree& item : tree.items) {
+  for (const SExpression& item : tree.items) {
     if (text.size() > 1) text += ' ';
     text += to_text(item);
   }
   return text + ")";
 }
 
-const std::string& word_in(const Tree& entry, const std::string& path) {
+const std::string& parse_text(const SExpression& entry, const std::string& path) {
   if (entry.items.size() != 2 || entry.items[1].is_list) {
-    refuse(path, entry, entry.name(), "expected one value");
+    throw_bad_settings(path, entry, entry.name(), "expected one value");
   }
   return entry.items[1].atom;
 }
 
-double number_in(const Tree& entry, double least, double most, const std::string& path) {
+double parse_number(const SExpression& entry, double min, double max, const std::string& path) {
   if (entry.items.size() != 2 || entry.items[1].is_list) {
-    refuse(path, entry, entry.name(), "expected one number");
+    throw_bad_settings(path, entry, entry.name(), "expected one number");
   }
   const std::string& digits = entry.items[1].atom;
   double number = 0;
   const auto [stop, error] = std::from_chars(digits.data(), digits.data() + digits.size(), number);
   if (error != std::errc() || stop != digits.data() + digits.size()) {
-    refuse(path, entry, entry.name(), "not a number: " + digits);
+    throw_bad_settings(path, entry, entry.name(), "not a number: " + digits);
   }
-  if (!(number >= least && number <= most)) {
-    std::ostringstream why;
-    why << "must lie between " << least << " and " << most;
-    refuse(path, entry, entry.name(), why.str());
+  if (!(number >= min && number <= max)) {
+    std::ostringstream reason;
+    reason << "must lie between " << min << " and " << max;
+    throw_bad_settings(path, entry, entry.name(), reason.str());
   }
   return number;
 }
 
-std::uint64_t count_in(const Tree& entry, const std::string& path) {
-  const double number = number_in(entry, 0, 9007199254740992.0, path);
-  if (number != std::floor(number)) refuse(path, entry, entry.name(), "not a whole number");
+std::uint64_t parse_count(const SExpression& entry, const std::string& path) {
+  const double number = parse_number(entry, 0, 9007199254740992.0, path);
+  if (number != std::floor(number))
+    throw_bad_settings(path, entry, entry.name(), "not a whole number");
   return static_cast<std::uint64_t>(number);
 }
 
--- a/src/settings/tree.h
+++ b/src/settings/s_expression.h
@@ -10,10 +10,10 @@
 
 namespace reachramp::settings {
 
-struct Tree {
+struct SExpression {
   int line = 0;
-  std::string atom;         // of a value
-  std::vector<Tree> items;  // of a list
+  std::string atom;                // of a value
+  std::vector<SExpression> items;  // of a list
   bool is_list = false;
 
   // The first word of a list: (name ...). Empty if there is none.
@@ -21,19 +21,19 @@
 };
 
 // Throws BadSettings: `path: line N: field: reason`.
-[[noreturn]] void refuse(const std::string& path, const Tree& at, std::string_view field,
-                         const std::string& reason);
+[[noreturn]] void throw_bad_settings(const std::string& path, const SExpression& expression,
+                                     std::string_view field, const std::string& reason);
 
 // Reads one list. Throws BadSettings.
-Tree parse_tree(const std::string& text, const std::string& path);
+SExpression parse_s_expression(const std::string& text, const std::string& path);
 // What parse_tree() reads back as the same tree but for its lines.
-std::string to_text(const Tree& tree);
+std::string to_text(const SExpression& tree);
 
 // The one value of (name value). Throws BadSettings.
-const std::string& word_in(const Tree& entry, const std::string& path);
+const std::string& parse_text(const SExpression& entry, const std::string& path);
 // A number from `least` to `most`.
-double number_in(const Tree& entry, double least, double most, const std::string& path);
+double parse_number(const SExpression& entry, double min, double max, const std::string& path);
 // A whole number of at most 2^53.
-std::uint64_t count_in(const Tree& entry, const std::string& path);
+std::uint64_t parse_count(const SExpression& entry, const std::string& path);
 
 }  // namespace reachramp::settings
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -16,21 +16,21 @@
   using std::runtime_error::runtime_error;
 };
 
-struct Tree;
+struct SExpression;
 
 struct Member {
   std::string name;
-  std::string domain;
+  std::string failure_domain;
   wire::Address address;
 };
 
 // Zero means none: no guarantee, no limit.
 struct Team {
   std::string name;
-  double cpus = 0;
-  double cpus_max = 0;
-  double gpus = 0;
-  double gpus_max = 0;
+  double guaranteed_cpus = 0;
+  double max_cpus = 0;
+  double guaranteed_gpus = 0;
+  double max_gpus = 0;
 };
 
 // What is expected for a class of jobs: tasks started, or the job finished, within so long; or the
@@ -39,18 +39,18 @@
   enum class Kind { wait, finished, deadline } kind = Kind::wait;
   std::string job_class;
   double within_s = 0;
-  double times = 1;
+  double deadline_factor = 1;
 };
 
-struct Workers {
-  double report_s = 1;
+struct WorkerTimings {
+  double report_interval_s = 1;
   double lease_s = 10;
   double gang_wait_s = 30;
   double gang_peer_s = 5;
   double cancel_s = 30;
 };
 
-struct StateLimits {
+struct StoreLimits {
   double rps = 50;
   double write_rps = 10;
   double value_kb = 4;
@@ -58,7 +58,7 @@
 };
 
 // What may be written now and will still be taken under the limits to come.
-StateLimits lasting(const StateLimits& present, const StateLimits& next);
+StoreLimits stricter_limits(const StoreLimits& current, const StoreLimits& upcoming);
 
 struct CloudLimits {
   double rps = 3;
@@ -67,18 +67,21 @@
 
 struct Platform {
   std::string node_name;
-  std::string domain;
+  std::string failure_domain;
   wire::Address serve_on;
   wire::Address cluster_listen;
   std::vector<Member> members;
-  wire::Address cloud;
-  wire::Address state;
+  wire::Address cloud_address;
+  wire::Address store_address;
   std::vector<Team> teams;
   std::vector<ServiceLevelObjective> objectives;
-  Workers workers;
-  StateLimits state_limits;
-  StateLimits state_next;  // from an unannounced moment on; what is not said stays as it is
-  StateLimits lasting() const { return settings::lasting(state_limits, state_next); }
+  WorkerTimings worker_timings;
+  StoreLimits store_limits;
+  StoreLimits
+      upcoming_store_limits;  // from an unannounced moment on; what is not said stays as it is
+  StoreLimits strictest_store_limits() const {
+    return settings::stricter_limits(store_limits, upcoming_store_limits);
+  }
   CloudLimits cloud_limits;
   int fd_limit = 512;
   int thread_limit = 2000;  // of a process; the users' page on the large fleet
@@ -87,16 +90,16 @@
 
 // The knobs of Tributary that operators may turn; see docs/design.md.
 struct Policy {
-  double target = 0.95;
+  double target_utility = 0.95;
   double gamma = 0.01;
-  double prior = 0.1;
+  double prior_reclaim_probability = 0.1;
   double price_window_s = 600;
-  double tick_s = 10;
+  double scaling_interval_s = 10;
   double horizon_s = 60;
   // (levels (hold-at N)): the stored state stays at or below that level; 0: no wish.
   unsigned hold_at = 0;
   // (drains ...), as it stands; none: nothing is drained. Read by the slice of that name.
-  std::shared_ptr<const Tree> drains;
+  std::shared_ptr<const SExpression> drains;
 };
 
 Platform load_platform(const std::string& path);
--- a/src/settings/settings_test.cpp
+++ b/src/settings/settings_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "settings/tree.h"
+#include "settings/s_expression.h"
 
 namespace reachramp::settings {
 namespace {
@@ -58,12 +58,12 @@
 
 TEST(Platform, LimitsToComeMayBeSaidInPart) {
   Platform platform = parse_platform(kPlatform, "node.toml");
-  EXPECT_EQ(platform.state_next.value_kb, 8);
+  EXPECT_EQ(platform.upcoming_store_limits.value_kb, 8);
   std::string text = kPlatform;
   text.insert(text.find("[facts.cloud]"), "[facts.state.next]\nvalue_kb = 2.0\nwrite_rps = 20\n");
   platform = parse_platform(text, "node.toml");
-  EXPECT_EQ(platform.state_next.txn_ops, 8);
-  const StateLimits both = lasting(platform.state_limits, platform.state_next);
+  EXPECT_EQ(platform.upcoming_store_limits.txn_ops, 8);
+  const StoreLimits both = stricter_limits(platform.store_limits, platform.upcoming_store_limits);
   EXPECT_EQ(both.value_kb, 2);
   EXPECT_EQ(both.write_rps, 15) << "limits may also rise";
   text.insert(text.find("value_kb = 2.0"), "txn_ops = 0\n");
@@ -73,8 +73,8 @@
 TEST(Platform, ReadsWhatItKnowsAndIgnoresTheRest) {
   const Platform platform = parse_platform(kPlatform, "node.toml");
   EXPECT_EQ(platform.members.at(0).address.port, 9081);
-  EXPECT_EQ(platform.teams.at(0).cpus, 4);
-  EXPECT_EQ(platform.workers.report_s, 1);
+  EXPECT_EQ(platform.teams.at(0).guaranteed_cpus, 4);
+  EXPECT_EQ(platform.worker_timings.report_interval_s, 1);
 }
 
 TEST(Platform, NamesFileFieldAndReason) {
@@ -90,8 +90,8 @@
 
 TEST(Policy, DefaultsAndValues) {
   const Policy policy = parse_policy("(policy (target 0.9) (tick-s 2) (newer 7))", "p");
-  EXPECT_EQ(policy.target, 0.9);
-  EXPECT_EQ(policy.tick_s, 2);
+  EXPECT_EQ(policy.target_utility, 0.9);
+  EXPECT_EQ(policy.scaling_interval_s, 2);
   EXPECT_EQ(policy.horizon_s, Policy{}.horizon_s);
 }
 
@@ -115,13 +115,13 @@
   const std::string text =
       "(policy ; (not a list)\n (target 0.9)\n (drains (serial 3)\n  (machines (names \"n (1\" "
       "x))))";
-  const Tree tree = parse_tree(text, "p");
+  const SExpression tree = parse_s_expression(text, "p");
   EXPECT_EQ(tree.items.at(1).line, 2);
-  const Tree& drains = tree.items.at(2);
+  const SExpression& drains = tree.items.at(2);
   EXPECT_EQ(drains.line, 3);
   EXPECT_EQ(drains.items.at(2).line, 4);
   EXPECT_EQ(drains.items.at(2).items.at(1).items.at(1).atom, "n (1");
-  EXPECT_EQ(to_text(parse_tree(to_text(tree), "p")), to_text(tree));
+  EXPECT_EQ(to_text(parse_s_expression(to_text(tree), "p")), to_text(tree));
   try {
     parse_policy("(policy\n (tick-s 2)\n (gamma x))", "p.sexp");
     FAIL();
--- a/src/shares/usage_accounts.cpp
+++ b/src/shares/usage_accounts.cpp
@@ -13,160 +13,162 @@
 
 namespace {
 
-constexpr double kHalfLife_s = 600;
+constexpr double kUsageHalfLife_s = 600;
 // Where no time is expected of a job's class, one that has not begun for so long is late.
-constexpr double kPatience_s = 60;
+constexpr double kLateAfterWaiting_s = 60;
 // Teams and classes that a record can name.
-constexpr std::size_t kMostNames = 1000;
+constexpr std::size_t kMaxNamesInRecord = 1000;
 
-bool begun(const Job& job) { return job.done_count > 0 || !job.attempts.empty(); }
+bool has_begun(const Job& job) { return job.done_count > 0 || !job.attempts.empty(); }
 
 bool is_late(const Job& job, double now) {
-  if (job.waits()) return false;
-  if (job.start_by.empty()) return !begun(job) && now - job.unblocked_at > kPatience_s;
+  if (job.is_blocked()) return false;
+  if (job.latest_starts.empty())
+    return !has_begun(job) && now - job.unblocked_at > kLateAfterWaiting_s;
   // All of it runs: whether it ends in time is no longer a matter of shares.
   const bool placed = job.attempts.size() + job.done_count >= job.spec.tasks;
-  return !placed && job.next_start_by(now) == placement::kNever;
+  return !placed && job.next_latest_start(now) == placement::kNever;
 }
 
-Standing& standing_of(std::vector<Standing>& all, const std::string& name) {
-  const auto at =
-      std::lower_bound(all.begin(), all.end(), name,
-                       [](const Standing& one, const std::string& n) { return one.name < n; });
-  if (at != all.end() && at->name == name) return *at;
-  Standing fresh;
-  fresh.name = name;
-  return *all.insert(at, fresh);
+ServiceSummary& find_or_add(std::vector<ServiceSummary>& summaries, const std::string& name) {
+  const auto at = std::lower_bound(
+      summaries.begin(), summaries.end(), name,
+      [](const ServiceSummary& one, const std::string& n) { return one.name < n; });
+  if (at != summaries.end() && at->name == name) return *at;
+  ServiceSummary added;
+  added.name = name;
+  return *summaries.insert(at, added);
 }
 
-void add(Standing& standing, const Job& job, double now) {
-  standing.cores += job.resources_per_task.cpus * static_cast<double>(job.attempts.size());
-  standing.late += is_late(job, now) ? 1 : 0;
-  if (begun(job) || job.waits()) return;
-  ++standing.waiting;
-  standing.longest_wait_s = std::max(standing.longest_wait_s, now - job.unblocked_at);
+void add_job(ServiceSummary& summary, const Job& job, double now) {
+  summary.cores_in_use += job.resources_per_task.cpus * static_cast<double>(job.attempts.size());
+  summary.late += is_late(job, now) ? 1 : 0;
+  if (has_begun(job) || job.is_blocked()) return;
+  ++summary.waiting;
+  summary.longest_wait_s = std::max(summary.longest_wait_s, now - job.unblocked_at);
 }
 
 // `live` counts jobs that are not cancelled: the rest of those that came is done.
-std::vector<Standing> close(std::vector<Standing> standings,
-                            const std::map<std::string, Account>& accounts,
-                            const std::map<std::string, std::uint64_t>& live) {
+std::vector<ServiceSummary> add_account_counts(
+    std::vector<ServiceSummary> summaries, const std::map<std::string, UsageAccount>& accounts,
+    const std::map<std::string, std::uint64_t>& uncancelled_jobs) {
   for (const auto& [name, account] : accounts) {
-    Standing& standing = standing_of(standings, name);
-    const auto at = live.find(name);
-    const std::uint64_t open = account.cancelled + (at == live.end() ? 0 : at->second);
-    standing.came = account.came;
-    standing.done = account.came - std::min(account.came, open);
+    ServiceSummary& summary = find_or_add(summaries, name);
+    const auto at = uncancelled_jobs.find(name);
+    const std::uint64_t not_done =
+        account.cancelled + (at == uncancelled_jobs.end() ? 0 : at->second);
+    summary.submitted = account.submitted;
+    summary.done = account.submitted - std::min(account.submitted, not_done);
   }
-  return standings;
+  return summaries;
 }
 
-std::map<std::string, Account> decode(const wire::Json& record, const char* field) {
-  std::map<std::string, Account> accounts;
+std::map<std::string, UsageAccount> decode_accounts(const wire::Json& record, const char* field) {
+  std::map<std::string, UsageAccount> accounts;
   for (const wire::Json& item : wire::list(record, field)) {
-    Account account;
-    account.came = wire::count(item, "came");
-    account.cancelled = wire::count(item, "cancelled", account.came);
-    account.core_s = wire::amount(item, "core_s");
-    account.gpu_s = wire::amount(item, "gpu_s");
+    UsageAccount account;
+    account.submitted = wire::count(item, "came");
+    account.cancelled = wire::count(item, "cancelled", account.submitted);
+    account.recent_core_s = wire::amount(item, "core_s");
+    account.recent_gpu_s = wire::amount(item, "gpu_s");
     accounts[wire::text(item, "name")] = account;
   }
-  if (accounts.size() > kMostNames) throw wire::BadMessage("shares: too many names");
+  if (accounts.size() > kMaxNamesInRecord) throw wire::BadMessage("shares: too many names");
   return accounts;
 }
 
-wire::Json encode_all(const std::map<std::string, Account>& accounts) {
+wire::Json encode_accounts(const std::map<std::string, UsageAccount>& accounts) {
   wire::Json list = wire::Json::array();
   for (const auto& [name, account] : accounts) {
     list.push_back({{"name", name},
-                    {"came", account.came},
+                    {"came", account.submitted},
                     {"cancelled", account.cancelled},
-                    {"core_s", std::round(account.core_s)},
-                    {"gpu_s", std::round(account.gpu_s)}});
+                    {"core_s", std::round(account.recent_core_s)},
+                    {"gpu_s", std::round(account.recent_gpu_s)}});
   }
   return list;
 }
 
 }  // namespace
 
-double Standing::share() const {
+double ServiceSummary::done_share() const {
   return done + late == 0 ? 1 : static_cast<double>(done) / static_cast<double>(done + late);
 }
 
-void UsageAccounts::came(const Job& job) {
-  ++teams_[job.spec.team].came;
-  ++classes_[job.spec.job_class].came;
+void UsageAccounts::note_submitted(const Job& job) {
+  ++teams_[job.spec.team].submitted;
+  ++classes_[job.spec.job_class].submitted;
 }
 
-void UsageAccounts::cancelled(const Job& job) {
+void UsageAccounts::note_cancelled(const Job& job) {
   ++teams_[job.spec.team].cancelled;
   ++classes_[job.spec.job_class].cancelled;
 }
 
 void UsageAccounts::advance(const placement::Cluster& cluster, double now) {
-  const double passed = passed_at_ < 0 ? 0 : std::max(0.0, now - passed_at_);
-  passed_at_ = now;
-  const double kept = std::exp2(-passed / kHalfLife_s);
+  const double elapsed_s = advanced_at_ < 0 ? 0 : std::max(0.0, now - advanced_at_);
+  advanced_at_ = now;
+  const double decay_factor = std::exp2(-elapsed_s / kUsageHalfLife_s);
   for (auto* accounts : {&teams_, &classes_}) {
     for (auto& [name, account] : *accounts) {
-      account.core_s *= kept;
-      account.gpu_s *= kept;
+      account.recent_core_s *= decay_factor;
+      account.recent_gpu_s *= decay_factor;
     }
   }
-  if (passed <= 0) return;
+  if (elapsed_s <= 0) return;
   for (const auto& job : cluster.jobs) {
     if (!job || job->attempts.empty()) continue;
-    const double use = passed * static_cast<double>(job->attempts.size());
-    for (Account* account : {&teams_[job->spec.team], &classes_[job->spec.job_class]}) {
-      account->core_s += use * job->resources_per_task.cpus;
-      account->gpu_s += use * job->resources_per_task.gpus;
+    const double task_s = elapsed_s * static_cast<double>(job->attempts.size());
+    for (UsageAccount* account : {&teams_[job->spec.team], &classes_[job->spec.job_class]}) {
+      account->recent_core_s += task_s * job->resources_per_task.cpus;
+      account->recent_gpu_s += task_s * job->resources_per_task.gpus;
     }
   }
 }
 
-Report UsageAccounts::report(const placement::Cluster& cluster, double now) const {
-  Report report;
+UsageReport UsageAccounts::report(const placement::Cluster& cluster, double now) const {
+  UsageReport report;
   std::map<std::string, std::uint64_t> live_teams, live_classes;
   for (const auto& job : cluster.jobs) {
     if (!job || job->cancelled) continue;
     ++live_teams[job->spec.team];
     ++live_classes[job->spec.job_class];
-    add(standing_of(report.teams, job->spec.team), *job, now);
-    add(standing_of(report.classes, job->spec.job_class), *job, now);
+    add_job(find_or_add(report.teams, job->spec.team), *job, now);
+    add_job(find_or_add(report.classes, job->spec.job_class), *job, now);
   }
-  report.teams = close(std::move(report.teams), teams_, live_teams);
-  report.classes = close(std::move(report.classes), classes_, live_classes);
+  report.teams = add_account_counts(std::move(report.teams), teams_, live_teams);
+  report.classes = add_account_counts(std::move(report.classes), classes_, live_classes);
   return report;
 }
 
 wire::Json UsageAccounts::encode() const {
-  return {{"teams", encode_all(teams_)}, {"classes", encode_all(classes_)}};
+  return {{"teams", encode_accounts(teams_)}, {"classes", encode_accounts(classes_)}};
 }
 
 void UsageAccounts::restore(const wire::Json& record) {
   if (!record.is_object()) throw wire::BadMessage("shares: not a map");
-  auto teams = decode(record, "teams");
-  auto classes = decode(record, "classes");
+  auto teams = decode_accounts(record, "teams");
+  auto classes = decode_accounts(record, "classes");
   teams_ = std::move(teams);
   classes_ = std::move(classes);
 }
 
-double UsageAccounts::core_s(const std::string& team) const {
+double UsageAccounts::recent_core_s(const std::string& team) const {
   const auto at = teams_.find(team);
-  return at == teams_.end() ? 0 : at->second.core_s;
+  return at == teams_.end() ? 0 : at->second.recent_core_s;
 }
 
-std::string describe(const Report& report) {
+std::string describe(const UsageReport& report) {
   std::string line;
-  const Standing* worst = nullptr;
+  const ServiceSummary* worst = nullptr;
   const char* worst_kind = "";
-  const auto tell = [&](const char* kind, const std::vector<Standing>& standings) {
-    for (const Standing& one : standings) {
+  const auto tell = [&](const char* kind, const std::vector<ServiceSummary>& standings) {
+    for (const ServiceSummary& one : standings) {
       line += fmt::format(
           "{} {} {:.2f} ({} came, {} done, {} wait up to {:.0f} s, {} late, {:.0f} cores); ", kind,
-          one.name, one.share(), one.came, one.done, one.waiting, one.longest_wait_s, one.late,
-          one.cores);
-      if (worst != nullptr && one.share() >= worst->share()) continue;
+          one.name, one.done_share(), one.submitted, one.done, one.waiting, one.longest_wait_s,
+          one.late, one.cores_in_use);
+      if (worst != nullptr && one.done_share() >= worst->done_share()) continue;
       worst = &one;
       worst_kind = kind;
     }
@@ -174,7 +176,7 @@
   tell("team", report.teams);
   tell("class", report.classes);
   if (worst != nullptr)
-    line += fmt::format("worst: {} {} {:.2f}", worst_kind, worst->name, worst->share());
+    line += fmt::format("worst: {} {} {:.2f}", worst_kind, worst->name, worst->done_share());
   return line;
 }
 
--- a/src/shares/usage_accounts.h
+++ b/src/shares/usage_accounts.h
@@ -16,52 +16,52 @@
 // Whether it is a record of this slice that the level does not have, or has in another form.
 bool is_stale(const std::string& key, const wire::Json& value, std::uint32_t level);
 
-struct Account {
-  std::uint64_t came = 0;
+struct UsageAccount {
+  std::uint64_t submitted = 0;
   std::uint64_t cancelled = 0;
-  double core_s = 0;  // with a half-life
-  double gpu_s = 0;
-  bool operator==(const Account&) const = default;
+  double recent_core_s = 0;  // with a half-life
+  double recent_gpu_s = 0;
+  bool operator==(const UsageAccount&) const = default;
 };
 
 // How one team or class stands.
-struct Standing {
+struct ServiceSummary {
   std::string name;
-  std::uint64_t came = 0;
+  std::uint64_t submitted = 0;
   std::uint64_t done = 0;
   std::uint64_t waiting = 0;  // not begun, although nothing that they need holds them back
   std::uint64_t late = 0;     // alive, and nothing that is expected of them can be met any more
   double longest_wait_s = 0;
-  double cores = 0;  // in use now
+  double cores_in_use = 0;  // in use now
   // Of those that are done or late, the part that is done; 1 where there are none.
-  double share() const;
+  double done_share() const;
 };
 
-struct Report {
-  std::vector<Standing> teams;
-  std::vector<Standing> classes;
+struct UsageReport {
+  std::vector<ServiceSummary> teams;
+  std::vector<ServiceSummary> classes;
 };
 
 class UsageAccounts {
  public:
-  void came(const placement::Job& job);
-  void cancelled(const placement::Job& job);
+  void note_submitted(const placement::Job& job);
+  void note_cancelled(const placement::Job& job);
   // Lets time pass; use is that of the moment.
   void advance(const placement::Cluster& cluster, double now);
 
-  Report report(const placement::Cluster& cluster, double now) const;
+  UsageReport report(const placement::Cluster& cluster, double now) const;
 
   wire::Json encode() const;
   // Takes over what an earlier leader wrote. Throws wire::BadMessage and is as it was.
   void restore(const wire::Json& record);
-  double core_s(const std::string& team) const;
+  double recent_core_s(const std::string& team) const;
 
  private:
-  std::map<std::string, Account> teams_, classes_;
-  double passed_at_ = -1;
+  std::map<std::string, UsageAccount> teams_, classes_;
+  double advanced_at_ = -1;
 };
 
 // One line: each team and class, the worst of all last.
-std::string describe(const Report& report);
+std::string describe(const UsageReport& report);
 
 }  // namespace reachramp::shares
--- a/src/shares/usage_accounts_bytes_test.cpp
+++ b/src/shares/usage_accounts_bytes_test.cpp
@@ -15,7 +15,7 @@
 
 TEST(SharesRecordBytes, RecordIsWrittenAsLiteral) {
   const settings::Platform settings = platform();
-  Cluster cluster(settings, 1, jobs::Format::compact);
+  Cluster cluster(settings, 1, jobs::TaskRecordFormat::compact);
   UsageAccounts accounts;
   for (int i = 1; i <= 2; ++i) {
     jobs::Header header;
@@ -23,8 +23,8 @@
     header.spec.team = "red";
     header.spec.job_class = "train";
     const auto index = cluster.add_job(header, static_cast<std::uint64_t>(i), 0);
-    accounts.came(*cluster.jobs[index]);
-    if (i == 2) accounts.cancelled(*cluster.jobs[index]);
+    accounts.note_submitted(*cluster.jobs[index]);
+    if (i == 2) accounts.note_cancelled(*cluster.jobs[index]);
   }
   EXPECT_TRUE(test::is_written_as(
       accounts.encode(),
@@ -40,7 +40,7 @@
           "classes":[{"name":"train","came":10,"cancelled":2,"core_s":120.0,"gpu_s":35.0}]})";
   UsageAccounts accounts;
   accounts.restore(test::received(kRecord));
-  EXPECT_EQ(accounts.core_s("blue"), 120);
+  EXPECT_EQ(accounts.recent_core_s("blue"), 120);
   EXPECT_TRUE(test::is_written_as(accounts.encode(), kRecord));
   EXPECT_STREQ(kSharesKey, "shares");
 }
--- a/src/shares/usage_accounts_test.cpp
+++ b/src/shares/usage_accounts_test.cpp
@@ -8,7 +8,7 @@
 
 class AccountsTest : public ::testing::Test {
  protected:
-  AccountsTest() : cluster_(platform_, 1, jobs::Format::compact) {}
+  AccountsTest() : cluster_(platform_, 1, jobs::TaskRecordFormat::compact) {}
 
   placement::Index job(const std::string& team, const std::string& job_class, double seen_at,
                        std::optional<double> due_s = std::nullopt) {
@@ -20,16 +20,16 @@
     header.spec.cpus = 3;
     header.spec.deadline_s = due_s;
     const auto index = cluster_.add_job(header, static_cast<std::uint64_t>(made_), seen_at);
-    accounts_.came(*cluster_.jobs[index]);
+    accounts_.note_submitted(*cluster_.jobs[index]);
     return index;
   }
   void end(placement::Index index, bool cancelled) {
-    if (cancelled) accounts_.cancelled(*cluster_.jobs[index]);
+    if (cancelled) accounts_.note_cancelled(*cluster_.jobs[index]);
     cluster_.remove_job(index);
   }
-  const Standing& team(const Report& report, const std::string& name) {
+  const ServiceSummary& team(const UsageReport& report, const std::string& name) {
     return *std::find_if(report.teams.begin(), report.teams.end(),
-                         [&](const Standing& one) { return one.name == name; });
+                         [&](const ServiceSummary& one) { return one.name == name; });
   }
 
   settings::Platform platform_ = [] {
@@ -48,15 +48,15 @@
   job("red", "a", 90);     // waits, not for long
   job("red", "b", 0, 50);  // nothing can make it timely
   job("blue", "b", 0, 500);
-  const Report report = accounts_.report(cluster_, 100);
-  const Standing& red = team(report, "red");
-  EXPECT_EQ(red.came, 4u);
+  const UsageReport report = accounts_.report(cluster_, 100);
+  const ServiceSummary& red = team(report, "red");
+  EXPECT_EQ(red.submitted, 4u);
   EXPECT_EQ(red.done, 1u);
   EXPECT_EQ(red.waiting, 2u);
   EXPECT_EQ(red.late, 1u);
   EXPECT_EQ(red.longest_wait_s, 100);
-  EXPECT_EQ(red.share(), 0.5);
-  EXPECT_EQ(team(report, "blue").share(), 1) << "there is time";
+  EXPECT_EQ(red.done_share(), 0.5);
+  EXPECT_EQ(team(report, "blue").done_share(), 1) << "there is time";
   EXPECT_NE(describe(report).find("worst: class b 0.00"), std::string::npos) << describe(report);
 }
 
@@ -66,10 +66,10 @@
   cluster_.place(index, 0, 1, host, 0);
   accounts_.advance(cluster_, 10);
   accounts_.advance(cluster_, 30);
-  EXPECT_NEAR(accounts_.core_s("red"), 60, 1e-6);
+  EXPECT_NEAR(accounts_.recent_core_s("red"), 60, 1e-6);
   cluster_.end_attempt(index, 0, 30);
   accounts_.advance(cluster_, 630);
-  EXPECT_NEAR(accounts_.core_s("red"), 30, 1e-6);
+  EXPECT_NEAR(accounts_.recent_core_s("red"), 30, 1e-6);
 }
 
 TEST_F(AccountsTest, ANewLeaderKnowsThemAndRefusesNonsense) {
--- a/src/wire/connection_limiter.cpp
+++ b/src/wire/connection_limiter.cpp
@@ -13,16 +13,16 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kParties = 4;
-constexpr std::size_t kDue = 4;  // a party's due is one in this many
-constexpr double kOfDescriptors = 0.65;
-constexpr double kOfMemory = 0.5;
-constexpr double kConnectionMb = 0.044;
-constexpr double kOfThreads = 0.9;
-constexpr auto kThreadsStay = 10s;
-constexpr double kLeast = 16;
+constexpr std::size_t kClientKinds = 4;
+constexpr std::size_t kReservedDivisor = 4;  // a party's due is one in this many
+constexpr double kConnectionShareOfDescriptors = 0.65;
+constexpr double kConnectionShareOfMemory = 0.5;
+constexpr double kConnectionMemory_mb = 0.044;
+constexpr double kConnectionShareOfThreads = 0.9;
+constexpr auto kConnectionThreadIdleTimeout = 10s;
+constexpr double kMinConnections = 16;
 // A connection that was told to close needs its thread's turn to be gone.
-constexpr auto kWaitForLeaving = 200ms;
+constexpr auto kCloseTimeout = 200ms;
 
 std::int64_t now_ms() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -30,123 +30,128 @@
       .count();
 }
 
-std::size_t number(ClientKind party) { return static_cast<std::size_t>(party); }
+std::size_t index_of(ClientKind kind) { return static_cast<std::size_t>(kind); }
 
 }  // namespace
 
-std::optional<std::size_t> to_close(const std::vector<ConnectionStatus>& held,
-                                    ClientKind newcomer) {
-  std::size_t count[kParties] = {};
-  for (const ConnectionStatus& one : held) ++count[number(one.party)];
-  const std::size_t due = held.size() / kDue;
-  const auto may_go = [&](const ConnectionStatus& one) {
-    return !one.busy && (one.party == ClientKind::fresh || one.party == newcomer ||
-                         count[number(one.party)] > due);
+std::optional<std::size_t> choose_connection_to_close(
+    const std::vector<ConnectionStatus>& connections, ClientKind new_kind) {
+  std::size_t counts[kClientKinds] = {};
+  for (const ConnectionStatus& one : connections) ++counts[index_of(one.kind)];
+  const std::size_t reserved = connections.size() / kReservedDivisor;
+  const auto may_close = [&](const ConnectionStatus& one) {
+    return !one.busy && (one.kind == ClientKind::unknown || one.kind == new_kind ||
+                         counts[index_of(one.kind)] > reserved);
   };
-  std::optional<std::size_t> found;
-  for (std::size_t i = 0; i < held.size(); ++i) {
-    if (may_go(held[i]) && (!found || held[i].silent_since_ms < held[*found].silent_since_ms)) {
-      found = i;
+  std::optional<std::size_t> chosen;
+  for (std::size_t i = 0; i < connections.size(); ++i) {
+    if (may_close(connections[i]) &&
+        (!chosen || connections[i].idle_since_ms < connections[*chosen].idle_since_ms)) {
+      chosen = i;
     }
   }
-  return found;
+  return chosen;
 }
 
-bool may_begin(const Busy& busy, ClientKind party, std::size_t most) {
-  const std::size_t due = most / kDue;
-  if (busy[number(party)] < due) return true;
-  std::size_t spoken_for = 0;
+bool may_begin_request(const RequestCounts& in_progress, ClientKind kind,
+                       std::size_t max_requests) {
+  const std::size_t reserved = max_requests / kReservedDivisor;
+  if (in_progress[index_of(kind)] < reserved) return true;
+  std::size_t taken_or_reserved = 0;
   for (const ClientKind other : {ClientKind::user, ClientKind::worker, ClientKind::peer}) {
-    spoken_for += std::max(busy[number(other)], due);
+    taken_or_reserved += std::max(in_progress[index_of(other)], reserved);
   }
-  return spoken_for < most;
+  return taken_or_reserved < max_requests;
 }
 
-std::size_t connections_for(const ProcessLimits& means) {
-  const double most =
-      std::min({means.descriptors * kOfDescriptors, means.memory_mb * kOfMemory / kConnectionMb,
-                means.threads * kOfThreads});
-  return static_cast<std::size_t>(std::max(most, kLeast));
+std::size_t max_connections_within(const ProcessLimits& limits) {
+  const double max_connections =
+      std::min({limits.descriptors * kConnectionShareOfDescriptors,
+                limits.memory_mb * kConnectionShareOfMemory / kConnectionMemory_mb,
+                limits.threads * kConnectionShareOfThreads});
+  return static_cast<std::size_t>(std::max(max_connections, kMinConnections));
 }
 
-bool ConnectionLimiter::close_one(ClientKind newcomer) {
-  std::vector<ConnectionStatus> held;
-  std::vector<Connection*> which;
-  for (const Shared& connection : connections_) {
-    if (connection->closing) continue;
-    held.push_back(connection->held);
-    which.push_back(connection.get());
+bool ConnectionLimiter::close_one_locked(ClientKind new_kind) {
+  std::vector<ConnectionStatus> statuses;
+  std::vector<Connection*> candidates;
+  for (const ConnectionPtr& connection : connections_) {
+    if (connection->is_closing) continue;
+    statuses.push_back(connection->status);
+    candidates.push_back(connection.get());
   }
-  const auto found = to_close(held, newcomer);
-  if (!found) return false;
-  which[*found]->closing = true;
-  which[*found]->socket.shut();
+  const auto chosen = choose_connection_to_close(statuses, new_kind);
+  if (!chosen) return false;
+  candidates[*chosen]->is_closing = true;
+  candidates[*chosen]->socket.shutdown();
   return true;
 }
 
-ConnectionLimiter::ConnectionLimiter(std::size_t most) : most_(most), crew_(kThreadsStay) {}
+ConnectionLimiter::ConnectionLimiter(std::size_t max_connections)
+    : max_connections_(max_connections), thread_pool_(kConnectionThreadIdleTimeout) {}
 
-bool ConnectionLimiter::admit(const Shared& connection, std::function<void()> serve) {
-  if (!take(connection)) return false;
+bool ConnectionLimiter::admit(const ConnectionPtr& connection, std::function<void()> serve) {
+  if (!add(connection)) return false;
   try {
-    crew_.run([this, connection, serve = std::move(serve)] {
+    thread_pool_.run([this, connection, serve = std::move(serve)] {
       serve();
-      leave(connection);
+      remove(connection);
     });
   } catch (const std::system_error& error) {
     spdlog::error("no thread for a connection: {}", error.what());
-    leave(connection);
+    remove(connection);
     return false;
   }
   return true;
 }
 
-bool ConnectionLimiter::take(const Shared& connection) {
-  connection->held.silent_since_ms = now_ms();
+bool ConnectionLimiter::add(const ConnectionPtr& connection) {
+  connection->status.idle_since_ms = now_ms();
   std::unique_lock lock(mutex_);
-  if (connections_.size() >= most_) {
-    const auto room = [&] { return connections_.size() < most_; };
-    if (!close_one(connection->held.party)) return false;
-    if (!left_.wait_for(lock, kWaitForLeaving, room)) return false;
+  if (connections_.size() >= max_connections_) {
+    const auto room = [&] { return connections_.size() < max_connections_; };
+    if (!close_one_locked(connection->status.kind)) return false;
+    if (!removed_.wait_for(lock, kCloseTimeout, room)) return false;
   }
   connections_.insert(connection);
   return true;
 }
 
-void ConnectionLimiter::leave(const Shared& connection) {
+void ConnectionLimiter::remove(const ConnectionPtr& connection) {
   std::lock_guard lock(mutex_);
   connections_.erase(connection);
-  left_.notify_one();
+  removed_.notify_one();
 }
 
-bool ConnectionLimiter::begin(Connection& connection, ClientKind party) {
+bool ConnectionLimiter::begin_request(Connection& connection, ClientKind kind) {
   std::lock_guard lock(mutex_);
-  connection.held.party = party;
-  if (!may_begin(busy_, party, most_)) return false;
-  ++busy_[number(party)];
-  connection.held.busy = true;
+  connection.status.kind = kind;
+  if (!may_begin_request(requests_in_progress_, kind, max_connections_)) return false;
+  ++requests_in_progress_[index_of(kind)];
+  connection.status.busy = true;
   return true;
 }
 
-void ConnectionLimiter::end(Connection& connection) {
+void ConnectionLimiter::end_request(Connection& connection) {
   std::lock_guard lock(mutex_);
-  if (std::exchange(connection.held.busy, false)) --busy_[number(connection.held.party)];
-  connection.held.silent_since_ms = now_ms();
+  if (std::exchange(connection.status.busy, false))
+    --requests_in_progress_[index_of(connection.status.kind)];
+  connection.status.idle_since_ms = now_ms();
 }
 
-void ConnectionLimiter::make_room(ClientKind newcomer) {
+void ConnectionLimiter::close_one_for(ClientKind new_kind) {
   std::lock_guard lock(mutex_);
-  close_one(newcomer);
+  close_one_locked(new_kind);
 }
 
-void ConnectionLimiter::close_all(const void* door) {
+void ConnectionLimiter::close_all(const void* server) {
   std::lock_guard lock(mutex_);
-  for (const Shared& connection : connections_) {
-    if (connection->door == door) connection->socket.shut();
+  for (const ConnectionPtr& connection : connections_) {
+    if (connection->server == server) connection->socket.shutdown();
   }
 }
 
-std::size_t ConnectionLimiter::open() const {
+std::size_t ConnectionLimiter::open_count() const {
   std::lock_guard lock(mutex_);
   return connections_.size();
 }
--- a/src/wire/connection_limiter.h
+++ b/src/wire/connection_limiter.h
@@ -17,23 +17,24 @@
 namespace reachramp::wire {
 
 // Who is at the other end, as the last request on the connection tells; `fresh` before the first.
-enum class ClientKind { fresh, user, worker, peer };
+enum class ClientKind { unknown, user, worker, peer };
 
 struct ConnectionStatus {
-  ClientKind party = ClientKind::fresh;
+  ClientKind kind = ClientKind::unknown;
   bool busy = false;  // a request is being answered
-  std::int64_t silent_since_ms = 0;
+  std::int64_t idle_since_ms = 0;
 };
 
 // Of connections that fill a budget, the one to close so that another of `newcomer` finds room;
 // nothing: refuse the newcomer. Users, workers and peers are each due a quarter: of the idle ones
 // the longest silent goes, but never one of a party within its due for the sake of another party.
-std::optional<std::size_t> to_close(const std::vector<ConnectionStatus>& held, ClientKind newcomer);
+std::optional<std::size_t> choose_connection_to_close(
+    const std::vector<ConnectionStatus>& connections, ClientKind new_kind);
 
 // Whether one more request of the party may be answered while so many of users, workers and peers
 // are. What one has beyond its due leaves the others theirs; /ready counts among the users'.
-using Busy = std::array<std::size_t, 4>;  // by party
-bool may_begin(const Busy& busy, ClientKind party, std::size_t most);
+using RequestCounts = std::array<std::size_t, 4>;  // by party
+bool may_begin_request(const RequestCounts& in_progress, ClientKind kind, std::size_t max_requests);
 
 // What the machine allows a process that serves this many at once.
 struct ProcessLimits {
@@ -43,43 +44,43 @@
 };
 // Connections to serve. The other descriptors are for connections to others, the other threads are
 // the process's own; a connection's thread and buffers were measured to take 43 KB.
-std::size_t connections_for(const ProcessLimits& means);
+std::size_t max_connections_within(const ProcessLimits& limits);
 
 class ConnectionLimiter {
  public:
   struct Connection {
     Socket socket;
-    const void* door = nullptr;
-    ConnectionStatus held;
-    bool closing = false;
+    const void* server = nullptr;
+    ConnectionStatus status;
+    bool is_closing = false;
   };
-  using Shared = std::shared_ptr<Connection>;
+  using ConnectionPtr = std::shared_ptr<Connection>;
 
   // `most`: connections at once, those that are being closed included.
-  explicit ConnectionLimiter(std::size_t most);
+  explicit ConnectionLimiter(std::size_t max_connections);
 
   // Takes a connection in, if need be in another one's place, and serves it on a thread of its own.
   // False: there is no room, it is to be closed at once.
-  bool admit(const Shared& connection, std::function<void()> serve);
+  bool admit(const ConnectionPtr& connection, std::function<void()> serve);
   // A request of the party has come. False: too many of the party are being answered, turn it away.
-  bool begin(Connection& connection, ClientKind party);
-  void end(Connection& connection);
+  bool begin_request(Connection& connection, ClientKind kind);
+  void end_request(Connection& connection);
   // Frees a descriptor, when the system has none left.
-  void make_room(ClientKind newcomer);
-  void close_all(const void* door);
-  std::size_t open() const;
+  void close_one_for(ClientKind new_kind);
+  void close_all(const void* server);
+  std::size_t open_count() const;
 
  private:
-  bool close_one(ClientKind newcomer);
-  bool take(const Shared& connection);
-  void leave(const Shared& connection);
+  bool close_one_locked(ClientKind new_kind);
+  bool add(const ConnectionPtr& connection);
+  void remove(const ConnectionPtr& connection);
 
-  const std::size_t most_;
+  const std::size_t max_connections_;
   mutable std::mutex mutex_;
-  std::condition_variable left_;
-  std::unordered_set<Shared> connections_;
-  Busy busy_{};
-  ThreadPool crew_;  // the last: it ends first
+  std::condition_variable removed_;
+  std::unordered_set<ConnectionPtr> connections_;
+  RequestCounts requests_in_progress_{};
+  ThreadPool thread_pool_;  // the last: it ends first
 };
 
 }  // namespace reachramp::wire
--- a/src/wire/connection_limiter_test.cpp
+++ b/src/wire/connection_limiter_test.cpp
@@ -26,19 +26,19 @@
   const ClientKind newcomer = party(*rc::gen::inRange(0, 4));
   const auto count = [&](ClientKind of) {
     return std::count_if(held.begin(), held.end(),
-                         [&](const ConnectionStatus& h) { return h.party == of; });
+                         [&](const ConnectionStatus& h) { return h.kind == of; });
   };
   const auto due = static_cast<std::ptrdiff_t>(held.size() / 4);
   const auto may_go = [&](const ConnectionStatus& one) {
     return !one.busy &&
-           (one.party == ClientKind::fresh || one.party == newcomer || count(one.party) > due);
+           (one.kind == ClientKind::unknown || one.kind == newcomer || count(one.kind) > due);
   };
-  const auto found = to_close(held, newcomer);
+  const auto found = choose_connection_to_close(held, newcomer);
   RC_ASSERT(found.has_value() == std::any_of(held.begin(), held.end(), may_go));
   if (!found) return;
   RC_ASSERT(may_go(held[*found]));
   for (const ConnectionStatus& one : held) {
-    RC_ASSERT(!may_go(one) || one.silent_since_ms >= held[*found].silent_since_ms);
+    RC_ASSERT(!may_go(one) || one.idle_since_ms >= held[*found].idle_since_ms);
   }
 }
 
@@ -46,12 +46,12 @@
 // than its due is never turned away.
 RC_GTEST_PROP(Budget, RequestsLeaveRoomForTheOtherParties, ()) {
   const auto most = *rc::gen::inRange<std::size_t>(16, 40);
-  Busy busy{};
+  RequestCounts busy{};
   for (const int step : *rc::gen::container<std::vector<int>>(200, rc::gen::inRange(0, 8))) {
     const auto who = static_cast<std::size_t>(1 + step % 3);
     if (step >= 5 && busy[who] > 0) {
       --busy[who];
-    } else if (may_begin(busy, static_cast<ClientKind>(who), most)) {
+    } else if (may_begin_request(busy, static_cast<ClientKind>(who), most)) {
       ++busy[who];
     } else {
       RC_ASSERT(busy[who] >= most / 4);
@@ -63,10 +63,10 @@
 // 188 MB and 3,799 descriptors once allowed 3,200 connections, a thread each, where a process may
 // have 2,000 threads.
 TEST(Budget, FollowsWhateverIsScarcest) {
-  EXPECT_LT(connections_for({3799, 188, 2000}), 1950u);
-  EXPECT_LT(connections_for({700, 10000, 2000}), 500u);
-  EXPECT_LT(connections_for({10000, 20, 2000}), 250u);
-  EXPECT_GE(connections_for({32, 8, 128}), 16u);
+  EXPECT_LT(max_connections_within({3799, 188, 2000}), 1950u);
+  EXPECT_LT(max_connections_within({700, 10000, 2000}), 500u);
+  EXPECT_LT(max_connections_within({10000, 20, 2000}), 250u);
+  EXPECT_GE(max_connections_within({32, 8, 128}), 16u);
 }
 
 class TwoDoors : public ::testing::Test {
@@ -82,27 +82,27 @@
         },
         [](const Request& request) {
           if (request.path == "/slow") std::this_thread::sleep_for(1s);
-          return Reply{};
+          return Response{};
         });
   }
 
   static bool asks(std::vector<std::unique_ptr<Client>>& clients, std::uint16_t port,
                    const char* path) {
-    clients.push_back(std::make_unique<Client>(Address{"127.0.0.1", port}, 1, kBodyLimit));
+    clients.push_back(std::make_unique<Client>(Address{"127.0.0.1", port}, 1, kMaxBody_bytes));
     return clients.back()->call("GET", path, nullptr, 2s).status == 200;
   }
 };
 
 TEST_F(TwoDoors, ShareOneBudgetAndStayOpenToAll) {
   ConnectionLimiter budget(kMost);
-  Server users = door(budget, 18391, ClientKind::fresh);
+  Server users = door(budget, 18391, ClientKind::unknown);
   Server peers = door(budget, 18392, ClientKind::peer);
   std::vector<std::unique_ptr<Client>> clients;
   // Workers and peers come in crowds and stay; every one of them is served.
   for (int i = 0; i < 40; ++i) {
     EXPECT_TRUE(asks(clients, 18391, "/report"));
     EXPECT_TRUE(asks(clients, 18392, "/carry"));
-    EXPECT_LE(budget.open(), kMost);
+    EXPECT_LE(budget.open_count(), kMost);
   }
   // And a user finds room for as many connections as are due to users.
   for (int i = 0; i < 4; ++i) EXPECT_TRUE(asks(clients, 18391, "/ready"));
@@ -113,19 +113,19 @@
 
 TEST_F(TwoDoors, RequestsThatHangLeaveRoomForOthers) {
   ConnectionLimiter budget(kMost);
-  Server users = door(budget, 18393, ClientKind::fresh);
+  Server users = door(budget, 18393, ClientKind::unknown);
   Server peers = door(budget, 18394, ClientKind::peer);
   std::vector<std::thread> hanging;
   for (int i = 0; i < 30; ++i) {
     hanging.emplace_back([] {
-      Client client({"127.0.0.1", 18394}, 0, kBodyLimit);
+      Client client({"127.0.0.1", 18394}, 0, kMaxBody_bytes);
       client.call("GET", "/slow", nullptr, 3s);
     });
   }
   std::this_thread::sleep_for(300ms);
   std::vector<std::unique_ptr<Client>> clients;
   EXPECT_TRUE(asks(clients, 18393, "/ready"));
-  EXPECT_LE(budget.open(), kMost);
+  EXPECT_LE(budget.open_count(), kMost);
   for (auto& thread : hanging) thread.join();
 }
 
@@ -141,11 +141,12 @@
         while (here < 8) std::this_thread::yield();
         ++done;
       });
-      EXPECT_LE(crew.threads(), 16u);
+      EXPECT_LE(crew.thread_count(), 16u);
     }
     // Until they have come back, not only done their work: on a busy machine that takes them a
     // while.
-    while (done < (wave + 1) * 8 || crew.idle() < crew.threads()) std::this_thread::yield();
+    while (done < (wave + 1) * 8 || crew.idle_count() < crew.thread_count())
+      std::this_thread::yield();
   }
   EXPECT_EQ(done, 400);
 }
--- a/src/wire/http.h
+++ b/src/wire/http.h
@@ -24,44 +24,44 @@
   std::string body;
 };
 
-struct Reply {
+struct Response {
   int status = 200;
   Json body = Json::object();
   int retry_after_s = 0;
 };
 
-using Handler = std::function<Reply(const Request&)>;
+using Handler = std::function<Response(const Request&)>;
 
 // Accepts connections and answers each on a thread of its own, within a budget that doors share.
 class Server {
  public:
   // Who sends such a request.
-  using Sender = std::function<ClientKind(const Request&)>;
+  using ClientClassifier = std::function<ClientKind(const Request&)>;
 
   // `newcomers`: who comes to this door, as far as that is known before the first request.
-  Server(const Address& on, ConnectionLimiter& budget, ClientKind newcomers, Sender sender,
-         Handler handler);
+  Server(const Address& address, ConnectionLimiter& limiter, ClientKind initial_kind,
+         ClientClassifier classify_client, Handler handler);
   ~Server();
 
  private:
   void accept_loop();
-  void serve(const ConnectionLimiter::Shared& connection);
-  Reply answer(ConnectionLimiter::Connection& connection, const Request& request);
+  void serve_connection(const ConnectionLimiter::ConnectionPtr& connection);
+  Response respond(ConnectionLimiter::Connection& connection, const Request& request);
 
-  ConnectionLimiter& budget_;
-  ClientKind newcomers_;
-  Sender sender_;
+  ConnectionLimiter& limiter_;
+  ClientKind initial_kind_;
+  ClientClassifier classify_client_;
   Handler handler_;
   Socket listener_;
   std::atomic<bool> stopping_{false};
-  std::atomic<int> serving_{0};
-  std::thread acceptor_;
+  std::atomic<int> active_connections_{0};
+  std::thread accept_thread_;
 };
 
 // What became of a request. Without an answer, `sent` tells whether the other side may yet act.
-struct Answer {
-  bool answered = false;
-  bool sent = false;
+struct CallResult {
+  bool received_response = false;
+  bool may_have_been_sent = false;
   int status = 0;
   Json body;
   int retry_after_s = 0;
@@ -72,19 +72,20 @@
  public:
   using Millis = std::chrono::milliseconds;
 
-  Client(Address to, std::size_t keep, std::size_t body_limit);
+  Client(Address address, std::size_t max_idle, std::size_t max_body_bytes);
 
-  Answer call(const char* method, const std::string& target, const Json* body, Millis limit);
+  CallResult call(const char* method, const std::string& target, const Json* body, Millis timeout);
 
  private:
-  std::optional<Socket> idle();
-  bool exchange(Socket& socket, const std::string& wire, const char* method, Answer& answer);
+  std::optional<Socket> take_idle();
+  bool exchange(Socket& socket, const std::string& request_bytes, const char* method,
+                CallResult& result);
 
-  Address to_;
-  std::size_t keep_;
-  std::size_t body_limit_;
+  Address address_;
+  std::size_t max_idle_;
+  std::size_t max_body_bytes_;
   std::mutex mutex_;
-  std::vector<Socket> idle_;
+  std::vector<Socket> idle_sockets_;
 };
 
 }  // namespace reachramp::wire
--- a/src/wire/http_bytes_test.cpp
+++ b/src/wire/http_bytes_test.cpp
@@ -24,11 +24,11 @@
 }
 
 TEST(HttpBytes, ReplyGoesOverTheLineAsLiteral) {
-  test::Recorder server([](const Request&) -> Reply { return {503, Json{{"a", 1u}}, 5}; });
+  test::Recorder server([](const Request&) -> Response { return {503, Json{{"a", 1u}}, 5}; });
   boost::beast::error_code error;
   Socket user = Socket::connect(server.at(), kLimit, error);
   ASSERT_FALSE(error);
-  user.set_limit(kLimit);
+  user.set_timeout(kLimit);
   ASSERT_TRUE(user.send_all(
       "POST /x?y=1 HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n\x81\xa1"s + "a\x02"));
   const std::string expected =
@@ -45,14 +45,14 @@
   test::PortReservations ports;
   const Address at{"127.0.0.1", ports.reserve()};
   Socket listener = Socket::listen(at);
-  Answer answer;
+  CallResult answer;
   std::thread user([&] {
-    Client client(at, 0, kBodyLimit);
+    Client client(at, 0, kMaxBody_bytes);
     const Json body{{"a", 2u}};
     answer = client.call("POST", "/x?y=1", &body, kLimit);
   });
   Socket server = listener.accept();
-  server.set_limit(kLimit);
+  server.set_timeout(kLimit);
   const std::string expected =
       "POST /x?y=1 HTTP/1.1\r\nHost: 127.0.0.1\r\nContent-Type: application/msgpack\r\n"
       "Content-Length: 4\r\n\r\n\x81\xa1"s +
