--- a/src/wire/message.cpp
+++ b/src/wire/message.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr int kDeepest = 12;
+constexpr int kMaxNestingDepth = 12;
 
 // Walks a body without building anything, so that a hostile one is refused before it costs memory
 // or stack: the library's reader recurses once for every level of nesting.
-class Inspector : public nlohmann::json_sax<Json> {
+class MessageValidator : public nlohmann::json_sax<Json> {
  public:
   bool null() override { return true; }
   bool boolean(bool) override { return true; }
@@ -19,10 +19,10 @@
   bool number_float(number_float_t value, const string_t&) override { return std::isfinite(value); }
   bool string(string_t&) override { return true; }
   bool binary(binary_t&) override { return false; }
-  bool start_object(std::size_t) override { return ++depth_ <= kDeepest; }
+  bool start_object(std::size_t) override { return ++depth_ <= kMaxNestingDepth; }
   bool key(string_t&) override { return true; }
   bool end_object() override { return --depth_ >= 0; }
-  bool start_array(std::size_t) override { return ++depth_ <= kDeepest; }
+  bool start_array(std::size_t) override { return ++depth_ <= kMaxNestingDepth; }
   bool end_array() override { return --depth_ >= 0; }
   bool parse_error(std::size_t, const std::string&, const nlohmann::detail::exception&) override {
     return false;
@@ -32,30 +32,31 @@
   int depth_ = 0;
 };
 
-[[noreturn]] void refuse(const char* field, const char* why) {
-  throw BadMessage(std::string(field) + ": " + why);
+[[noreturn]] void throw_bad_message(const char* field, const char* reason) {
+  throw BadMessage(std::string(field) + ": " + reason);
 }
 
-double read_amount(const Json& value, const char* field, double most) {
-  if (!value.is_number()) refuse(field, "not a number");
+double read_amount(const Json& value, const char* field, double max) {
+  if (!value.is_number()) throw_bad_message(field, "not a number");
   const double number = value.get<double>();
-  if (!std::isfinite(number) || number < 0 || number > most) refuse(field, "out of range");
+  if (!std::isfinite(number) || number < 0 || number > max)
+    throw_bad_message(field, "out of range");
   return number;
 }
 
-std::string read_text(const Json& value, const char* field, std::size_t most) {
-  if (!value.is_string()) refuse(field, "not text");
+std::string read_text(const Json& value, const char* field, std::size_t max_size) {
+  if (!value.is_string()) throw_bad_message(field, "not text");
   const auto& found = value.get_ref<const std::string&>();
-  if (found.empty() || found.size() > most) refuse(field, "empty or too long");
+  if (found.empty() || found.size() > max_size) throw_bad_message(field, "empty or too long");
   return found;
 }
 
 }  // namespace
 
 Json decode_map(std::string_view body) {
-  Inspector inspector;
+  MessageValidator validator;
   if (body.empty() ||
-      !Json::sax_parse(body.begin(), body.end(), &inspector, Json::input_format_t::msgpack)) {
+      !Json::sax_parse(body.begin(), body.end(), &validator, Json::input_format_t::msgpack)) {
     throw BadMessage("body: not MessagePack that a message may hold");
   }
   Json message = Json::from_msgpack(body.begin(), body.end(), true, false);
@@ -78,50 +79,51 @@
   return at == map.end() || at->is_null() ? nullptr : &*at;
 }
 
-const Json& need(const Json& map, const char* field) {
+const Json& require(const Json& map, const char* field) {
   const Json* value = map.is_object() ? find(map, field) : nullptr;
-  if (value == nullptr) refuse(field, "missing");
+  if (value == nullptr) throw_bad_message(field, "missing");
   return *value;
 }
 
-std::string text(const Json& map, const char* field, std::size_t most) {
-  return read_text(need(map, field), field, most);
+std::string text(const Json& map, const char* field, std::size_t max_size) {
+  return read_text(require(map, field), field, max_size);
 }
 
-std::optional<std::string> maybe_text(const Json& map, const char* field, std::size_t most) {
+std::optional<std::string> optional_text(const Json& map, const char* field, std::size_t max_size) {
   const Json* value = find(map, field);
   if (value == nullptr) return std::nullopt;
-  return read_text(*value, field, most);
+  return read_text(*value, field, max_size);
 }
 
-std::uint64_t count(const Json& map, const char* field, std::uint64_t most) {
-  const Json& value = need(map, field);
-  if (!value.is_number_integer()) refuse(field, "not a whole number");
-  if (!value.is_number_unsigned() && value.get<std::int64_t>() < 0) refuse(field, "negative");
+std::uint64_t count(const Json& map, const char* field, std::uint64_t max) {
+  const Json& value = require(map, field);
+  if (!value.is_number_integer()) throw_bad_message(field, "not a whole number");
+  if (!value.is_number_unsigned() && value.get<std::int64_t>() < 0)
+    throw_bad_message(field, "negative");
   const auto number = value.get<std::uint64_t>();
-  if (number > most) refuse(field, "too large");
+  if (number > max) throw_bad_message(field, "too large");
   return number;
 }
 
-double amount(const Json& map, const char* field, double most) {
-  return read_amount(need(map, field), field, most);
+double amount(const Json& map, const char* field, double max) {
+  return read_amount(require(map, field), field, max);
 }
 
-std::optional<double> maybe_amount(const Json& map, const char* field, double most) {
+std::optional<double> optional_amount(const Json& map, const char* field, double max) {
   const Json* value = find(map, field);
   if (value == nullptr) return std::nullopt;
-  return read_amount(*value, field, most);
+  return read_amount(*value, field, max);
 }
 
 bool flag(const Json& map, const char* field) {
-  const Json& value = need(map, field);
-  if (!value.is_boolean()) refuse(field, "neither true nor false");
+  const Json& value = require(map, field);
+  if (!value.is_boolean()) throw_bad_message(field, "neither true nor false");
   return value.get<bool>();
 }
 
 const Json& list(const Json& map, const char* field) {
-  const Json& value = need(map, field);
-  if (!value.is_array()) refuse(field, "not a list");
+  const Json& value = require(map, field);
+  if (!value.is_array()) throw_bad_message(field, "not a list");
   return value;
 }
 
--- a/src/wire/message.h
+++ b/src/wire/message.h
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-inline constexpr std::size_t kBodyLimit = 64 * 1024;
+inline constexpr std::size_t kMaxBody_bytes = 64 * 1024;
 
 // A message that cannot be taken; what() names the offending field.
 class BadMessage : public std::runtime_error {
@@ -31,13 +31,14 @@
 
 // Readers for fields. A null field counts as absent; a missing required one throws BadMessage.
 const Json* find(const Json& map, const char* field);
-const Json& need(const Json& map, const char* field);
-std::string text(const Json& map, const char* field, std::size_t most = 200);
-std::optional<std::string> maybe_text(const Json& map, const char* field, std::size_t most = 200);
+const Json& require(const Json& map, const char* field);
+std::string text(const Json& map, const char* field, std::size_t max_size = 200);
+std::optional<std::string> optional_text(const Json& map, const char* field,
+                                         std::size_t max_size = 200);
 std::uint64_t count(const Json& map, const char* field,
-                    std::uint64_t most = std::numeric_limits<std::uint64_t>::max());
-double amount(const Json& map, const char* field, double most = 1e12);
-std::optional<double> maybe_amount(const Json& map, const char* field, double most = 1e12);
+                    std::uint64_t max = std::numeric_limits<std::uint64_t>::max());
+double amount(const Json& map, const char* field, double max = 1e12);
+std::optional<double> optional_amount(const Json& map, const char* field, double max = 1e12);
 bool flag(const Json& map, const char* field);
 const Json& list(const Json& map, const char* field);
 
--- a/src/wire/message_test.cpp
+++ b/src/wire/message_test.cpp
@@ -36,7 +36,7 @@
 
 // 64 KiB of nested lists once meant as many nested calls in the library's reader.
 TEST(Message, DeepNestingIsRefusedBeforeItCostsStack) {
-  EXPECT_THROW(decode_map(std::string(kBodyLimit, '\x91')), BadMessage);
+  EXPECT_THROW(decode_map(std::string(kMaxBody_bytes, '\x91')), BadMessage);
   EXPECT_THROW(decode_map("\x81\xa1x" + std::string(60000, '\x91')), BadMessage);
 }
 
@@ -57,7 +57,7 @@
   EXPECT_THROW(amount(map, "big"), BadMessage);
   EXPECT_THROW(text(map, "t"), BadMessage);
   EXPECT_THROW(amount(map, "none"), BadMessage) << "null is absent";
-  EXPECT_EQ(maybe_amount(map, "none"), std::nullopt);
+  EXPECT_EQ(optional_amount(map, "none"), std::nullopt);
   EXPECT_EQ(amount(map, "whole"), 2.0) << "decimals may arrive as whole numbers";
 }
 
--- a/src/wire/socket.cpp
+++ b/src/wire/socket.cpp
@@ -21,8 +21,8 @@
 
 // A process that is started a moment after the end of the one before may find that one's port still
 // taken. Past this it is somebody else's.
-constexpr auto kPortLingers = std::chrono::seconds(3);
-constexpr auto kTryPortEvery = std::chrono::milliseconds(20);
+constexpr auto kBindRetryDuration = std::chrono::seconds(3);
+constexpr auto kBindRetryInterval = std::chrono::milliseconds(20);
 
 sockaddr_in to_sockaddr(const Address& address) {
   sockaddr_in raw{};
@@ -34,7 +34,7 @@
 
 boost::beast::error_code last_error() { return {errno, boost::system::system_category()}; }
 
-void no_delay(int fd) {
+void set_no_delay(int fd) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -55,11 +55,12 @@
   return address;
 }
 
-Socket::Socket(Socket&& other) noexcept : fd_(std::exchange(other.fd_, -1)), limit_(other.limit_) {}
+Socket::Socket(Socket&& other) noexcept
+    : fd_(std::exchange(other.fd_, -1)), timeout_(other.timeout_) {}
 
 Socket& Socket::operator=(Socket&& other) noexcept {
   std::swap(fd_, other.fd_);
-  std::swap(limit_, other.limit_);
+  std::swap(timeout_, other.timeout_);
   return *this;
 }
 
@@ -67,73 +68,74 @@
   if (fd_ >= 0) ::close(fd_);
 }
 
-Socket Socket::connect(const Address& to, Millis limit, boost::beast::error_code& ec) {
+Socket Socket::connect(const Address& address, Millis timeout, boost::beast::error_code& ec) {
   ec = {};
-  Socket made(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-  if (!made.is_open()) {
+  Socket socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+  if (!socket.is_open()) {
     ec = last_error();
     return {};
   }
-  const sockaddr_in raw = to_sockaddr(to);
-  if (::connect(made.fd_, reinterpret_cast<const sockaddr*>(&raw), sizeof raw) != 0) {
+  const sockaddr_in raw = to_sockaddr(address);
+  if (::connect(socket.fd_, reinterpret_cast<const sockaddr*>(&raw), sizeof raw) != 0) {
     if (errno != EINPROGRESS) {
       ec = last_error();
       return {};
     }
-    pollfd wait{made.fd_, POLLOUT, 0};
-    const int ready = ::poll(&wait, 1, static_cast<int>(limit.count()));
+    pollfd wait{socket.fd_, POLLOUT, 0};
+    const int ready = ::poll(&wait, 1, static_cast<int>(timeout.count()));
     int error = ready == 0 ? ETIMEDOUT : 0;
     socklen_t size = sizeof error;
-    if (ready > 0) getsockopt(made.fd_, SOL_SOCKET, SO_ERROR, &error, &size);
+    if (ready > 0) getsockopt(socket.fd_, SOL_SOCKET, SO_ERROR, &error, &size);
     if (ready < 0) error = errno;
     if (error != 0) {
       ec = {error, boost::system::system_category()};
       return {};
     }
   }
-  fcntl(made.fd_, F_SETFL, fcntl(made.fd_, F_GETFL) & ~O_NONBLOCK);
-  no_delay(made.fd_);
-  made.set_limit(limit);
-  return made;
+  fcntl(socket.fd_, F_SETFL, fcntl(socket.fd_, F_GETFL) & ~O_NONBLOCK);
+  set_no_delay(socket.fd_);
+  socket.set_timeout(timeout);
+  return socket;
 }
 
-Socket Socket::listen(const Address& on) {
-  Socket made(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+Socket Socket::listen(const Address& address) {
+  Socket socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   const int yes = 1;
-  setsockopt(made.fd_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
-  const sockaddr_in raw = to_sockaddr(on);
+  setsockopt(socket.fd_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
+  const sockaddr_in raw = to_sockaddr(address);
   const auto bind = [&] {
-    return made.is_open() &&
-           ::bind(made.fd_, reinterpret_cast<const sockaddr*>(&raw), sizeof raw) == 0;
+    return socket.is_open() &&
+           ::bind(socket.fd_, reinterpret_cast<const sockaddr*>(&raw), sizeof raw) == 0;
   };
-  const auto until = std::chrono::steady_clock::now() + kPortLingers;
+  const auto deadline = std::chrono::steady_clock::now() + kBindRetryDuration;
   bool bound = bind();
-  while (!bound && errno == EADDRINUSE && std::chrono::steady_clock::now() < until) {
-    std::this_thread::sleep_for(kTryPortEvery);
+  while (!bound && errno == EADDRINUSE && std::chrono::steady_clock::now() < deadline) {
+    std::this_thread::sleep_for(kBindRetryInterval);
     bound = bind();
   }
-  if (!bound || ::listen(made.fd_, 128) != 0) {
-    throw std::system_error(errno, std::generic_category(),
-                            "cannot listen on " + on.host + ":" + std::to_string(on.port));
+  if (!bound || ::listen(socket.fd_, 128) != 0) {
+    throw std::system_error(
+        errno, std::generic_category(),
+        "cannot listen on " + address.host + ":" + std::to_string(address.port));
   }
-  return made;
+  return socket;
 }
 
 Socket Socket::accept() const {
-  Socket made(::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
-  if (made.is_open()) no_delay(made.fd_);
-  return made;
+  Socket socket(::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
+  if (socket.is_open()) set_no_delay(socket.fd_);
+  return socket;
 }
 
-void Socket::set_limit(Millis limit) {
-  if (limit == limit_) return;
-  limit_ = limit;
-  const timeval span{limit.count() / 1000, (limit.count() % 1000) * 1000};
-  setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &span, sizeof span);
-  setsockopt(fd_, SOL_SOCKET, SO_SNDTIMEO, &span, sizeof span);
+void Socket::set_timeout(Millis timeout) {
+  if (timeout == timeout_) return;
+  timeout_ = timeout;
+  const timeval raw{timeout.count() / 1000, (timeout.count() % 1000) * 1000};
+  setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &raw, sizeof raw);
+  setsockopt(fd_, SOL_SOCKET, SO_SNDTIMEO, &raw, sizeof raw);
 }
 
-void Socket::shut() const { ::shutdown(fd_, SHUT_RDWR); }
+void Socket::shutdown() const { ::shutdown(fd_, SHUT_RDWR); }
 
 bool Socket::send_all(const std::string& bytes) {
   std::size_t sent = 0;
@@ -146,16 +148,16 @@
   return true;
 }
 
-std::size_t Socket::receive(void* to, std::size_t most, boost::beast::error_code& ec) {
+std::size_t Socket::receive(void* buffer, std::size_t size, boost::beast::error_code& ec) {
   ssize_t n;
   do {
-    n = ::recv(fd_, to, most, 0);
+    n = ::recv(fd_, buffer, size, 0);
   } while (n < 0 && errno == EINTR);
   if (n < 0) {
     ec = last_error();
     return 0;
   }
-  ec = n == 0 && most > 0 ? boost::asio::error::eof : boost::beast::error_code{};
+  ec = n == 0 && size > 0 ? boost::asio::error::eof : boost::beast::error_code{};
   return static_cast<std::size_t>(n);
 }
 
--- a/src/wire/socket.h
+++ b/src/wire/socket.h
@@ -27,14 +27,14 @@
   ~Socket();
 
   // A cut network gives no error: connecting, sending and receiving all end after `limit`.
-  static Socket connect(const Address& to, Millis limit, boost::beast::error_code& ec);
-  static Socket listen(const Address& on);
+  static Socket connect(const Address& address, Millis timeout, boost::beast::error_code& ec);
+  static Socket listen(const Address& address);
   Socket accept() const;
 
   bool is_open() const { return fd_ >= 0; }
   int fd() const { return fd_; }
-  void set_limit(Millis limit);
-  void shut() const;
+  void set_timeout(Millis timeout);
+  void shutdown() const;
 
   template <class Buffers>
   std::size_t read_some(const Buffers& buffers, boost::beast::error_code& ec) {
@@ -52,10 +52,10 @@
   bool send_all(const std::string& bytes);
 
  private:
-  std::size_t receive(void* to, std::size_t most, boost::beast::error_code& ec);
+  std::size_t receive(void* buffer, std::size_t size, boost::beast::error_code& ec);
 
   int fd_ = -1;
-  Millis limit_{-1};
+  Millis timeout_{-1};
 };
 
 }  // namespace reachramp::wire
--- a/src/wire/thread_pool.h
+++ b/src/wire/thread_pool.h
@@ -15,7 +15,7 @@
  public:
   using Work = std::function<void()>;
 
-  explicit ThreadPool(std::chrono::milliseconds idle_for) : idle_for_(idle_for) {}
+  explicit ThreadPool(std::chrono::milliseconds idle_timeout) : idle_timeout_(idle_timeout) {}
   // Waits until all work is done and all threads are gone.
   ~ThreadPool();
   ThreadPool(const ThreadPool&) = delete;
@@ -23,20 +23,20 @@
   // Never more threads than pieces of work at the same time. Throws std::system_error if there is
   // no thread to be had.
   void run(Work work);
-  std::size_t threads() const;
+  std::size_t thread_count() const;
   // Of these, those that wait for work.
-  std::size_t idle() const;
+  std::size_t idle_count() const;
 
  private:
-  void serve();
+  void run_thread();
 
-  const std::chrono::milliseconds idle_for_;
+  const std::chrono::milliseconds idle_timeout_;
   mutable std::mutex mutex_;
-  std::condition_variable ready_;
-  std::condition_variable gone_;
-  std::deque<Work> waiting_;
-  std::size_t idle_ = 0;
-  std::size_t threads_ = 0;
+  std::condition_variable work_available_;
+  std::condition_variable thread_ended_;
+  std::deque<Work> queue_;
+  std::size_t idle_count_ = 0;
+  std::size_t thread_count_ = 0;
   bool stopping_ = false;
 };
 
--- a/src/workers/cancelled_tasks.h
+++ b/src/workers/cancelled_tasks.h
@@ -25,16 +25,17 @@
 };
 
 // Within this time every machine that executes and reaches a controller has reported.
-double report_allowance_s(const settings::Workers& workers);
+double max_heartbeat_delay_s(const settings::WorkerTimings& workers);
 
 // When an attempt of a job that was cancelled at `cancelled_at` must be proven over, by the clock
 // of a leader that has listened since `listening_since`.
-double proof_deadline(const settings::Workers& workers,
-                      const placement::CancellationTime& cancelled_at, double listening_since);
+double termination_deadline(const settings::WorkerTimings& workers,
+                            const placement::CancellationTime& cancelled_at,
+                            double listening_since);
 
 // Machines to be returned now, however many they are. Those that have been silent go a little
 // earlier than those that still report.
-std::vector<OverdueMachine> machines_past_cancellation(const placement::Cluster& cluster,
-                                                       double listening_since, double now);
+std::vector<OverdueMachine> overdue_machines(const placement::Cluster& cluster,
+                                             double listening_since, double now);
 
 }  // namespace reachramp::workers
--- a/src/workers/heartbeat.h
+++ b/src/workers/heartbeat.h
@@ -21,9 +21,9 @@
   gang_member_lost,
   incomplete,
   error,
-  full,
-  in_use,
-  no_such
+  insufficient_capacity,
+  task_already_present,
+  unknown_task
 };
 
 struct TaskStatus {
@@ -31,7 +31,7 @@
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
   TaskState state = TaskState::running;
-  ExitReason cause = ExitReason::none;
+  ExitReason exit_reason = ExitReason::none;
 };
 
 struct Heartbeat {
@@ -58,7 +58,7 @@
 };
 
 Heartbeat decode_heartbeat(const Json& body);
-Json encode_response(std::uint64_t fencing_token, const std::vector<Command>& orders);
+Json encode_response(std::uint64_t fencing_token, const std::vector<Command>& commands);
 
 // Whether the message asked for orders (/v1/report) or only shows the worker's state (the body of
 // /orders or /status). Only the former proves that an earlier answer's start was not taken: the
@@ -66,23 +66,23 @@
 enum class Channel { heartbeat, direct };
 
 // Signs in a row from which a machine counts as one that our answers do not reach.
-inline constexpr std::uint32_t kUnreachableAfter = 2;
+inline constexpr std::uint32_t kUnreachableAfterIgnoredResponses = 2;
 
 // Takes in what a report proves. Returns the host, or nothing if the report is older than what is
 // known already.
-std::optional<Index> reconcile(Cluster& cluster, const Heartbeat& report, Channel channel,
+std::optional<Index> reconcile(Cluster& cluster, const Heartbeat& heartbeat, Channel channel,
                                double now);
 
 // The orders that answer the newest report of a host. Starts are included only if `may_start`:
 // the leader has lately confirmed that no job was cancelled behind its back.
-std::vector<Command> commands_for(Cluster& cluster, Index host, bool may_start, double now);
+std::vector<Command> commands_for(Cluster& cluster, Index host, bool starts_allowed, double now);
 
 // The stops alone, for tasks that were started there: may be sent at once, again, and late.
-std::vector<Command> stops_for(const Cluster& cluster, Index host);
+std::vector<Command> stop_commands_for(const Cluster& cluster, Index host);
 
 // The stops that answer a report which is not newer than what is known: those for its machine, and
 // one for each task that it lists and that no attempt of ours is for; of a machine that is gone,
 // for each task that it lists.
-std::vector<Command> stops_for(const Cluster& cluster, const Heartbeat& report);
+std::vector<Command> stop_commands_for(const Cluster& cluster, const Heartbeat& heartbeat);
 
 }  // namespace reachramp::workers
--- a/src/workers/heartbeat_bytes_test.cpp
+++ b/src/workers/heartbeat_bytes_test.cpp
@@ -28,12 +28,12 @@
   EXPECT_EQ(report.tasks[0].task, 3u);
   EXPECT_EQ(report.tasks[0].attempt, 2u);
   EXPECT_EQ(report.tasks[0].state, TaskState::exited);
-  EXPECT_EQ(report.tasks[0].cause, ExitReason::done);
+  EXPECT_EQ(report.tasks[0].exit_reason, ExitReason::done);
   EXPECT_EQ(report.tasks[1].job, "j-2");
   EXPECT_EQ(report.tasks[1].task, 0u);
   EXPECT_EQ(report.tasks[1].attempt, 1u);
   EXPECT_EQ(report.tasks[1].state, TaskState::running);
-  EXPECT_EQ(report.tasks[1].cause, ExitReason::none);
+  EXPECT_EQ(report.tasks[1].exit_reason, ExitReason::none);
 }
 
 TEST(WorkerReportBytes, OptionalFieldsMayBeAbsentOrNull) {
@@ -70,12 +70,12 @@
                                                        {"mates_gone", ExitReason::gang_member_lost},
                                                        {"incomplete", ExitReason::incomplete},
                                                        {"error", ExitReason::error},
-                                                       {"full", ExitReason::full},
-                                                       {"in_use", ExitReason::in_use},
-                                                       {"no_such", ExitReason::no_such},
+                                                       {"full", ExitReason::insufficient_capacity},
+                                                       {"in_use", ExitReason::task_already_present},
+                                                       {"no_such", ExitReason::unknown_task},
                                                        {"of a newer version", ExitReason::error}};
   for (const auto& [word, cause] : causes) {
-    EXPECT_EQ(read_piece("exited", word).cause, cause) << word;
+    EXPECT_EQ(read_piece("exited", word).exit_reason, cause) << word;
   }
 }
 
--- a/src/workers/heartbeat_test.cpp
+++ b/src/workers/heartbeat_test.cpp
@@ -15,10 +15,10 @@
 
 class Proof : public ::testing::Test {
  protected:
-  Proof() : cluster_(platform_, kFencingToken, jobs::Format::compact) {
+  Proof() : cluster_(platform_, kFencingToken, jobs::TaskRecordFormat::compact) {
     cluster_.set_catalog({{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a"}}});
     jobs::Header header = test::make_array("j-1", 4);
-    header.spec.spot = true;
+    header.spec.allow_spot = true;
     job_ = cluster_.add_job(header, 7, 0);
   }
 
@@ -39,10 +39,10 @@
     EXPECT_EQ(commands_for(cluster_, host, true, 1).size(), 1u);
     return host;
   }
-  void inherit(const jobs::ChunkRecord& record) {
+  void inherit(const jobs::TaskRangeRecord& record) {
     placement::StoredRecord stored;
-    stored.name = jobs::chunk_key("j-1", 0);
-    stored.key = *jobs::parse_chunk_key(stored.name);
+    stored.store_key = jobs::legacy_task_range_key("j-1", 0);
+    stored.parsed_key = *jobs::parse_task_range_key(stored.store_key);
     stored.revision = 9;
     stored.record = record;
     cluster_.restore(job_, {stored}, 0);
@@ -67,19 +67,19 @@
 TEST_F(Proof, AReportThatIsNotNewerIsAnsweredWithStops) {
   const Index host = started();
   EXPECT_TRUE(hear(report(5, {piece(TaskState::running)})) == host);
-  cluster_.cancel(job_, {.latest = 5});
+  cluster_.cancel_job(job_, {.latest = 5});
   const Heartbeat late = report(4, {piece(TaskState::running),
                                     {"j-gone", 2, 3, TaskState::running, ExitReason::none},
                                     {"j-gone", 1, 3, TaskState::exited, ExitReason::done}});
   EXPECT_EQ(hear(late), placement::kNone);
-  const std::vector<Command> orders = stops_for(cluster_, late);
+  const std::vector<Command> orders = stop_commands_for(cluster_, late);
   ASSERT_EQ(orders.size(), 2u) << "the cancelled task, and the one of a job that has ended";
   for (const Command& order : orders) EXPECT_EQ(order.type, CommandType::stop);
   EXPECT_EQ(orders[0].job, "j-1");
   EXPECT_EQ(orders[1].job, "j-gone");
   Heartbeat gone = late;
   gone.host = "n-never";
-  EXPECT_EQ(stops_for(cluster_, gone).size(), 2u) << "all that it lists as not yet ended";
+  EXPECT_EQ(stop_commands_for(cluster_, gone).size(), 2u) << "all that it lists as not yet ended";
 }
 
 // The first answer of a new leader goes to a report that does not carry its token yet. It extends
@@ -131,7 +131,7 @@
 }
 
 TEST_F(Proof, AnAttemptOfAPreviousLeaderNeedsAHeartbeatWithOurFencingToken) {
-  jobs::ChunkRecord record;
+  jobs::TaskRangeRecord record;
   record.placements = {{0, 1, "n-1"}};
   record.last_attempt = 1;
   inherit(record);
@@ -148,13 +148,13 @@
 // A report that a cut had held since before we led listed an exit; meanwhile an earlier leader had
 // started the attempt again in a new session.
 TEST_F(Proof, AReportFromBeforeOurTimeEndsNothing) {
-  jobs::ChunkRecord record;
+  jobs::TaskRangeRecord record;
   record.placements = {{0, 1, "n-1"}};
   inherit(record);
   hear(report(1, {piece(TaskState::exited, ExitReason::error)}, 1, kFencingToken - 1));
   EXPECT_TRUE(held());
   hear(report(2, {piece(TaskState::running)}, 2));
-  EXPECT_EQ(attempt().observed, ObservedState::running);
+  EXPECT_EQ(attempt().observed_state, ObservedState::running);
 }
 
 TEST_F(Proof, ANewIncarnationEndsWhatWasSentInTheOld) {
@@ -171,7 +171,7 @@
   EXPECT_TRUE(cluster_.jobs[job_]->done[0]);
   EXPECT_TRUE(commands_for(cluster_, host, true, 2).empty());
   auto& chunk = cluster_.jobs[job_]->task_ranges[0];
-  chunk.stored = chunk.changed;
+  chunk.stored_version = chunk.version;
   const auto orders = commands_for(cluster_, host, true, 2);
   ASSERT_EQ(orders.size(), 1u);
   EXPECT_EQ(orders[0].type, CommandType::clear);
@@ -191,7 +191,7 @@
   const Index host = started();
   cluster_.place(job_, 1, 1, host, 1);
   hear(report(2, {piece(TaskState::running)}));
-  cluster_.cancel(job_, {.latest = 2});
+  cluster_.cancel_job(job_, {.latest = 2});
   EXPECT_FALSE(cluster_.jobs[job_]->attempts.contains(1));
   const auto orders = commands_for(cluster_, host, true, 2);
   ASSERT_EQ(orders.size(), 1u);
@@ -211,11 +211,12 @@
   }
   EXPECT_EQ(cluster_.hosts[host]->ignored_responses, 0u);
   hear(report(11, {}, 2));
-  EXPECT_GE(cluster_.hosts[host]->ignored_responses, kUnreachableAfter);
+  EXPECT_GE(cluster_.hosts[host]->ignored_responses, kUnreachableAfterIgnoredResponses);
   EXPECT_FALSE(held()) << "a new session proves that nothing is left";
   // A session that outlasts a lease and the time that an answer may take was renewed.
   for (std::uint64_t sequence_number = 12; sequence_number <= 26; ++sequence_number) {
-    EXPECT_GE(cluster_.hosts[host]->ignored_responses, kUnreachableAfter) << sequence_number;
+    EXPECT_GE(cluster_.hosts[host]->ignored_responses, kUnreachableAfterIgnoredResponses)
+        << sequence_number;
     hear(report(sequence_number, {}, 2));
     commands_for(cluster_, host, true, static_cast<double>(sequence_number));
   }
@@ -236,7 +237,7 @@
     hear(report(sequence_number));
     commands_for(cluster_, host, true, static_cast<double>(sequence_number));
   }
-  EXPECT_GE(cluster_.hosts[host]->ignored_responses, kUnreachableAfter);
+  EXPECT_GE(cluster_.hosts[host]->ignored_responses, kUnreachableAfterIgnoredResponses);
   Heartbeat other = report(1, {}, 1, kFencingToken - 1);
   other.host = "n-2";
   const Index second = hear(other);
@@ -245,7 +246,7 @@
     other.sequence_number += 1;
     hear(other);
   }
-  EXPECT_GE(cluster_.hosts[second]->ignored_responses, kUnreachableAfter);
+  EXPECT_GE(cluster_.hosts[second]->ignored_responses, kUnreachableAfterIgnoredResponses);
   other.sequence_number += 1;
   other.fencing_token = kFencingToken;
   hear(other);
@@ -257,10 +258,10 @@
 RC_GTEST_PROP(ReportCopies, ChangeNothing, ()) {
   settings::Platform platform;
   platform.teams = {{"red", 0, 0, 0, 0}};
-  Cluster cluster(platform, kFencingToken, jobs::Format::compact);
+  Cluster cluster(platform, kFencingToken, jobs::TaskRecordFormat::compact);
   cluster.set_catalog({{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a"}}});
   jobs::Header header = test::make_array("j-1", 6);
-  header.spec.spot = true;
+  header.spec.allow_spot = true;
   const Index job = cluster.add_job(header, 7, 0);
   std::vector<Heartbeat> sent;
   double now = 0;
@@ -269,7 +270,7 @@
     std::vector<std::tuple<std::uint32_t, bool, bool, int>> attempts;
     for (const auto& [task, attempt] : cluster.jobs[job]->attempts) {
       attempts.emplace_back(task, attempt.start_sent, attempt.stopping,
-                            static_cast<int>(attempt.observed));
+                            static_cast<int>(attempt.observed_state));
     }
     return std::tuple(host.incarnation, host.sequence_number, host.last_heartbeat_at,
                       host.acknowledged_token, host.ignored_responses, host.attempts.size(),
@@ -314,11 +315,11 @@
 // Of a machine that is gone, under a leader that never knew it.
 TEST_F(Proof, ACopyAloneBringsNoMachineBack) {
   const Index host = hear(report(5, {}, 1, kFencingToken - 1));
-  EXPECT_TRUE(cluster_.hosts[host]->unconfirmed);
+  EXPECT_TRUE(cluster_.hosts[host]->identity_unconfirmed);
   hear(report(6, {}, 1, kFencingToken - 1));
-  EXPECT_TRUE(cluster_.hosts[host]->unconfirmed) << "copies may come one after another";
+  EXPECT_TRUE(cluster_.hosts[host]->identity_unconfirmed) << "copies may come one after another";
   hear(report(7));
-  EXPECT_FALSE(cluster_.hosts[host]->unconfirmed) << "it has heard this leader";
+  EXPECT_FALSE(cluster_.hosts[host]->identity_unconfirmed) << "it has heard this leader";
 }
 
 TEST_F(Proof, AJobThatFailsEverywhereIsNotBlamedOnMachines) {
@@ -333,7 +334,7 @@
     hear(from);
   }
   for (const auto& host : cluster_.hosts) EXPECT_FALSE(host->quarantined) << host->name;
-  EXPECT_GT(cluster_.jobs[job_]->not_before, 0) << "and is tried less and less often";
+  EXPECT_GT(cluster_.jobs[job_]->retry_not_before, 0) << "and is tried less and less often";
 }
 
 // Phases and causes that a newer worker may have, and numbers that no worker has.
@@ -351,7 +352,7 @@
            {{{"piece", "j-9/7"}, {"try", 1}, {"phase", "brooding"}, {"cause", "weather"}}})}};
   const Heartbeat report = decode_heartbeat(good);
   EXPECT_EQ(report.tasks.at(0).state, TaskState::waiting) << "it is there, and has not ended";
-  EXPECT_EQ(report.tasks.at(0).cause, ExitReason::error);
+  EXPECT_EQ(report.tasks.at(0).exit_reason, ExitReason::error);
   for (const char* field : {"tenure", "tick", "baton"}) {
     for (const Json& value : {Json(-1), Json(1.5), Json(1e300), Json("x"), Json(true), Json()}) {
       Json bad = good;
--- a/src/zones/zone_loss_estimate.cpp
+++ b/src/zones/zone_loss_estimate.cpp
@@ -17,27 +17,27 @@
 
 namespace {
 
-constexpr double kCrumb = 1e-6;
+constexpr double kCoreTolerance = 1e-6;
 
 // Room on machines of one zone, as tasks take it.
-struct Rooms {
+struct FreeHosts {
   std::vector<std::pair<const placement::Host*, Resources>> hosts;
 
   // Takes room for as many tasks as there is, for `most` at the most, if `needed` find some.
-  std::uint32_t take(const Cluster& cluster, const Job& job, std::uint32_t most,
-                     std::uint32_t needed) {
+  std::uint32_t try_take(const Cluster& cluster, const Job& job, std::uint32_t max_tasks,
+                         std::uint32_t min_tasks) {
     std::uint32_t found = 0;
     std::vector<std::pair<std::size_t, std::uint32_t>> taken;
-    for (std::size_t i = 0; i < hosts.size() && found < most; ++i) {
-      if (!placement::allows(cluster, job, *hosts[i].first)) continue;
+    for (std::size_t i = 0; i < hosts.size() && found < max_tasks; ++i) {
+      if (!placement::may_run_on(cluster, job, *hosts[i].first)) continue;
       const std::uint32_t copies =
-          std::min(hosts[i].second.copies(job.resources_per_task), most - found);
+          std::min(hosts[i].second.capacity_for(job.resources_per_task), max_tasks - found);
       if (copies == 0) continue;
       taken.emplace_back(i, copies);
       found += copies;
     }
-    if (found < needed) return 0;
-    for (const auto& [i, copies] : taken) hosts[i].second -= job.resources_per_task.times(copies);
+    if (found < min_tasks) return 0;
+    for (const auto& [i, copies] : taken) hosts[i].second -= job.resources_per_task.scaled(copies);
     return found;
   }
 };
@@ -45,47 +45,51 @@
 }  // namespace
 
 std::vector<ZoneLossEstimate> estimate_zone_loss(const Cluster& cluster,
-                                                 const placement::Service& service, double now) {
+                                                 const placement::ServiceOrder& service,
+                                                 double now) {
   std::map<Index, ZoneLossEstimate> losses;
-  std::map<Index, Rooms> free;
+  std::map<Index, FreeHosts> free;
   for (const auto& host : cluster.hosts) {
-    if (!host || host->zone == kNone || !placement::usable(cluster, *host, now)) continue;
+    if (!host || host->zone == kNone || !placement::is_usable(cluster, *host, now)) continue;
     ZoneLossEstimate& loss = losses[host->zone];
     loss.zone = host->zone;
     ++loss.machines;
-    if (host->free.cpus > kCrumb) free[host->zone].hosts.emplace_back(host.get(), host->free);
+    if (host->free.cpus > kCoreTolerance)
+      free[host->zone].hosts.emplace_back(host.get(), host->free);
   }
   std::vector<ZoneLossEstimate> found;
   for (auto& [zone, loss] : losses) {
-    std::map<Index, Rooms> rooms = free;
+    std::map<Index, FreeHosts> rooms = free;
     rooms.erase(zone);
     for (const auto& [other, room] : rooms) {
-      for (const auto& [host, resources] : room.hosts) loss.room += resources.cpus;
+      for (const auto& [host, resources] : room.hosts) loss.free_cores_elsewhere += resources.cpus;
     }
-    for (const Index index : service.order) {
+    for (const Index index : service.jobs) {
       const Job& job = *cluster.jobs[index];
-      const auto there = static_cast<std::uint32_t>(std::count_if(
+      const auto tasks_in_zone = static_cast<std::uint32_t>(std::count_if(
           job.attempts.begin(), job.attempts.end(), [&, zone = zone](const auto& entry) {
             return cluster.hosts[entry.second.host]->zone == zone;
           }));
-      if (there == 0) continue;
-      ++loss.jobs;
-      loss.cores += there * job.resources_per_task.cpus;
-      if (job.spec.shape == jobs::Shape::service && there * 2 > job.spec.tasks) ++loss.over_half;
+      if (tasks_in_zone == 0) continue;
+      ++loss.affected_jobs;
+      loss.cores_in_use += tasks_in_zone * job.resources_per_task.cpus;
+      if (job.spec.shape == jobs::Shape::service && tasks_in_zone * 2 > job.spec.tasks)
+        ++loss.services_losing_majority;
       // A gang that must share a zone begins anew as a whole.
-      const std::uint32_t lost =
-          job.spec.one_zone
-              ? std::max<std::uint32_t>(there, static_cast<std::uint32_t>(job.attempts.size()))
-              : there;
+      const std::uint32_t tasks_to_place =
+          job.spec.single_zone ? std::max<std::uint32_t>(
+                                     tasks_in_zone, static_cast<std::uint32_t>(job.attempts.size()))
+                               : tasks_in_zone;
       std::uint32_t placed = 0;
       for (auto& [other, room] : rooms) {
-        placed += room.take(cluster, job, lost - placed, job.spec.one_zone ? lost : 1);
-        if (placed == lost) break;
+        placed += room.try_take(cluster, job, tasks_to_place - placed,
+                                job.spec.single_zone ? tasks_to_place : 1);
+        if (placed == tasks_to_place) break;
       }
-      if (placed == lost) continue;
-      ++loss.waiting;
-      loss.guaranteed += service.guaranteed[index] ? 1 : 0;
-      loss.bound += job.zone == zone ? 1 : 0;
+      if (placed == tasks_to_place) continue;
+      ++loss.waiting_jobs;
+      loss.waiting_guaranteed_jobs += service.guaranteed[index] ? 1 : 0;
+      loss.waiting_zone_bound_jobs += job.zone == zone ? 1 : 0;
     }
     found.push_back(loss);
   }
@@ -97,8 +101,9 @@
       "if zone {} went now: {} machines, {} jobs with {:.0f} cores; elsewhere {:.0f} are free; {} "
       "jobs would wait, {} of them within a guarantee, {} bound to it; {} services would lose more "
       "than half",
-      cluster.zones[loss.zone], loss.machines, loss.jobs, loss.cores, loss.room, loss.waiting,
-      loss.guaranteed, loss.bound, loss.over_half);
+      cluster.zones[loss.zone], loss.machines, loss.affected_jobs, loss.cores_in_use,
+      loss.free_cores_elsewhere, loss.waiting_jobs, loss.waiting_guaranteed_jobs,
+      loss.waiting_zone_bound_jobs, loss.services_losing_majority);
 }
 
 }  // namespace reachramp::zones
--- a/src/zones/zone_loss_estimate.h
+++ b/src/zones/zone_loss_estimate.h
@@ -6,28 +6,30 @@
 #include <vector>
 
 #include "placement/cluster.h"
-#include "placement/order.h"
+#include "placement/service_order.h"
 
 namespace reachramp::zones {
 
 // Counts of jobs are of those that have tasks in the zone and are neither done nor cancelled.
 struct ZoneLossEstimate {
   placement::Index zone = placement::kNone;
-  std::size_t machines = 0;    // that work or could
-  double cores = 0;            // at work there
-  double room = 0;             // cores that are free elsewhere now
-  std::size_t jobs = 0;        // with tasks there
-  std::size_t waiting = 0;     // of them, whose tasks would find no room elsewhere
-  std::size_t guaranteed = 0;  // of those that would wait, within their team's guarantee
-  std::size_t bound = 0;       // of those that would wait, may run in that zone alone
-  std::size_t over_half = 0;   // services with more than half of their replicas there
+  std::size_t machines = 0;         // that work or could
+  double cores_in_use = 0;          // at work there
+  double free_cores_elsewhere = 0;  // cores that are free elsewhere now
+  std::size_t affected_jobs = 0;    // with tasks there
+  std::size_t waiting_jobs = 0;     // of them, whose tasks would find no room elsewhere
+  std::size_t waiting_guaranteed_jobs =
+      0;  // of those that would wait, within their team's guarantee
+  std::size_t waiting_zone_bound_jobs = 0;   // of those that would wait, may run in that zone alone
+  std::size_t services_losing_majority = 0;  // services with more than half of their replicas there
 };
 
 // For each zone with machines that can be used: its tasks are placed, in the order of service, on
 // what is free in the others. What could be rented there is not reckoned with, nor who could be
 // made to yield; a gang that must share a zone needs room for all of it in one.
 std::vector<ZoneLossEstimate> estimate_zone_loss(const placement::Cluster& cluster,
-                                                 const placement::Service& service, double now);
+                                                 const placement::ServiceOrder& service,
+                                                 double now);
 
 std::string describe(const placement::Cluster& cluster, const ZoneLossEstimate& loss);
 
--- a/src/zones/zone_loss_estimate_test.cpp
+++ b/src/zones/zone_loss_estimate_test.cpp
@@ -12,7 +12,7 @@
 
 class WhatIf : public ::testing::Test {
  protected:
-  WhatIf() : cluster_(platform_, 1, jobs::Format::compact) {
+  WhatIf() : cluster_(platform_, 1, jobs::TaskRecordFormat::compact) {
     cluster_.set_catalog({{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a", "b"}}});
   }
 
@@ -23,7 +23,7 @@
     header_.spec.tasks = tasks;
     header_.spec.cpus = 1;
     header_.spec.image = "img";
-    header_.spec.spot = true;
+    header_.spec.allow_spot = true;
     return header_.spec;
   }
   void add() { cluster_.add_job(header_, cluster_.jobs.size() + 1, 0); }
@@ -59,13 +59,13 @@
   cluster_.hosts.back()->free.cpus = 2;
   const ZoneLossEstimate loss = of("a");
   EXPECT_EQ(loss.machines, 3u);
-  EXPECT_DOUBLE_EQ(loss.cores, 10);
-  EXPECT_DOUBLE_EQ(loss.room, 2);
-  EXPECT_EQ(loss.jobs, 3u);
-  EXPECT_EQ(loss.waiting, 2u) << "the first fits";
-  EXPECT_EQ(loss.guaranteed, 0u);
-  EXPECT_EQ(loss.bound, 1u);
-  EXPECT_EQ(of("b").jobs, 0u);
+  EXPECT_DOUBLE_EQ(loss.cores_in_use, 10);
+  EXPECT_DOUBLE_EQ(loss.free_cores_elsewhere, 2);
+  EXPECT_EQ(loss.affected_jobs, 3u);
+  EXPECT_EQ(loss.waiting_jobs, 2u) << "the first fits";
+  EXPECT_EQ(loss.waiting_guaranteed_jobs, 0u);
+  EXPECT_EQ(loss.waiting_zone_bound_jobs, 1u);
+  EXPECT_EQ(of("b").affected_jobs, 0u);
 }
 
 // What must share a zone finds room in one zone, or none.
@@ -73,16 +73,16 @@
   test::add_machine(cluster_, "small", "a", true);
   jobs::Spec& gang = job(4);
   gang.shape = jobs::Shape::gang;
-  gang.one_zone = true;
+  gang.single_zone = true;
   add();
   EXPECT_EQ(placement::plan(cluster_, 1), 4);
   test::add_machine(cluster_, "small", "b", true);
   test::add_machine(cluster_, "small", "c", true);
   for (const Index i : {1, 2}) cluster_.hosts[i]->free.cpus = 2;
-  EXPECT_EQ(of("a").waiting, 1u);
-  EXPECT_EQ(of("a").guaranteed, 1u);
+  EXPECT_EQ(of("a").waiting_jobs, 1u);
+  EXPECT_EQ(of("a").waiting_guaranteed_jobs, 1u);
   cluster_.hosts[1]->free.cpus = 4;
-  EXPECT_EQ(of("a").waiting, 0u);
+  EXPECT_EQ(of("a").waiting_jobs, 0u);
 }
 
 // Half of a service, rounded up, is placed in one zone where there is room in another; where there
@@ -92,7 +92,7 @@
   job(5).shape = jobs::Shape::service;
   add();
   EXPECT_EQ(placement::plan(cluster_, 1), 5) << "there is no other zone";
-  EXPECT_EQ(of("a").over_half, 1u);
+  EXPECT_EQ(of("a").services_losing_majority, 1u);
   test::add_machine(cluster_, "small", "b", true);
   job(5).shape = jobs::Shape::service;
   add();
@@ -103,7 +103,7 @@
   }
   EXPECT_EQ(by_zone[cluster_.zones.find("a")], 3);
   EXPECT_EQ(by_zone[cluster_.zones.find("b")], 2);
-  EXPECT_EQ(of("a").over_half, 2u) << "three of five are more than half";
+  EXPECT_EQ(of("a").services_losing_majority, 2u) << "three of five are more than half";
 }
 
 }  // namespace
--- a/src/zones/zones_bytes_test.cpp
+++ b/src/zones/zone_monitor_bytes_test.cpp
@@ -1,6 +1,6 @@
 // The literal form of the record `zones`.
 #include "bytes.h"
-#include "zones/zones.h"
+#include "zones/zone_monitor.h"
 
 namespace reachramp::zones {
 namespace {
@@ -10,15 +10,15 @@
       R"({"zones":[{"name":"a","state":0,"flaps":2},{"name":"b","state":1,"flaps":0},
                    {"name":"c","state":2,"flaps":1},{"name":"d","state":3,"flaps":4}]})";
   const settings::Platform platform;
-  Cluster cluster(platform, 1, jobs::Format::compact);
-  Zones zones;
+  Cluster cluster(platform, 1, jobs::TaskRecordFormat::compact);
+  ZoneMonitor zones;
   zones.restore(test::received(kRecord), cluster, 5, 10);
-  EXPECT_EQ(zones.state(cluster.zones.find("a")), State::healthy);
-  EXPECT_EQ(zones.state(cluster.zones.find("b")), State::suspected);
-  EXPECT_EQ(zones.state(cluster.zones.find("c")), State::lost);
-  EXPECT_EQ(zones.state(cluster.zones.find("d")), State::recovering);
+  EXPECT_EQ(zones.state(cluster.zones.find("a")), ZoneState::healthy);
+  EXPECT_EQ(zones.state(cluster.zones.find("b")), ZoneState::suspected);
+  EXPECT_EQ(zones.state(cluster.zones.find("c")), ZoneState::lost);
+  EXPECT_EQ(zones.state(cluster.zones.find("d")), ZoneState::recovering);
   EXPECT_TRUE(test::is_written_as(zones.encode(cluster), kRecord));
-  EXPECT_TRUE(test::is_written_as(Zones().encode(cluster), R"({"zones":[]})"));
+  EXPECT_TRUE(test::is_written_as(ZoneMonitor().encode(cluster), R"({"zones":[]})"));
   EXPECT_STREQ(kZonesKey, "zones");
 }
 
--- a/src/zones/zones_test.cpp
+++ b/src/zones/zone_monitor_test.cpp
@@ -1,4 +1,4 @@
-#include "zones/zones.h"
+#include "zones/zone_monitor.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -17,9 +17,9 @@
 settings::Platform make_platform() {
   settings::Platform p;
   p.teams = {{"red", 0, 0, 0, 0}};
-  p.workers = {4, 22, 30, 4, 52};
-  p.state_limits = {1000, 1000, 8, 8};
-  p.state_next = p.state_limits;
+  p.worker_timings = {4, 22, 30, 4, 52};
+  p.store_limits = {1000, 1000, 8, 8};
+  p.upcoming_store_limits = p.store_limits;
   return p;
 }
 
@@ -33,7 +33,7 @@
       for (int i = 0; i < machines[zone]; ++i) {
         const Index host = test::add_machine(cluster_, "small", kNames[zone], true, 0);
         cluster_.hosts[host]->rented_at = -500;
-        cluster_.hosts[host]->runs = true;
+        cluster_.hosts[host]->listed_as_running = true;
         next_.push_back(between(0, 4));
         deaf_until_.push_back(-1);
       }
@@ -62,11 +62,11 @@
       }
       zones_.advance(cluster_, since_, now_);
       for (Index zone = 0; zone < 3; ++zone) {
-        if (zones_.state(zone) == State::healthy) continue;
+        if (zones_.state(zone) == ZoneState::healthy) continue;
         if (!first_.contains(zone)) first_[zone] = now_;
-        if (zones_.state(zone) == State::lost && !lost_.contains(zone)) lost_[zone] = now_;
+        if (zones_.state(zone) == ZoneState::lost && !lost_.contains(zone)) lost_[zone] = now_;
       }
-      for (const Index i : zones_.to_return(cluster_, since_, now_)) {
+      for (const Index i : zones_.hosts_to_return(cluster_, since_, now_)) {
         returned_.emplace_back(now_, cluster_.hosts[i]->name);
         cluster_.remove_host(i, now_);
       }
@@ -88,8 +88,8 @@
   }
 
   settings::Platform platform_ = make_platform();
-  Cluster cluster_{platform_, 1, jobs::Format::compact};
-  Zones zones_;
+  Cluster cluster_{platform_, 1, jobs::TaskRecordFormat::compact};
+  ZoneMonitor zones_;
   double now_ = 0, since_ = 0;
   std::map<Index, double> first_, lost_;  // when a zone was first doubted, and lost
   std::vector<std::pair<double, std::string>> returned_;
@@ -131,7 +131,7 @@
   // Idle machines: kept as long as new ones would cost, then a few a second.
   for (const auto& [at, name] : field.returned_) RC_ASSERT(at >= 130 + 55);
   field.run(320);
-  RC_ASSERT(field.zones_.state(zone) == State::healthy);
+  RC_ASSERT(field.zones_.state(zone) == ZoneState::healthy);
 }
 
 class Lost : public ::testing::Test {
@@ -146,7 +146,7 @@
     header.spec.tasks = tasks;
     header.spec.cpus = 8;
     header.spec.image = "img";
-    header.spec.spot = true;
+    header.spec.allow_spot = true;
     return field_.cluster_.add_job(header, ++jobs_, field_.now_);
   }
   void run_on(Index job, const std::vector<Index>& hosts) {
@@ -155,7 +155,7 @@
       field_.cluster_.place(job, task, 1, host, field_.now_);
       auto& attempt = field_.cluster_.jobs[job]->attempts.at(task++);
       attempt.start_sent = attempt.persisted = true;
-      attempt.observed = ObservedState::running;
+      attempt.observed_state = ObservedState::running;
       attempt.running_since = field_.now_;
     }
   }
@@ -191,7 +191,7 @@
   EXPECT_TRUE(names().empty()) << "not all of it is dead";
   live(20 + 40);
   EXPECT_EQ(names(), (std::vector<std::string>{"n-14", "n-15", "n-16"})) << "three have room";
-  EXPECT_EQ(field_.cluster_.job("j-high")->attempts.size(), 3u);
+  EXPECT_EQ(field_.cluster_.find_job("j-high")->attempts.size(), 3u);
   for (std::size_t i = 1; i < field_.returned_.size(); ++i) {
     EXPECT_GE(field_.returned_[i].first - field_.returned_[i - 1].first, 1) << "one a second here";
   }
@@ -216,7 +216,7 @@
   for (const auto& [task, attempt] : field_.cluster_.jobs[index]->attempts) {
     EXPECT_EQ(field_.cluster_.hosts[attempt.host]->zone, 0u);
   }
-  EXPECT_EQ(field_.zones_.closed(field_.cluster_).size(), 2u);
+  EXPECT_EQ(field_.zones_.closed_pools(field_.cluster_).size(), 2u);
 }
 
 // The next leader neither rents there nor believes it too soon, and need not wait for a lease.
@@ -225,27 +225,27 @@
   run_on(job("j-1", 2, jobs::Priority::normal), {12, 13});
   field_.cut(1, 150);
   field_.run(56);
-  ASSERT_EQ(field_.zones_.state(1), State::lost);
+  ASSERT_EQ(field_.zones_.state(1), ZoneState::lost);
   const auto record = field_.zones_.encode(field_.cluster_);
   const std::size_t before = field_.returned_.size();
   field_.change_leader();
   field_.zones_.restore(wire::Json::from_msgpack(wire::Json::to_msgpack(record)), field_.cluster_,
                         45, 56);
   field_.run(57);
-  EXPECT_EQ(field_.zones_.state(1), State::lost);
-  EXPECT_EQ(field_.zones_.closed(field_.cluster_).size(), 2u);
+  EXPECT_EQ(field_.zones_.state(1), ZoneState::lost);
+  EXPECT_EQ(field_.zones_.closed_pools(field_.cluster_).size(), 2u);
   field_.run(56 + 13);
   EXPECT_EQ(field_.returned_.size(), before) << "it has not listened for long enough";
   field_.run(56 + 55);
   EXPECT_GT(field_.returned_.size(), before);
   field_.run(250);
-  EXPECT_EQ(field_.zones_.state(1), State::healthy);
+  EXPECT_EQ(field_.zones_.state(1), ZoneState::healthy);
   for (const wire::Json& bad :
        {wire::Json(1), wire::Json::object(), wire::Json{{"zones", {{{"name", "a"}, {"state", 9}}}}},
         wire::Json{{"zones", {{{"state", 1}, {"flaps", 1}}}}}}) {
     EXPECT_THROW(field_.zones_.restore(bad, field_.cluster_, 0, 250), wire::BadMessage);
   }
-  EXPECT_EQ(field_.zones_.state(1), State::healthy);
+  EXPECT_EQ(field_.zones_.state(1), ZoneState::healthy);
 }
 
 // Cut for 20 s again and again: held doubtful longer each time.
@@ -254,10 +254,10 @@
   for (int i = 0; i < 4; ++i) {
     const double begin = 100.0 * (i + 1);
     field_.run(begin);
-    EXPECT_EQ(field_.zones_.state(1), State::healthy) << i;
+    EXPECT_EQ(field_.zones_.state(1), ZoneState::healthy) << i;
     field_.cut(1, begin + 20);
     field_.run(begin + 26);
-    for (; field_.zones_.state(1) != State::healthy && field_.now_ < begin + 99.5;) {
+    for (; field_.zones_.state(1) != ZoneState::healthy && field_.now_ < begin + 99.5;) {
       field_.run(field_.now_ + 0.5);
     }
     settled.push_back(field_.now_ - begin);
--- a/test/answers_test.cpp
+++ b/test/answers_test.cpp
@@ -17,7 +17,7 @@
     User(Answers& cluster, int number) : cluster_(cluster), number_(number) {
       for (int node = 0; node < kNodes; ++node) {
         clients_.push_back(std::make_unique<wire::Client>(
-            wire::Address{"127.0.0.1", cluster.serve_[node]}, 1, wire::kBodyLimit));
+            wire::Address{"127.0.0.1", cluster.serve_[node]}, 1, wire::kMaxBody_bytes));
       }
     }
 
@@ -50,14 +50,14 @@
     void ask(int node, const std::string& id, const char* method, const std::string& path,
              const Json* body) {
       const JobView known = cluster_.history_.known(id);
-      const wire::Answer answer = clients_[node]->call(method, path, body, 3000ms);
+      const wire::CallResult answer = clients_[node]->call(method, path, body, 3000ms);
       const std::optional<JobView> view = view_of(answer);
       if (view) cluster_.history_.take(id, known, *view, name(node));
     }
 
     // Nothing where the node cannot tell, or did not answer.
-    static std::optional<JobView> view_of(const wire::Answer& answer) {
-      if (!answer.answered) return std::nullopt;
+    static std::optional<JobView> view_of(const wire::CallResult& answer) {
+      if (!answer.received_response) return std::nullopt;
       if (answer.status == 400 || answer.status == 404 || answer.status == 422) {
         return JobView::unknown;
       }
--- a/test/behaviour_digests.cpp
+++ b/test/behaviour_digests.cpp
@@ -49,7 +49,7 @@
       world.task_run_s = 7;
       break;
     case 4:
-      world.platform.state_limits.write_rps = world.platform.state_next.write_rps = 30;
+      world.platform.store_limits.write_rps = world.platform.upcoming_store_limits.write_rps = 30;
       world.task_run_s = 3;
       break;
     default:
@@ -72,27 +72,27 @@
   spec.ram_gb = 2;
   spec.image = "image-" + std::to_string(choice % 2);
   spec.image_gb = 1;
-  spec.one_zone = choice % 7 == 0;
-  spec.spot = choice % 3 != 0;
+  spec.single_zone = choice % 7 == 0;
+  spec.allow_spot = choice % 3 != 0;
   spec.priority = choice % 4 == 2 ? jobs::Priority::high : jobs::Priority::normal;
-  spec.estimate_s = 5;
+  spec.estimated_duration_s = 5;
   if (spec.shape == jobs::Shape::gang && choice % 2 == 0) {  // long enough to be moved
-    spec.checkpoint_s = 2;
-    spec.save_s = 0.5;
-    spec.estimate_s = 20;
+    spec.checkpoint_interval_s = 2;
+    spec.checkpoint_duration_s = 0.5;
+    spec.estimated_duration_s = 20;
   }
   if (choice % 4 == 1) {  // longer than a cancelled task may stay
     spec.tasks = std::min(spec.tasks, 4u);
-    spec.estimate_s = 60;
+    spec.estimated_duration_s = 60;
   }
   if (number % 6 == 5) {  // a gang over two machines: drains stop it at both at once
     spec.team = "blue";
     spec.shape = jobs::Shape::gang;
     spec.tasks = 2;
     spec.cpus = 9;
-    spec.checkpoint_s = 2;
-    spec.save_s = 0.5;
-    spec.estimate_s = 20;
+    spec.checkpoint_interval_s = 2;
+    spec.checkpoint_duration_s = 0.5;
+    spec.estimated_duration_s = 20;
   }
   for (int earlier = std::max(0, number - 5); earlier < number; ++earlier) {
     if (random() % 5 == 0) spec.depends_on.push_back("j-" + std::to_string(earlier));
--- a/test/behaviour_recorder.cpp
+++ b/test/behaviour_recorder.cpp
@@ -31,7 +31,8 @@
   }
   for (const CloudRequest& order : outbox.cloud_requests) {
     const bool rents = order.kind == CloudRequest::Kind::scale_out;
-    const Json body = rents ? cloud::encode_scale_out(order.scale_out) : Json(order.machines);
+    const Json body =
+        rents ? cloud::encode_scale_out(order.scale_out) : Json(order.scale_in_machines);
     record(kCloudRequest, now, {token, rents, body, order.urgent});
   }
   if (outbox.verify_key) record(kReadBack, now, {token, *outbox.verify_key});
@@ -40,9 +41,9 @@
   for (const auto& [address, body] : outbox.urgent_stops) {
     record(kStopNow, now, {token, address, body});
   }
-  if (!outbox.cancellation_poll_windows.empty())
-    record(kAskTold, now, {token, Json(outbox.cancellation_poll_windows)});
-  const std::vector<bool> flags = {outbox.step_down, outbox.read_jobs, outbox.read_drains,
+  if (!outbox.cancellation_poll_windows_s.empty())
+    record(kAskTold, now, {token, Json(outbox.cancellation_poll_windows_s)});
+  const std::vector<bool> flags = {outbox.step_down, outbox.relist_jobs, outbox.read_drains,
                                    outbox.read_claims, outbox.read_obsolete_records};
   if (flags != std::vector<bool>(flags.size())) record(kFlags, now, {token, Json(flags)});
 }
--- a/test/end_to_end_test.cpp
+++ b/test/end_to_end_test.cpp
@@ -60,7 +60,7 @@
 // killed twenty times, then all are at once, five times.
 TEST_F(EndToEnd, WorkIsDoneWhileProcessesEndAgainAndAgain) {
   ASSERT_TRUE(accepts(0, job("j-1", 60)));
-  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewest; }));
+  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewestLevel; }));
   const auto claims = [&] {
     std::vector<std::uint64_t> revisions;
     for (int i = 0; i < kNodes; ++i)
@@ -392,7 +392,7 @@
   service["shape"] = "service";
   ASSERT_TRUE(accepts(0, service));
   ASSERT_TRUE(within(30, [&] { return phase(1, "j-stays") == "running"; }));
-  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewest; }));
+  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewestLevel; }));
   write("(policy (drains (serial 4) (machines (zone nowhere)))");
   for (int i = 0; i < kNodes; ++i) ::kill(pids_[i], SIGHUP);
   std::this_thread::sleep_for(2s);
@@ -406,7 +406,7 @@
   const auto leads = [&] { return stored(*state_, "leader").first.value("node", ""); };
   int least = 8;
   const auto emptied = [&] {
-    const wire::Answer answer = ask(1, "GET", "/submissions/j-stays");
+    const wire::CallResult answer = ask(1, "GET", "/submissions/j-stays");
     if (answer.status == 200) least = std::min(least, answer.body.value("running", 8));
     return machines_in("a") == 0 && machines_in("b") > 0;
   };
@@ -442,7 +442,7 @@
 
 TEST_F(EndToEnd, ASecondProcessOfANodeEndsWithoutAWord) {
   ASSERT_TRUE(accepts(0, job("j-1", 3)));
-  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewest; }));
+  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewestLevel; }));
   const auto keys = [&] {
     std::map<std::string, std::uint64_t> revisions;
     for (int i = 0; i < kNodes; ++i) {
@@ -466,7 +466,7 @@
 // Found by reading: under a leader that has led for longer than the key-value store remembers, a
 // new process asked for the key and for a watch from its old revision in turn, without a pause.
 TEST_F(EndToEnd, AProcessThatComesBackUnderAnOldLeaderAsksLittle) {
-  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewest; }));
+  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewestLevel; }));
   state_->with([](lab::StateService& model) {
     for (int i = 0; i < 10050; ++i) model.commit({{}, {{"filler", Json(i), std::nullopt}}});
   });
@@ -489,7 +489,7 @@
 // that means serves nobody until it does.
 TEST_F(EndToEnd, WhoDoesNotSpeakTheLevelServesNobody) {
   ASSERT_TRUE(accepts(0, job("j-1", 5)));
-  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewest; }));
+  ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewestLevel; }));
   for (const Json& other :
        {Json{{"level", 9}, {"writes", 9}, {"settled", true}}, Json("nonsense")}) {
     store_level(other);
@@ -499,7 +499,7 @@
       const Json body = job("j-2", 1);
       EXPECT_EQ(ask(i, "POST", "/submissions", &body).status, 503);
     }
-    store_level(schema::encode_stored({schema::kNewest, schema::kNewest, true}));
+    store_level(schema::encode_stored({schema::kNewestLevel, schema::kNewestLevel, true}));
     for (int i = 0; i < kNodes; ++i) {
       EXPECT_TRUE(within(20, [&] { return ask(i, "GET", "/ready").status == 200; })) << i;
     }
@@ -535,14 +535,14 @@
     std::this_thread::sleep_for(3s);
     EXPECT_TRUE(within(10, [&] { return phase(i, "j-stays") == "running"; }));
     if (i + 1 < kNodes) {
-      EXPECT_LT(settled_level(), schema::kNewest) << "a node is not changed yet";
+      EXPECT_LT(settled_level(), schema::kNewestLevel) << "a node is not changed yet";
     }
     if (i + 1 < kNodes && !knows_needs) {
       EXPECT_EQ(ask(i, "POST", "/submissions", &early).status, 503) << "an old node could start it";
     }
   }
   EXPECT_TRUE(within(10, [&] { return members() == kNodes; }));
-  EXPECT_TRUE(within(30, [&] { return settled_level() == schema::kNewest; }));
+  EXPECT_TRUE(within(30, [&] { return settled_level() == schema::kNewestLevel; }));
   lower_limits();
   pipelines("a");
   for (int i = 0; i < kNodes; ++i) {
--- a/test/machines.h
+++ b/test/machines.h
@@ -14,7 +14,7 @@
                                     std::string name = "") {
   if (name.empty()) name = "n-" + std::to_string(cluster.hosts.size());
   const placement::Index index = cluster.add_host(name, 0);
-  cluster.describe_host(index, type, zone, spot);
+  cluster.set_host_type(index, type, zone, spot);
   cluster.hosts[index]->phase = placement::HostPhase::up;
   cluster.hosts[index]->last_heartbeat_at = heard_at;
   return index;
@@ -38,7 +38,7 @@
   made.spec.id = "j-" + std::to_string(cluster.jobs.size());
   made.spec.team = team;
   made.spec.shape = jobs::Shape::gang;
-  made.spec.one_zone = true;
+  made.spec.single_zone = true;
   made.spec.tasks = tasks;
   made.spec.cpus = 30;
   made.spec.image = "img";
--- a/test/meetings_test.cpp
+++ b/test/meetings_test.cpp
@@ -25,8 +25,8 @@
   spec.ram_gb = 1;
   spec.image = team;
   spec.image_gb = 1;
-  spec.spot = true;
-  spec.estimate_s = 20;
+  spec.allow_spot = true;
+  spec.estimated_duration_s = 20;
   return spec;
 }
 
@@ -151,7 +151,7 @@
 // service takes 30 changes a second, under leaders that change.
 TEST(Meetings, OneTaskJobsFourASecondAQuarterCancelled) {
   SimulatedWorld world = present_world();
-  world.platform.state_limits.write_rps = world.platform.state_next.write_rps = 30;
+  world.platform.store_limits.write_rps = world.platform.upcoming_store_limits.write_rps = 30;
   world.task_run_s = 3;
   play_worlds(
       world,
--- a/test/process_cluster.h
+++ b/test/process_cluster.h
@@ -32,7 +32,7 @@
 inline constexpr int kNodes = 3;
 // Well above a lease: a machine that is slow for a second must not decide what a leader may answer.
 inline constexpr double kCancel_s = 20;
-inline constexpr settings::StateLimits kStateLimits{500, 100, 8, 8};
+inline constexpr settings::StoreLimits kStateLimits{500, 100, 8, 8};
 
 inline std::string local(std::uint16_t port) {
   return "\"127.0.0.1:" + std::to_string(port) + "\"\n";
@@ -49,7 +49,7 @@
       serve_[i] = ports_.reserve();
       peer_[i] = ports_.reserve();
       controllers[name(i)] = {"127.0.0.1", serve_[i]};
-      clients_[i] = std::make_unique<wire::Client>(controllers[name(i)], 1, wire::kBodyLimit);
+      clients_[i] = std::make_unique<wire::Client>(controllers[name(i)], 1, wire::kMaxBody_bytes);
     }
     state_ = std::make_unique<lab::StateServer>(kStateLimits, 1);
     state_->open("all", state_port);
@@ -147,8 +147,8 @@
     pids_[node] = 0;
   }
 
-  wire::Answer ask(int node, const char* method, const std::string& path,
-                   const Json* body = nullptr) {
+  wire::CallResult ask(int node, const char* method, const std::string& path,
+                       const Json* body = nullptr) {
     return clients_[node]->call(method, path, body, 3000ms);
   }
 
@@ -174,7 +174,7 @@
   // types.
   int submit(int node, const Json& body) {
     const jobs::Spec spec = jobs::decode_spec(body);
-    cloud_->upload({spec, forever_.contains(spec.id) ? 1e9 : spec.estimate_s, false});
+    cloud_->upload({spec, forever_.contains(spec.id) ? 1e9 : spec.estimated_duration_s, false});
     int status = 0;
     within(30, [&] {
       status = ask(node, "POST", "/submissions", &body).status;
@@ -194,7 +194,7 @@
   }
 
   std::string phase(int node, const std::string& id) {
-    const wire::Answer answer = ask(node, "GET", "/submissions/" + id);
+    const wire::CallResult answer = ask(node, "GET", "/submissions/" + id);
     return answer.status == 200 ? answer.body.value("phase", "") : "";
   }
 
--- a/test/recorder.h
+++ b/test/recorder.h
@@ -32,7 +32,7 @@
   }
 
  private:
-  wire::Reply serve(const wire::Request& request) {
+  wire::Response serve(const wire::Request& request) {
     {
       const std::lock_guard lock(mutex_);
       asked_.push_back(
--- a/test/simulated_cluster.cpp
+++ b/test/simulated_cluster.cpp
@@ -14,9 +14,9 @@
   p.node_name = "node-0";
   p.members = {{"node-1", "a", {}}, {"node-2", "b", {}}};
   p.teams = {{"red", 4, 10, 0, 0}, {"blue", 0, 0, 0, 0}};
-  p.workers = {1, 10, 15, 4, 30};
-  p.state_limits = {1000, 200, 3, 8};
-  p.state_next = {1000, 100, 1, 4};
+  p.worker_timings = {1, 10, 15, 4, 30};
+  p.store_limits = {1000, 200, 3, 8};
+  p.upcoming_store_limits = {1000, 100, 1, 4};
   p.cloud_limits = {10, 2};
   return p;
 }
@@ -33,12 +33,13 @@
       upgraded_at_(world_.upgraded_after_s < 0 ? between(90, 150)
                                                : kBeginsAt_s + world_.upgraded_after_s),
       lowered_at_(upgraded_at_ + between(0, 50)),
-      accepted_(platform_.state_limits.write_rps, platform_.state_limits.write_rps),
-      store_(platform_.state_limits, seed) {
+      accepted_(platform_.store_limits.write_rps, platform_.store_limits.write_rps),
+      store_(platform_.store_limits, seed) {
   store_.commit({{}, {{"catalog", cloud::encode_catalog(simulated_catalog()), std::nullopt}}});
   for (SimulatedNode& node : nodes_) {
     node.change_at = upgraded_at_ + between(5, 60);
-    node.told = std::make_unique<peers::RecentCancellations>(platform_.workers.cancel_s, now_);
+    node.told =
+        std::make_unique<peers::RecentCancellations>(platform_.worker_timings.cancel_s, now_);
   }
 }
 
@@ -52,7 +53,7 @@
         header.cancelled ||
         (live != store_.items().end()
              ? jobs::decode_header(live->second.value).cancelled
-             : jobs::decode_ending(store_.items().at(jobs::end_key(need)).value).cancelled);
+             : jobs::decode_final_state(store_.items().at(jobs::end_key(need)).value).cancelled);
   }
   specs_[spec.id] = spec;
   const auto stored =
@@ -78,7 +79,7 @@
   }
   const bool by_mute = is_refused() && mute_ != nullptr && mute_->alive && mute_ != seat_;
   if (!up.empty()) {
-    (by_mute && chance(0.5) ? mute_ : up[random_() % up.size()])->told->note(id, now_);
+    (by_mute && chance(0.5) ? mute_ : up[random_() % up.size()])->told->record(id, now_);
   }
 }
 
@@ -95,7 +96,7 @@
   }
   for (SimulatedNode& node : nodes_) {
     node.hold_at = 0;
-    node.newest = schema::kNewest;
+    node.newest = schema::kNewestLevel;
     node.alive = true;
     claim(node);
   }
@@ -108,7 +109,7 @@
   mute_ = chance(0.5) ? &nodes_[random_() % std::size(nodes_)] : nullptr;
   for (const auto& [id, spec] : specs_) {
     const bool live = store_.items().contains(jobs::job_key(id));
-    if (live && chance(spec.estimate_s > 30 ? 0.7 : 0.2)) {
+    if (live && chance(spec.estimated_duration_s > 30 ? 0.7 : 0.2)) {
       later(between(0, gap_s), [this, id = id] { cancel(id); });
     }
   }
@@ -118,9 +119,9 @@
   const auto at = store_.items().find(schema::kLevelKey);
   if (at == store_.items().end()) return false;
   const schema::StoredSchema stored = schema::decode_stored(at->second.value);
-  return stored == schema::StoredSchema{schema::kNewest, schema::kNewest, true} &&
+  return stored == schema::StoredSchema{schema::kNewestLevel, schema::kNewestLevel, true} &&
          std::none_of(store_.items().begin(), store_.items().end(), [](const auto& item) {
-           return controller::is_stale(item.first, item.second.value, schema::kNewest);
+           return controller::is_obsolete(item.first, item.second.value, schema::kNewestLevel);
          });
 }
 
@@ -164,8 +165,9 @@
     const double back = chance(0.05) ? between(1, 5) : 0.1;
     later(0.1, [this, fencing_token, asked_at, back, i, window = windows[i]] {
       if (!nodes_[i].alive) return;
-      const peers::RecentCancellations::Since told = nodes_[i].told->since(window, now_);
-      leadership::CancellationDigest word{i, window, told.complete_s, asked_at, 0, told.jobs};
+      const peers::RecentCancellations::Confirmed told =
+          nodes_[i].told->confirmed_within(window, now_);
+      leadership::CancellationDigest word{i, window, told.covered_s, asked_at, 0, told.jobs};
       later(back, [this, fencing_token, word]() mutable {
         word.received_at = now_;
         record(BehaviourRecorder::kToldByNode,
@@ -180,8 +182,9 @@
 void SimulatedCluster::step() {
   if (now_ >= lowered_at_ && !lowered_) {
     lowered_ = true;
-    store_.limit(platform_.state_next);
-    accepted_ = kv::TokenBucket(platform_.state_next.write_rps, platform_.state_next.write_rps);
+    store_.limit(platform_.upcoming_store_limits);
+    accepted_ = kv::TokenBucket(platform_.upcoming_store_limits.write_rps,
+                                platform_.upcoming_store_limits.write_rps);
   }
   for (SimulatedNode& node : nodes_) live(node);
   for (SimulatedNode& node : nodes_) {
@@ -215,7 +218,7 @@
 
 void SimulatedCluster::bury_predecessor(const SimulatedNode& node) {
   const auto at = store_.items().find("leader");
-  if (node.newest < schema::kAges || at == store_.items().end() ||
+  if (node.newest < schema::kTimeline || at == store_.items().end() ||
       leadership::holder_of(at->second.value, identity(node), 0) !=
           leadership::Holder::predecessor) {
     return;
@@ -228,7 +231,7 @@
 void SimulatedCluster::claim(SimulatedNode& node) {
   if (node.lease_id != 0) store_.release(node.lease_id);
   node.lease_id = 0;
-  if (node.newest < schema::kAges) return;
+  if (node.newest < schema::kTimeline) return;
   const schema::Claim claim{name_of(node), REACHRAMP_VERSION, 1, node.newest, node.hold_at, 0, 0};
   const auto at = store_.items().find(schema::claim_key(claim.node));
   if (at != store_.items().end() &&
@@ -251,7 +254,8 @@
   }
   if (!node.alive && now_ >= node.back_at) {
     node.alive = true;
-    node.told = std::make_unique<peers::RecentCancellations>(platform_.workers.cancel_s, now_);
+    node.told =
+        std::make_unique<peers::RecentCancellations>(platform_.worker_timings.cancel_s, now_);
     node.timeline = {};
     ++node.processes;
     claim(node);
@@ -263,7 +267,7 @@
   if (!changes && !chance(0.002)) return;
   if (changes) {  // versions may be skipped
     node.change_at = node.newest == schema::kCompact && chance(0.5) ? now_ + between(5, 60) : 0;
-    node.newest = node.change_at == 0 ? schema::kNewest : schema::kAges;
+    node.newest = node.change_at == 0 ? schema::kNewestLevel : schema::kTimeline;
   } else if (chance(0.2)) {
     node.newest = schema::kCompact;  // it comes back old
     node.change_at = now_ + between(5, 60);
@@ -291,14 +295,15 @@
       std::any_of(transaction.preconditions.begin(), transaction.preconditions.end(),
                   [](const auto& condition) { return condition.first == schema::kLevelKey; });
   for (const kv::Write& write : transaction.writes) {
-    if (knows && write.value && controller::is_stale(write.key, *write.value, before.writes)) {
+    if (knows && write.value &&
+        controller::is_obsolete(write.key, *write.value, before.written_level)) {
       break_rule("an older form: " + write.key);
     }
     if (write.key != schema::kLevelKey) continue;
     const schema::StoredSchema after = schema::decode_stored(write.value);
     if (after.settled) {
       for (const auto& [key, item] : store_.items()) {
-        if (controller::is_stale(key, item.value, after.writes) && !old_led_) {
+        if (controller::is_obsolete(key, item.value, after.written_level) && !old_led_) {
           break_rule("settled over " + key);
         }
       }
@@ -325,18 +330,20 @@
                                          "(replace (before 1)) (machines (type large) (spot yes))",
                                          "(budget (down 0)) (machines (zone b))"};
   const auto level = found(schema::kLevelKey);
-  if (!level || !schema::has(schema::decode_stored(level->value), schema::kDrains)) return;
-  const auto record = found(drains::kRulesKey);
-  std::optional<drains::Accepted> stored;
-  if (record) stored = drains::decode_accepted(record->value);
+  if (!level || !schema::has_level(schema::decode_stored(level->value), schema::kDrains)) return;
+  const auto record = found(drains::kPolicyKey);
+  std::optional<drains::AcceptedPolicy> stored;
+  if (record) stored = drains::decode_accepted_policy(record->value);
   const std::uint64_t serial = random_() % 4 == 0 ? serial_ : ++serial_;
   const std::string text = "(drains (serial " + std::to_string(serial) +
                            ") (attrition-s 3) (soon-s 1) (steps (first 2) (settle-s 2)) " +
                            kEntries[random_() % std::size(kEntries)] + ")";
-  const auto next = drains::accept(stored, record ? record->revision : 0, serial, text);
+  const auto next =
+      drains::next_accepted_policy(stored, record ? record->revision : 0, serial, text);
   if (!next) return;
-  apply({{{drains::kRulesKey, record ? record->revision : 0}, {schema::kLevelKey, level->revision}},
-         {{drains::kRulesKey, drains::encode_accepted(*next), std::nullopt}}});
+  apply(
+      {{{drains::kPolicyKey, record ? record->revision : 0}, {schema::kLevelKey, level->revision}},
+       {{drains::kPolicyKey, drains::encode_accepted_policy(*next), std::nullopt}}});
 }
 
 void SimulatedCluster::read_back(std::uint64_t fencing_token, const std::string& key) {
@@ -459,17 +466,17 @@
   const auto shares = store_.list(shares::kSharesKey);
   if (!shares.empty()) snapshot.shares = shares.front();
   if (!old) {
-    snapshot.drains = found(drains::kRulesKey);
-    snapshot.drains_used = found(drains::kUsedKey);
+    snapshot.drains = found(drains::kPolicyKey);
+    snapshot.drain_budgets = found(drains::kUsageKey);
     snapshot.zones = found(zones::kZonesKey);
   }
-  if (!old && !level.empty()) snapshot.level = level.front();
+  if (!old && !level.empty()) snapshot.stored_schema = level.front();
   snapshot.revision_clock = seat_->timeline;
   snapshot.revision_clock.observe(store_.store_revision(), now_);
   record(BehaviourRecorder::kElected, {won.store_revision, name_of(*seat_)});
   led_since_ = now_;
   position_ = store_.store_revision();
-  schema::SupportedVersions speech;
+  schema::SupportedLevels speech;
   speech.newest = seat_->newest;
   leader_ = std::make_unique<Leader>(platform_, settings::Policy{}, won.store_revision, snapshot,
                                      now_, speech);
@@ -502,11 +509,11 @@
   const std::uint64_t fencing_token = leader_->cluster().fencing_token;
   const bool old = seat_->newest == schema::kCompact;
   record_outbox(*leader_, outbox);
-  if (!outbox.cancellation_poll_windows.empty())
-    ask_told(fencing_token, outbox.cancellation_poll_windows);
+  if (!outbox.cancellation_poll_windows_s.empty())
+    ask_told(fencing_token, outbox.cancellation_poll_windows_s);
   if (outbox.read_claims && !old && !is_refused()) {
     later(delay(), [this, fencing_token] {
-      const auto claims = store_.list(schema::kClaims);
+      const auto claims = store_.list(schema::kClaimPrefix);
       later(delay(), [this, fencing_token, claims] {
         if (leader_ && leader_->cluster().fencing_token == fencing_token)
           leader_->on_claims(claims);
@@ -516,7 +523,7 @@
   if (outbox.verify_key) read_back(fencing_token, *outbox.verify_key);
   if (outbox.read_drains && !is_refused()) {
     later(delay(), [this, fencing_token] {
-      const auto record = found(drains::kRulesKey);
+      const auto record = found(drains::kPolicyKey);
       later(delay(), [this, fencing_token, record] {
         if (leader_ && leader_->cluster().fencing_token == fencing_token)
           leader_->on_drains(record, now_);
@@ -536,7 +543,7 @@
       const auto prefixes = controller::obsolete_record_prefixes();
       const bool read = std::any_of(prefixes.begin(), prefixes.end(),
                                     [&](const auto& prefix) { return key.starts_with(prefix); });
-      if (read && controller::is_stale_at_any(key, item.value)) {
+      if (read && controller::is_obsolete_at_any_level(key, item.value)) {
         stale.push_back({key, item.value, item.revision});
       }
     }
@@ -576,9 +583,10 @@
 
 void SimulatedCluster::check_form(const kv::Transaction& transaction) {
   for (const kv::Write& write : transaction.writes) {
-    const auto key = jobs::parse_chunk_key(write.key);
+    const auto key = jobs::parse_task_range_key(write.key);
     if (!key || !write.value) continue;
-    if (!upgraded() && key->format != jobs::Format::whole) break_rule("written for new nodes only");
+    if (!upgraded() && key->format != jobs::TaskRecordFormat::legacy)
+      break_rule("written for new nodes only");
   }
 }
 
--- a/test/simulated_cluster_rules.cpp
+++ b/test/simulated_cluster_rules.cpp
@@ -29,8 +29,8 @@
 bool SimulatedCluster::is_at_limit(const std::string& name) const {
   const auto team = std::find_if(platform_.teams.begin(), platform_.teams.end(),
                                  [&](const settings::Team& one) { return one.name == name; });
-  return team != platform_.teams.end() && team->cpus_max > 0 &&
-         used_cpus()[name] > team->cpus_max - 0.5;
+  return team != platform_.teams.end() && team->max_cpus > 0 &&
+         used_cpus()[name] > team->max_cpus - 0.5;
 }
 
 std::size_t SimulatedCluster::cancelled_tasks() const {
@@ -55,14 +55,14 @@
       const std::string id = key.first.substr(0, key.first.rfind('/'));
       const auto cancelled = cancelled_at_.find(id);
       if (cancelled != cancelled_at_.end() &&
-          now_ - cancelled->second > platform_.workers.cancel_s &&
+          now_ - cancelled->second > platform_.worker_timings.cancel_s &&
           (now_ >= machine.hung_until || could_return_machines(id, cancelled->second))) {
         break_rule("ran_cancelled " + key.first);
       }
     }
   }
   for (const settings::Team& team : platform_.teams) {
-    if (team.cpus_max > 0 && used[team.name] > team.cpus_max + 1e-6) {
+    if (team.max_cpus > 0 && used[team.name] > team.max_cpus + 1e-6) {
       break_rule("quota " + team.name);
     }
   }
@@ -71,12 +71,13 @@
     const bool live = store_.items().contains(jobs::job_key(id));
     if (live == (end != store_.items().end())) break_rule("forgotten " + id);
     const auto fell = falls(id);
-    if (calm_ && live && fell && now_ - std::max(*fell, calm_at_) > platform_.workers.cancel_s &&
+    if (calm_ && live && fell &&
+        now_ - std::max(*fell, calm_at_) > platform_.worker_timings.cancel_s &&
         !jobs::decode_header(store_.items().at(jobs::job_key(id)).value).cancelled) {
       break_rule("orphaned " + id);
     }
     if (end == store_.items().end()) continue;
-    const jobs::FinalState ending = jobs::decode_ending(end->second.value);
+    const jobs::FinalState ending = jobs::decode_final_state(end->second.value);
     const auto [known, fresh] = endings_.try_emplace(id, ending.cancelled);
     if (known->second != ending.cancelled) break_rule("went_back " + id);
     if (ending.cancelled != falls(id).has_value()) break_rule("went_back " + id);
@@ -99,8 +100,8 @@
 }
 
 bool SimulatedCluster::could_return_machines(const std::string& id, double cancelled_at) const {
-  const double latest = cancelled_at + platform_.workers.cancel_s;
-  const double listening = 2 * workers::report_allowance_s(platform_.workers);
+  const double latest = cancelled_at + platform_.worker_timings.cancel_s;
+  const double listening = 2 * workers::max_heartbeat_delay_s(platform_.worker_timings);
   const auto unknown = unknown_at_.find(id);
   return leader_ && led_since_ + listening + kReturnTakes_s < latest &&
          (unknown == unknown_at_.end() || unknown->second + kReturnTakes_s < latest);
--- a/test/simulated_machines.cpp
+++ b/test/simulated_machines.cpp
@@ -8,9 +8,9 @@
   const bool answered =
       leader_ && leader_->cluster().fencing_token == fencing_token && !chance(0.05);
   if (order.kind == CloudRequest::Kind::scale_in) {
-    for (const std::string& name : order.machines) machines_.erase(name);
+    for (const std::string& name : order.scale_in_machines) machines_.erase(name);
     if (answered) {
-      leader_->on_scale_in_completed(order.machines, now_);
+      leader_->on_scale_in_completed(order.scale_in_machines, now_);
     } else if (leader_) {
       later(1, [this, fencing_token, order] { cloud(fencing_token, order); });
     }
@@ -39,7 +39,7 @@
     }
   }
   cloud::ScaleOutResult hired;
-  hired.verdict = at->second.empty() ? cloud::CloudOutcome::no_capacity : cloud::CloudOutcome::ok;
+  hired.outcome = at->second.empty() ? cloud::CloudOutcome::no_capacity : cloud::CloudOutcome::ok;
   hired.machines = at->second;
   if (hired.machines.empty()) hires_.erase(at);
   if (answered) {
@@ -98,7 +98,7 @@
     machine.awaiting.reset();
     ++machine.life;
   }
-  if (now_ - machine.leased_at > platform_.workers.lease_s) {
+  if (now_ - machine.leased_at > platform_.worker_timings.lease_s) {
     machine.tasks.clear();
     ++machine.incarnation;
     machine.leased_at = now_;
@@ -184,7 +184,7 @@
     });
   };
   const auto verdict = to->on_heartbeat(report, recorded(*to, report, answer), now_);
-  const bool accepted = verdict != controller::HeartbeatVerdict::deposed;
+  const bool accepted = verdict != controller::HeartbeatResult::deposed;
   if (!accepted)
     record(BehaviourRecorder::kDeposed,
            {to->cluster().fencing_token, name, report.sequence_number});
@@ -242,7 +242,7 @@
       if (held.first == key.first && piece.state != "exited") {
         break_rule("ran_twice " + key.first);
       }
-      if (spec.one_zone && held.first.starts_with(id + "/") && piece.state != "exited" &&
+      if (spec.single_zone && held.first.starts_with(id + "/") && piece.state != "exited" &&
           other.zone != machine.zone) {
         break_rule("wrong_place " + key.first);
       }
@@ -251,12 +251,12 @@
   const cloud::Catalog types = simulated_catalog();
   const auto type = std::find_if(types.begin(), types.end(),
                                  [&](const auto& t) { return t.name == machine.type; });
-  if ((machine.spot && !spec.spot) || !jobs::fits_type(spec, *type)) {
+  if ((machine.spot && !spec.allow_spot) || !jobs::fits_type(spec, *type)) {
     break_rule("wrong_place " + key.first);
   }
   for (const std::string& need : spec.depends_on) {
     const auto end = store_.items().find(jobs::end_key(need));
-    if (end == store_.items().end() || jobs::decode_ending(end->second.value).cancelled) {
+    if (end == store_.items().end() || jobs::decode_final_state(end->second.value).cancelled) {
       break_rule("too_early " + key.first);
     }
   }
@@ -270,10 +270,10 @@
     machine.tasks[key] = {"exited", "full", 0};
     return;
   }
-  const double runs = world_.task_run_s > 0   ? world_.task_run_s
-                      : spec.estimate_s > 30  ? between(40, 80)
-                      : spec.checkpoint_s > 0 ? between(10, 30)
-                                              : between(1, 8);
+  const double runs = world_.task_run_s > 0            ? world_.task_run_s
+                      : spec.estimated_duration_s > 30 ? between(40, 80)
+                      : spec.checkpoint_interval_s > 0 ? between(10, 30)
+                                                       : between(1, 8);
   machine.tasks[key] = {"running", "", now_ + runs};
 }
 
--- a/test/simulation_test.cpp
+++ b/test/simulation_test.cpp
@@ -22,17 +22,17 @@
   spec.ram_gb = 2;
   spec.image = "img";
   spec.image_gb = 1;
-  spec.one_zone = choice % 7 == 0;
-  spec.spot = choice % 3 != 0;
-  spec.estimate_s = 5;
+  spec.single_zone = choice % 7 == 0;
+  spec.allow_spot = choice % 3 != 0;
+  spec.estimated_duration_s = 5;
   if (spec.shape == jobs::Shape::gang && choice % 2 == 0) {  // long enough to be moved
-    spec.checkpoint_s = 2;
-    spec.save_s = 0.5;
-    spec.estimate_s = 20;
+    spec.checkpoint_interval_s = 2;
+    spec.checkpoint_duration_s = 0.5;
+    spec.estimated_duration_s = 20;
   }
   if (choice % 4 == 1) {  // longer than a cancelled task may stay
     spec.tasks = std::min(spec.tasks, 4u);
-    spec.estimate_s = 60;
+    spec.estimated_duration_s = 60;
   }
   return spec;
 }
@@ -72,8 +72,8 @@
     spec.shape = jobs::Shape::array;
     spec.tasks = 2;
     spec.cpus = 1;
-    spec.checkpoint_s = 0;
-    spec.estimate_s = 60;
+    spec.checkpoint_interval_s = 0;
+    spec.estimated_duration_s = 60;
     simulation.submit(std::move(spec));
   }
   for (int round = 0; round < 2; ++round) {
