--- a/src/acquire/autoscaler.h
+++ b/src/acquire/autoscaler.h
@@ -1,4 +1,5 @@
-// What to rent and what to give back: Tributary over the cluster as the leader knows it.
+// Decides which machines to rent and which to return, from the leader's cluster model. The choice
+// of spot pools follows the Tributary algorithm (acquire/tributary.h).
 #pragma once
 
 #include <deque>
@@ -16,74 +17,97 @@
 using placement::Index;
 using placement::Pool;
 
+// A number of machines to rent from one pool.
 struct ScaleOutRequest {
   Pool pool;
   int machines = 0;
 };
 
-// Work that may use the same pools and needs machines of the same make.
+// The tasks of all jobs that may run on the same pools.
 struct DemandGroup {
   std::vector<Pool> pools;
-  std::vector<std::vector<double>> price_correlation;  // how the pools' prices move together
-  placement::Resources mean_task_resources;            // of a mean task
-  double tasks = 0;  // that should run at the same time for their jobs to be in time
-  double ordinary_machine_tasks = 0;  // of these, what ordinary machines may be rented for
+  std::vector<std::vector<double>> price_correlation;  // of the pools' spot prices
+  placement::Resources mean_task_resources;
+  double tasks = 0;  // tasks that have to run in parallel for their jobs to be in time
+  double ordinary_machine_tasks = 0;  // of these, how many justify the price of ordinary machines
+  // The resources that `tasks` mean tasks take.
   Amounts total_amounts() const;
-  // Slots for such tasks on the machines that more particular groups leave, by pool.
+  // For each of `pools`: the mean tasks that existing and requested machines have room for, after
+  // groups with fewer pools have claimed theirs, and the machines with room for at least one.
   std::vector<int> slots_by_pool;
   std::vector<int> machines_by_pool;
 };
 
+// Chooses machines to rent and to return. Keeps the history of each pool that the choice needs:
+// prices, reclaims, refused requests and pending requests.
 class Autoscaler {
  public:
   Autoscaler(const settings::Policy& policy);
 
+  // Records the current spot prices and drops those older than the price window.
   void record_prices(const Cluster& cluster, double now);
-  // A machine of the pool, still among the cluster's, is gone.
+  // Records that a spot machine of the pool was reclaimed. The machine must still be in the
+  // cluster.
   void record_reclaim(const Cluster& cluster, const Pool& pool);
+  // Adds the time since the last call to the exposure of each spot pool that has machines, and
+  // decays older reclaims and exposure.
   void update_exposure(const Cluster& cluster, double now);
+  // Records that the cloud did not provide all requested machines. The pool is not asked again for
+  // a pause that grows with the number of refusals in a row.
   void record_refusal(const Pool& pool, double now);
+  // Resets the count of refusals after a request was filled.
   void reset_refusals(const Pool& pool);
-  // A request that is out counts as if it were filled, and its pool is asked for nothing more.
+  // Records a request without an answer. Its machines count as if they were rented, and the pool
+  // gets no further request until clear_pending_request().
   void set_pending_request(const Pool& pool, int machines);
   void clear_pending_request(const Pool& pool);
 
-  // Nothing is rented there while they are closed.
+  // Replaces the set of pools from which no machines may be rented.
   void set_closed_pools(std::set<Pool> pools);
-  // The cloud has had none there of late.
+  // Whether the pool is in the pause that follows a refused request.
   bool recently_refused(const Pool& pool, double now) const;
+  // Whether machines of the pool may be requested now.
   bool may_request(const Pool& pool, double now) const;
+  // Returns the machines to rent now, at most one request for each pool.
   std::vector<ScaleOutRequest> scale_out_requests(const Cluster& cluster, double now) const;
-  // Idle machines to return now, safest first.
+  // Returns the idle machines that are not needed, those with the lowest probability of a reclaim
+  // first.
   std::vector<Index> scale_in_candidates(const Cluster& cluster, double now) const;
 
+  // The estimated probability that a machine of the pool is reclaimed within one horizon.
   double reclaim_probability(const Pool& pool) const;
-  // Of a machine, for an hour.
+  // The price of one machine of the pool for an hour; 1 if its type is not in the catalog.
   double hourly_price(const Cluster& cluster, const Pool& pool) const;
 
  private:
+  // What is known of one pool.
   struct PoolHistory {
-    std::deque<std::pair<double, double>> prices;
-    double decayed_reclaims = 0;
-    double exposure_horizons = 0;
+    std::deque<std::pair<double, double>> prices;  // time and spot price, oldest first
+    double decayed_reclaims = 0;                   // each as a fraction of the pool's machines
+    double exposure_horizons = 0;                  // decayed time with machines in the pool
     double refused_until = 0;
-    int refusals = 0;
+    int refusals = 0;  // in a row
     int requested_machines = 0;
   };
 
-  // Jobs that will be freed within a boot: machines are kept for them, but none are rented;
-  // measured, that cost more than it gained.
+  // Whether the demand includes blocked jobs that are expected to be unblocked within one boot
+  // time. Idle machines are kept for such jobs, but none are rented: in measurements, renting for
+  // them cost more than it gained.
   enum class BlockedJobs { excluded, included };
-  // The work to rent for, the most particular first.
+  // Groups the tasks that need machines by the pools they may use, groups with the fewest pools
+  // first.
   std::vector<DemandGroup> demand_groups(const Cluster& cluster, double now,
-                                         BlockedJobs waiting) const;
-  // What the machines at hand, some left out, and those asked for hold of each group.
-  void count_slots(const Cluster& cluster, double now, const std::vector<bool>& without,
+                                         BlockedJobs blocked_jobs) const;
+  // Sets the slots and machines of each group. Counts the machines that are not `excluded` (by host
+  // index) and the requested ones.
+  void count_slots(const Cluster& cluster, double now, const std::vector<bool>& excluded,
                    std::vector<DemandGroup>& groups) const;
+  // Describes the group's pools for choose_purchases().
   std::vector<PoolOffer> pool_offers(const Cluster& cluster, const DemandGroup& group,
                                      double now) const;
+  // The matrix of correlations between the spot prices of the pools.
   std::vector<std::vector<double>> price_correlations(const std::vector<Pool>& pools) const;
-  // The least V of each group as covered.
+  // The expected utility of each group's current machines, of the resource where it is lowest.
   std::vector<double> lowest_utilities(const Cluster& cluster, double now,
                                        const std::vector<DemandGroup>& groups) const;
 
--- a/src/placement/available_hosts.h
+++ b/src/placement/available_hosts.h
@@ -1,7 +1,7 @@
-// Machines that take tasks, as one plan looks at them: by kind, with a bound on the room that any
-// machine of the kind has, so that a job looks only at kinds that may hold a task of it. At
-// hundreds of waiting jobs and machines, looking at every machine for every job took most of a
-// leader's time.
+// An index of the machines that can get tasks, built for one placement pass. Machines are grouped,
+// and each group has an upper bound of the free resources of its machines, so that a job skips the
+// groups that cannot hold one of its tasks. Before, with hundreds of waiting jobs and machines,
+// checking every machine for every job took most of the leader's time.
 #pragma once
 
 #include <map>
@@ -11,46 +11,51 @@
 
 namespace reachramp::placement {
 
+// The machines that can get tasks at one time, for use within one placement pass.
 class AvailableHosts {
  public:
   AvailableHosts(const Cluster& cluster, double now);
 
-  // The machines that could take a task of the job now, in the order in which tasks try them: spot
-  // before ordinary for work that may use either, small before large so that large ones stay whole;
-  // among equals those that hold its image already come first.
+  // Returns the machines that have room for a task of the job, in the order of preference: spot
+  // machines before ordinary ones; small types before large ones, so that large machines stay free
+  // for large tasks; within a group, machines that have the job's image cached first.
   std::vector<Index> candidates(const Job& job);
-  // Machines whose room is too small for a task of the job and may grow.
+  // Returns the machines with some free cores and memory, but too little for a task of the job.
+  // When tasks on them end, a task of the job may fit.
   std::vector<Index> hosts_with_partial_room(const Job& job);
-  // Machines that are out of the question for all jobs that come after.
+  // Leaves these machines out of all later results.
   void exclude(const std::vector<Index>& hosts);
-  // Whether machines that are up would hold so many tasks of the job if nothing else ran there, in
-  // the zone (kNone: in any).
+  // Whether the usable machines, if they were empty, would hold that many tasks of the job in the
+  // zone (kNone: in any zone).
   bool could_hold_when_empty(const Job& job, Index zone, std::uint32_t tasks) const;
-  // Tasks have been taken off machines since.
+  // Recomputes the bounds of all groups. Must be called after attempts have ended.
   void refresh_bounds();
-  // How many machines have been looked at, kinds passed over left out.
+  // The number of machines examined so far, without those of skipped groups.
   std::size_t hosts_examined() const { return hosts_examined_; }
 
  private:
+  // The machines of one type and price that are backfilled, or those that are not.
   struct HostGroup {
     Index type = kNone;
     bool spot = false;
     bool backfilled = false;
     std::vector<Index> hosts;
-    Resources max_free;  // no machine here has more of anything free
+    Resources max_free;  // upper bound of the free resources of each machine, by resource
   };
 
-  // Goes over the machines on a shelf that may be of use to the job, and learns the bound anew.
-  template <class Use>
-  void scan(HostGroup& shelf, Use use);
+  // Calls `visit` for each machine of the group that is not excluded, and recomputes the bound.
+  template <class Visit>
+  void scan(HostGroup& group, Visit visit);
+  // Whether the job avoids the machine because it failed there.
   bool is_avoided(const Job& job, Index host) const;
-  bool may_use(const Job& job, const HostGroup& shelf) const;
+  // Whether the job may use machines of the group; the zone is not checked.
+  bool may_use(const Job& job, const HostGroup& group) const;
 
   const Cluster& cluster_;
   const double now_;
   std::vector<HostGroup> groups_;
   std::map<Pool, std::uint32_t> usable_hosts_by_pool_;
-  std::vector<bool> excluded_;
+  std::vector<bool> excluded_;  // by machine
   std::size_t hosts_examined_ = 0;
 };
 
--- a/src/placement/preempt.h
+++ b/src/placement/preempt.h
@@ -1,4 +1,4 @@
-// Stopping work for the sake of other work.
+// Preemption: stops running gangs to make room for waiting ones.
 #pragma once
 
 #include <functional>
@@ -7,13 +7,14 @@
 
 namespace reachramp::placement {
 
-// Whether these jobs may be stopped together now for other work's sake, as far as their teams'
-// budgets of disruption go; they are, where it says yes. None: there are no budgets.
+// Decides whether the disruption budgets allow all of these jobs to be stopped now. If it returns
+// true, the jobs are stopped and it has charged the budgets. An empty function means that there are
+// no budgets.
 using DisruptionApprover = std::function<bool(const std::vector<Index>&)>;
 
-// Makes room for gangs within their team's guarantee, or of higher priority, that wait: stops whole
-// gangs that save their progress, and no more of them than it takes.
-void preempt(Cluster& cluster, const ServiceOrder& service, const DisruptionApprover& gate,
-             double now);
+// Makes room for waiting gangs that are within their team's guarantee or have a higher priority
+// than running ones. Stops only whole gangs that checkpoint, and no more of them than necessary.
+void preempt(Cluster& cluster, const ServiceOrder& order,
+             const DisruptionApprover& approve_disruption, double now);
 
 }  // namespace reachramp::placement
--- a/src/placement/service_order.h
+++ b/src/placement/service_order.h
@@ -1,29 +1,34 @@
-// Which jobs are served first.
+// The order in which waiting jobs get machines.
 #pragma once
 
 #include "placement/cluster.h"
 
 namespace reachramp::placement {
 
-// Jobs that wait for others are not among them: they hold no part of their team's guarantee.
-// What a team's guarantee covers first, then by priority, then so that as many jobs as possible are
-// in time: by the earliest start that is still expected, without the largest ones where there is
-// not time for all. Jobs that nothing can make timely any more wait behind the others, but not for
-// ever.
+// Incomplete jobs in the order of service. Blocked jobs are left out and use no part of their
+// team's guarantee.
 struct ServiceOrder {
   std::vector<Index> jobs;
-  std::vector<bool> guaranteed;  // by job
+  std::vector<bool> guaranteed;  // by job index: covered by the team's guarantee
 };
+
+// Orders jobs by three criteria: jobs within their team's guarantee first, then by priority, then
+// by the earliest latest start time that can still be met. Where there is not time for all arrays
+// of one guarantee and priority, the largest go last, so that as many jobs as possible are in time.
+// Jobs that cannot be in time any more follow the others until they are very late, and then go
+// first.
 ServiceOrder service_order(const Cluster& cluster, double now);
 
-// A job that takes `length` of all machines' time and must be through by `due`.
+// A job to be run on a single resource: it occupies the resource for `duration_s` and must end by
+// `due_at`.
 struct MachineTimeRequest {
   double duration_s = 0;
   double due_at = 0;
 };
 
-// Moore and Hodgson's rule: of claims in the order of their dues, those to be dropped so that the
-// fewest miss theirs.
-std::vector<bool> select_late_requests(const std::vector<MachineTimeRequest>& claims, double now);
+// The Moore-Hodgson algorithm: selects the requests to postpone so that as few as possible miss
+// their due time when the others run one after another from `now` on. `requests` must be sorted by
+// due time.
+std::vector<bool> select_late_requests(const std::vector<MachineTimeRequest>& requests, double now);
 
 }  // namespace reachramp::placement
--- a/src/placement/wait_reasons.h
+++ b/src/placement/wait_reasons.h
@@ -1,5 +1,5 @@
-// Why a job's tasks are not placed: always one of a few reasons, so that one that nobody runs,
-// places or waits for shows in the log as what it is.
+// Reasons why a job's tasks are not running, for the log. Every waiting job has one of a few
+// reasons, so a job that waits because of a fault of the scheduler is visible in the log.
 #pragma once
 
 #include <string>
@@ -9,11 +9,11 @@
 
 namespace reachramp::placement {
 
-// Jobs that lack tasks in place, the longest waiting first.
-std::vector<Index> longest_waiting_jobs(const Cluster& cluster, std::size_t most, double now);
+// Returns at most `max_jobs` jobs with tasks that are not placed, the longest waiting first.
+std::vector<Index> longest_waiting_jobs(const Cluster& cluster, std::size_t max_jobs, double now);
 
-// In words, for the log. Of a job all of whose tasks are placed: what the first that does not run
-// waits for, or that it runs.
+// Describes in words what the job waits for. If all its tasks are placed, describes what the first
+// task that is not running waits for, or says that all of them run.
 std::string wait_reason(Cluster& cluster, Index job, double now);
 
 }  // namespace reachramp::placement
