--- a/src/acquire/autoscaler.cpp
+++ b/src/acquire/autoscaler.cpp
@@ -15,13 +15,15 @@
 namespace {
 
 constexpr int kMaxMachinesPerRequest = 50;  // the cloud's limit
+// After a refused request a pool is not asked for this long; the pause doubles with each refusal in
+// a row, up to kMaxRefusalsCounted refusals.
 constexpr double kFirstRefusalPause_s = 10;
 constexpr int kMaxRefusalsCounted = 3;
-// Reclaims are forgotten over this many horizons.
+// The time constant of the exponential decay of past reclaims and exposure.
 constexpr double kReclaimDecay_horizons = 30;
 constexpr double kMinBilledTime_s = 60;
-// Work that comes while a machine is idle saves a boot. Measured on four days: 20 s and 3 s cost
-// more.
+// An idle machine is kept for this long, because work that arrives in the meantime needs no boot.
+// In measurements on four simulated days, 20 s and 3 s cost more.
 constexpr double kMinIdleBeforeReturn_s = 8;
 
 double hourly_machine_price(const cloud::MachineType& type, bool spot) {
@@ -49,12 +51,14 @@
   }
 }
 
-// V takes a pool to fall whole; the cloud takes machines one by one. One of thirty counts as a
-// thirtieth, or the chance of a large pool nears one, and no number of machines meets the target.
+// The utility model assumes that a pool is reclaimed as a whole, but the cloud reclaims single
+// machines. One of thirty machines therefore counts as a thirtieth of a reclaim. Otherwise the
+// reclaim probability of a large pool approaches 1, and no number of machines meets the target.
 void Autoscaler::record_reclaim(const Cluster& cluster, const Pool& pool) {
   const auto held_machines =
-      std::count_if(cluster.hosts.begin(), cluster.hosts.end(), [&](const auto& h) {
-        return h && h->phase != HostPhase::terminating && Pool{h->type, h->zone, h->spot} == pool;
+      std::count_if(cluster.hosts.begin(), cluster.hosts.end(), [&](const auto& host) {
+        return host && host->phase != HostPhase::terminating &&
+               Pool{host->type, host->zone, host->spot} == pool;
       });
   pool_histories_[pool].decayed_reclaims +=
       1.0 / static_cast<double>(std::max<std::ptrdiff_t>(held_machines, 1));
@@ -65,9 +69,9 @@
       exposure_updated_at_ < 0 ? 0 : (now - exposure_updated_at_) / policy_.horizon_s;
   exposure_updated_at_ = now;
   const double decay = std::exp(-horizons / kReclaimDecay_horizons);
-  for (auto& [pool, book] : pool_histories_) {
-    book.decayed_reclaims *= decay;
-    book.exposure_horizons *= decay;
+  for (auto& [pool, history] : pool_histories_) {
+    history.decayed_reclaims *= decay;
+    history.exposure_horizons *= decay;
   }
   std::map<Pool, bool> held_pools;
   for (const auto& host : cluster.hosts) {
@@ -75,7 +79,8 @@
       held_pools[{host->type, host->zone, true}] = true;
     }
   }
-  for (const auto& [pool, yes] : held_pools) pool_histories_[pool].exposure_horizons += horizons;
+  for (const auto& [pool, is_held] : held_pools)
+    pool_histories_[pool].exposure_horizons += horizons;
 }
 
 void Autoscaler::record_refusal(const Pool& pool, double now) {
@@ -92,7 +97,8 @@
   pool_histories_[pool].requested_machines = 0;
 }
 
-// The decayed rate, with the prior worth one horizon of watching.
+// The decayed reclaims per horizon of exposure. The prior probability has the weight of one
+// horizon.
 double Autoscaler::reclaim_probability(const Pool& pool) const {
   if (!pool.spot) return 0;
   const auto at = pool_histories_.find(pool);
@@ -122,11 +128,11 @@
 
 void Autoscaler::count_slots(const Cluster& cluster, double now, const std::vector<bool>& excluded,
                              std::vector<DemandGroup>& groups) const {
-  struct Room {
+  struct RemainingRoom {
     Pool pool;
-    Resources left;
+    Resources free;
   };
-  std::vector<Room> rooms;
+  std::vector<RemainingRoom> rooms;
   for (Index i = 0; i < cluster.hosts.size(); ++i) {
     const auto& host = cluster.hosts[i];
     if (!host || (i < excluded.size() && excluded[i]) || !provides_capacity(cluster, *host, now))
@@ -134,28 +140,29 @@
     const auto* type = cluster.type_of(*host);
     rooms.push_back({{host->type, host->zone, host->spot}, {type->cpus, type->gpus, type->ram_gb}});
   }
-  for (const auto& [pool, book] : pool_histories_) {
+  for (const auto& [pool, history] : pool_histories_) {
     const auto* type = cluster.machine_type(pool.type);
-    for (int i = 0; type != nullptr && i < book.requested_machines; ++i) {
+    for (int i = 0; type != nullptr && i < history.requested_machines; ++i) {
       rooms.push_back({pool, {type->cpus, type->gpus, type->ram_gb}});
     }
   }
-  // Small machines first, as tasks are placed: large ones stay for work that needs them.
-  std::stable_sort(rooms.begin(), rooms.end(),
-                   [](const Room& a, const Room& b) { return a.left.cpus < b.left.cpus; });
+  // Small machines come first, as in placement, so that large ones stay free for large tasks.
+  std::stable_sort(rooms.begin(), rooms.end(), [](const RemainingRoom& a, const RemainingRoom& b) {
+    return a.free.cpus < b.free.cpus;
+  });
   for (DemandGroup& group : groups) {
     group.slots_by_pool.assign(group.pools.size(), 0);
     group.machines_by_pool.assign(group.pools.size(), 0);
     double uncovered = group.tasks;
-    for (Room& room : rooms) {
+    for (RemainingRoom& room : rooms) {
       const auto at = std::find(group.pools.begin(), group.pools.end(), room.pool);
       if (at == group.pools.end()) continue;
-      const int slots = static_cast<int>(room.left.capacity_for(group.mean_task_resources));
+      const int slots = static_cast<int>(room.free.capacity_for(group.mean_task_resources));
       if (slots == 0) continue;
       group.slots_by_pool[at - group.pools.begin()] += slots;
       ++group.machines_by_pool[at - group.pools.begin()];
       const int claimed_slots = std::min<int>(slots, static_cast<int>(std::ceil(uncovered)));
-      room.left -= group.mean_task_resources.scaled(claimed_slots);
+      room.free -= group.mean_task_resources.scaled(claimed_slots);
       uncovered -= claimed_slots;
     }
   }
@@ -184,19 +191,20 @@
     const std::vector<Pool>& pools) const {
   const auto series = [&](const Pool& pool) {
     std::vector<double> values;
-    const auto book = pool_histories_.find(pool);
-    if (pool.spot && book != pool_histories_.end()) {
-      for (const auto& [at, price] : book->second.prices) values.push_back(price);
+    const auto history = pool_histories_.find(pool);
+    if (pool.spot && history != pool_histories_.end()) {
+      for (const auto& [at, price] : history->second.prices) values.push_back(price);
     }
     return values;
   };
   std::vector<std::vector<double>> prices;
   for (const Pool& pool : pools) prices.push_back(series(pool));
-  std::vector<std::vector<double>> rho(pools.size(), std::vector<double>(pools.size()));
+  std::vector<std::vector<double>> correlations(pools.size(), std::vector<double>(pools.size()));
   for (std::size_t i = 0; i < pools.size(); ++i) {
-    for (std::size_t l = 0; l <= i; ++l) rho[i][l] = rho[l][i] = pearson(prices[i], prices[l]);
+    for (std::size_t l = 0; l <= i; ++l)
+      correlations[i][l] = correlations[l][i] = pearson(prices[i], prices[l]);
   }
-  return rho;
+  return correlations;
 }
 
 std::vector<ScaleOutRequest> Autoscaler::scale_out_requests(const Cluster& cluster,
@@ -208,9 +216,9 @@
     const TributaryParameters parameters{policy_.target_utility, policy_.gamma, policy_.horizon_s};
     const Amounts goal = group.total_amounts();
     std::vector<PoolOffer> pools = pool_offers(cluster, group, now);
-    const bool spot = std::any_of(group.pools.begin(), group.pools.end(),
-                                  [](const Pool& pool) { return pool.spot; });
-    if (spot) {
+    const bool has_spot_pools = std::any_of(group.pools.begin(), group.pools.end(),
+                                            [](const Pool& pool) { return pool.spot; });
+    if (has_spot_pools) {
       std::vector<PoolOffer> spot_only = pools;
       for (std::size_t i = 0; i < pools.size(); ++i) {
         if (!group.pools[i].spot || wanted.contains(group.pools[i]))
@@ -222,8 +230,10 @@
       }
       pools = spot_only;
     }
-    // Exception to the design: ordinary machines for work that may not use spot, and where spot
-    // pools refuse, for what even the machines at hand would not hold if none were reclaimed.
+    // Deviation from the design: ordinary machines are rented for work that may not use spot
+    // machines. For other work they are rented for what the current machines would not hold even if
+    // none were reclaimed, as happens when spot pools refuse requests. So reclaims are left out
+    // here.
     for (std::size_t i = 0; i < pools.size(); ++i) {
       pools[i].reclaim_probability = 0;
       pools[i].max_new_machines = !group.pools[i].spot && may_request(group.pools[i], now) &&
@@ -231,9 +241,9 @@
                                       ? kMaxMachinesPerRequest
                                       : 0;
     }
-    const bool any = std::any_of(pools.begin(), pools.end(),
-                                 [](const PoolOffer& pool) { return pool.machines > 0; });
-    const double ordinary_share = any ? group.ordinary_machine_tasks / group.tasks : 1;
+    const bool has_machines = std::any_of(pools.begin(), pools.end(),
+                                          [](const PoolOffer& pool) { return pool.machines > 0; });
+    const double ordinary_share = has_machines ? group.ordinary_machine_tasks / group.tasks : 1;
     Amounts ordinary_goal = goal;
     for (double& amount : ordinary_goal) amount *= ordinary_share;
     const TributaryParameters ordinary_parameters{policy_.target_utility, 0, policy_.horizon_s};
@@ -251,14 +261,14 @@
 
 std::vector<double> Autoscaler::lowest_utilities(const Cluster& cluster, double now,
                                                  const std::vector<DemandGroup>& groups) const {
-  std::vector<double> least;
+  std::vector<double> lowest;
   for (const DemandGroup& group : groups) {
     const Amounts values =
         expected_utilities(pool_offers(cluster, group, now), group.price_correlation, policy_.gamma,
                            group.total_amounts());
-    least.push_back(*std::min_element(values.begin(), values.end()));
+    lowest.push_back(*std::min_element(values.begin(), values.end()));
   }
-  return least;
+  return lowest;
 }
 
 std::vector<Index> Autoscaler::scale_in_candidates(const Cluster& cluster, double now) const {
@@ -269,14 +279,15 @@
         host->reserved_tasks > 0) {
       continue;
     }
-    // What is charged already is kept: a machine costs its least charge in any case.
+    // The cloud bills at least kMinBilledTime_s, so returning a machine earlier saves nothing.
     if (now - host->idle_since >= kMinIdleBeforeReturn_s &&
         now - host->rented_at >= kMinBilledTime_s) {
       idle.push_back(i);
     }
   }
   if (idle.empty()) return idle;
-  // Safest pools first; of one pool, whose machines are all alike, as many as can be spared.
+  // Pools with the lowest reclaim probability come first. The machines of one pool are
+  // interchangeable, so for each pool only the number to return is searched for.
   std::map<std::pair<double, Pool>, std::vector<Index>> by_pool;
   for (const Index i : idle) {
     const Host& host = *cluster.hosts[i];
@@ -288,19 +299,21 @@
   count_slots(cluster, now, excluded, groups);
   const std::vector<double> utilities_before = lowest_utilities(cluster, now, groups);
   const auto can_spare = [&](const std::vector<Index>& machines, std::size_t count) {
-    std::vector<bool> less = excluded;
-    for (std::size_t i = 0; i < count; ++i) less[machines[i]] = true;
-    count_slots(cluster, now, less, groups);
-    const std::vector<double> left = lowest_utilities(cluster, now, groups);
-    for (std::size_t g = 0; g < left.size(); ++g) {
-      // A machine that does nothing for a group that lacks others is no loss to it.
-      if (left[g] <= policy_.target_utility && left[g] < utilities_before[g] - 1e-9) return false;
+    std::vector<bool> excluded_then = excluded;
+    for (std::size_t i = 0; i < count; ++i) excluded_then[machines[i]] = true;
+    count_slots(cluster, now, excluded_then, groups);
+    const std::vector<double> utilities_after = lowest_utilities(cluster, now, groups);
+    for (std::size_t g = 0; g < utilities_after.size(); ++g) {
+      // A group may miss its target already. Then only a machine that adds to its utility is kept.
+      if (utilities_after[g] <= policy_.target_utility &&
+          utilities_after[g] < utilities_before[g] - 1e-9)
+        return false;
     }
     return true;
   };
   std::vector<Index> surplus;
   for (const auto& [pool, machines] : by_pool) {
-    // Each question costs a look at the whole fleet, so the number is found by halving.
+    // A binary search, because each call of can_spare() examines all machines.
     std::size_t spared = 0, too_many = machines.size() + 1;
     while (too_many - spared > 1) {
       const std::size_t middle = spared + (too_many - spared) / 2;
--- a/src/acquire/demand.cpp
+++ b/src/acquire/demand.cpp
@@ -1,4 +1,4 @@
-// What work is waiting and running for which machines are wanted, and of which pools.
+// Computes the demand for machines: how many tasks need machines, and of which pools.
 #include "acquire/demand.h"
 
 #include <algorithm>
@@ -18,14 +18,16 @@
 
 namespace {
 
-// A machine that has not come up after this many boot times is not counted on any more.
+// A machine that has not come up after this many boot times no longer counts as capacity.
 constexpr double kBootTimesUntilUncounted = 2;
-// Owners' estimates are often wrong by half.
+// Users' estimates of a task's duration are often wrong by half and are multiplied by this.
 constexpr double kEstimateFactor = 1.5;
-// Late work is worth ordinary machines only as far as cheap ones would take longer than this.
+// For a job that cannot be in time any more, ordinary machines are rented only for as many parallel
+// tasks as it takes to end within this many horizons. Spot machines have to do for the rest.
 constexpr double kMaxLateWork_horizons = 4;
-// Aims count jobs, and a large one costs as much as many small ones: an array that would need more
-// than this share of the fleet makes do with cheap machines.
+// An array that needs more than this share of the fleet's cores gets only as many ordinary machines
+// as a late job. Service-level objectives count jobs, and a large job costs as much as many small
+// ones.
 constexpr double kMaxFleetShare = 0.5;
 
 }  // namespace
@@ -51,8 +53,8 @@
 
 namespace {
 
-// The machines that count, by pool. Asked for each array in turn, a walk over all machines grew
-// with the product of both.
+// The machines that provide capacity, counted by pool once: counting them for each array took time
+// in proportion to the product of arrays and machines.
 class FleetCapacity {
  public:
   FleetCapacity(const Cluster& cluster, double now) : cluster_(cluster), now_(now) {
@@ -62,7 +64,7 @@
     }
   }
 
-  // Cores of the machines that may run the job.
+  // Returns the cores of the machines on which the job may run.
   double eligible_cores(const Job& job) const {
     double cores = 0;
     for (const auto& [pool, count] : machines_by_pool_) {
@@ -83,6 +85,7 @@
   std::map<Pool, int> machines_by_pool_;
 };
 
+// Returns the shortest boot time among the machine types that the job fits on.
 double shortest_boot_s(const Cluster& cluster, const Job& job) {
   double boot_s = placement::kNever;
   for (Index type = 0; type < job.fits_type.size(); ++type) {
@@ -91,9 +94,9 @@
   return boot_s;
 }
 
-// Every pool in the zone (kNone: in any) whose machines the job may run on.
-template <class Use>
-void for_each_pool(const Cluster& cluster, const Job& job, Index only_zone, Use visit) {
+// Calls `visit` for each pool in the zone (kNone: in any zone) whose machines the job may run on.
+template <class Visit>
+void for_each_pool(const Cluster& cluster, const Job& job, Index only_zone, Visit visit) {
   for (Index type = 0; type < job.fits_type.size(); ++type) {
     if (!job.fits_type[type]) continue;
     for (const std::string& name : cluster.machine_type(type)->zones) {
@@ -105,21 +108,21 @@
   }
 }
 
-// How many tasks of an array should run side by side: all of them where the time is short, fewer
-// where several rounds on the same machines still end in time.
+// Returns how many of an array's tasks should run in parallel: all of them if time is short, fewer
+// if several rounds of tasks on the same machines still end in time. For gangs and services, all.
 double parallel_tasks(const Job& job, double tasks, double boot_s, double now) {
-  const double start_by = job.next_latest_start(now + boot_s);
-  if (job.spec.shape != jobs::Shape::array || start_by == placement::kNever) return tasks;
+  const double latest_start = job.next_latest_start(now + boot_s);
+  if (job.spec.shape != jobs::Shape::array || latest_start == placement::kNever) return tasks;
   const double round_s = std::max(1.0, job.spec.estimated_duration_s * kEstimateFactor);
-  const double rounds = (start_by - now - boot_s) / round_s + 1;
+  const double rounds = (latest_start - now - boot_s) / round_s + 1;
   return std::min(tasks,
                   std::max(std::ceil(tasks / rounds), static_cast<double>(job.attempts.size())));
 }
 
-// Which zone each job that must share one gets. Machines of several zones together do not help such
-// a job, however many they are, and those that one job will use do not help the next: looked at one
-// by one, all gangs found the same zone large enough, and two thirds of the machines that a grown
-// site had for them were never asked for.
+// Selects the zone for each job that must stay in a single zone, and reserves the machines there
+// for the job. Machines in other zones do not help such a job, and machines that one job will use
+// do not help the next. Without the reservation, all gangs selected the same zone, and after more
+// machines had become available in the other zones, two thirds of those were never requested.
 class ZoneSelector {
  public:
   ZoneSelector(const Autoscaler& autoscaler, const Cluster& cluster, const FleetCapacity& fleet)
@@ -128,7 +131,7 @@
         now_(fleet.now()),
         unreserved_machines_(fleet.machines_by_pool()) {}
 
-  // kNone: any zone, or none that helps.
+  // Returns kNone if the job may use any zone, or if no zone has or can get capacity for it.
   Index select_zone(const Job& job) {
     if (!job.spec.single_zone || job.spec.tasks == 1) return job.zone;
     Index zone = job.zone;
@@ -141,22 +144,25 @@
   }
 
  private:
-  // Where it could start at once, before where machines must come first.
+  // Prefers zones where the job can start at once to zones where machines must be rented first, and
+  // among equals the zone with the most capacity.
   Index best_zone(const Job& job) const {
     Index best = kNone;
-    std::pair<bool, int> most;
+    std::pair<bool, int> best_capacity;
     for (Index zone = 0; zone < cluster_.zones.size(); ++zone) {
       const auto [slots, may_grow] = zone_capacity(job, zone);
       const bool enough = slots >= static_cast<int>(job.spec.tasks);
       if (!enough && !may_grow) continue;
-      if (best == kNone || std::pair(enough, slots) > most) {
+      if (best == kNone || std::pair(enough, slots) > best_capacity) {
         best = zone;
-        most = {enough, slots};
+        best_capacity = {enough, slots};
       }
     }
     return best;
   }
 
+  // Returns the tasks that the unreserved machines of the zone hold, and whether more machines may
+  // be requested there.
   std::pair<int, bool> zone_capacity(const Job& job, Index zone) const {
     int slots = 0;
     bool may_grow = false;
@@ -169,14 +175,14 @@
   }
 
   void reserve_machines(const Job& job, Index zone) {
-    int left = static_cast<int>(job.spec.tasks);
+    int tasks_left = static_cast<int>(job.spec.tasks);
     for_each_pool(cluster_, job, zone, [&](const Pool& pool) {
       const auto at = unreserved_machines_.find(pool);
-      if (at == unreserved_machines_.end() || left <= 0) return;
-      const int each = pool_tasks_per_machine(pool, job);
-      const int taken = std::min(at->second, (left + each - 1) / each);
+      if (at == unreserved_machines_.end() || tasks_left <= 0) return;
+      const int tasks_each = pool_tasks_per_machine(pool, job);
+      const int taken = std::min(at->second, (tasks_left + tasks_each - 1) / tasks_each);
       at->second -= taken;
-      left -= taken * each;
+      tasks_left -= taken * tasks_each;
     });
   }
 
@@ -211,14 +217,14 @@
     const Job& job = *cluster.jobs[index];
     if (now < job.retry_not_before) continue;
     double tasks = job.spec.tasks - job.done_count;
-    // As it is tried: one by one, and not while it pauses.
+    // Such a job is retried one task at a time.
     if (job.fails_everywhere() && job.spec.shape != jobs::Shape::gang) tasks = 1;
     const settings::Team& team = cluster.platform.teams[job.team];
-    const auto cap = [&](double limit, double used, double need) {
+    const auto limit_tasks = [&](double limit, double used, double need) {
       if (limit > 0 && need > 0) tasks = std::min(tasks, std::floor((limit - used) / need + 1e-6));
     };
-    cap(team.max_cpus, requested[job.team].cpus, job.resources_per_task.cpus);
-    cap(team.max_gpus, requested[job.team].gpus, job.resources_per_task.gpus);
+    limit_tasks(team.max_cpus, requested[job.team].cpus, job.resources_per_task.cpus);
+    limit_tasks(team.max_gpus, requested[job.team].gpus, job.resources_per_task.gpus);
     if (tasks <= 0) continue;
     requested[job.team].cpus += tasks * job.resources_per_task.cpus;
     requested[job.team].gpus += tasks * job.resources_per_task.gpus;
@@ -228,25 +234,25 @@
     });
     if (pools.empty()) continue;
     const double boot_s = shortest_boot_s(cluster, job);
-    const double parallel = parallel_tasks(job, tasks, boot_s, now);
+    const double tasks_at_once = parallel_tasks(job, tasks, boot_s, now);
     DemandGroup& group = by_pools[pools];
     group.pools = pools;
-    group.mean_task_resources += job.resources_per_task.scaled(parallel);
-    group.tasks += parallel;
-    // An ordinary machine is worth its full price to work that it can still bring in time, unless
-    // that takes too much of the fleet, and to other work only as far as the cheap ones would take
-    // too long.
+    group.mean_task_resources += job.resources_per_task.scaled(tasks_at_once);
+    group.tasks += tasks_at_once;
+    // Ordinary machines are rented for all parallel tasks of a job that may not use spot machines,
+    // or that can be in time (or has no time to meet) without too large a share of the fleet. For
+    // other jobs they are rented for as many tasks as end the job within kMaxLateWork_horizons.
     const bool in_time =
         job.latest_starts.empty() ||
         (job.next_latest_start(now + boot_s) != placement::kNever &&
-         (job.spec.shape != jobs::Shape::array ||
-          parallel * job.resources_per_task.cpus <= kMaxFleetShare * fleet.eligible_cores(job)));
+         (job.spec.shape != jobs::Shape::array || tasks_at_once * job.resources_per_task.cpus <=
+                                                      kMaxFleetShare * fleet.eligible_cores(job)));
     const double on_time_tasks = std::ceil(tasks * job.spec.estimated_duration_s /
                                            (kMaxLateWork_horizons * policy_.horizon_s));
     group.ordinary_machine_tasks +=
         !job.spec.allow_spot || in_time
-            ? parallel
-            : std::min(parallel, std::max<double>(on_time_tasks, job.attempts.size()));
+            ? tasks_at_once
+            : std::min(tasks_at_once, std::max<double>(on_time_tasks, job.attempts.size()));
   }
   std::vector<DemandGroup> found;
   for (auto& [pools, group] : by_pools) {
@@ -254,7 +260,7 @@
     group.price_correlation = price_correlations(pools);
     found.push_back(std::move(group));
   }
-  // The most particular work claims its machines first.
+  // Groups with the fewest pools claim machines first.
   std::stable_sort(found.begin(), found.end(), [](const DemandGroup& a, const DemandGroup& b) {
     return a.pools.size() < b.pools.size();
   });
--- a/src/acquire/tributary.cpp
+++ b/src/acquire/tributary.cpp
@@ -89,8 +89,8 @@
                                        const std::vector<std::vector<double>>& price_correlation,
                                        const Amounts& wanted,
                                        const TributaryParameters& parameters) {
-  std::vector<Purchase> bought;
-  const auto with = [](PoolOffer pool, int machines) {
+  std::vector<Purchase> purchases;
+  const auto add_machines = [](PoolOffer pool, int machines) {
     for (std::size_t kind = 0; kind < kResourceKinds; ++kind) {
       pool.held_amounts[kind] += machines * pool.amounts_per_machine[kind];
     }
@@ -98,6 +98,7 @@
     pool.max_new_machines -= machines;
     return pool;
   };
+  // The sum over all resources of what is missing to the target utility.
   const auto unmet = [&](const Amounts& values) {
     double sum = 0;
     for (const double value : values) sum += std::min(value, parameters.target_utility);
@@ -124,7 +125,7 @@
       machines = std::min(machines, pools[i].max_new_machines);
       if (machines <= 0) continue;
       const PoolOffer before = pools[i];
-      pools[i] = with(before, machines);
+      pools[i] = add_machines(before, machines);
       const Amounts after = expected_utilities(pools, price_correlation, parameters.gamma, wanted);
       pools[i] = before;
       if (unmet(after) >= unmet(values) - 1e-9) continue;
@@ -139,11 +140,11 @@
       }
     }
     if (best_score < 0) break;
-    pools[best.pool] = with(pools[best.pool], best.machines);
-    bought.push_back(best);
+    pools[best.pool] = add_machines(pools[best.pool], best.machines);
+    purchases.push_back(best);
     values = best_values;
   }
-  return bought;
+  return purchases;
 }
 
 }  // namespace reachramp::acquire
--- a/src/placement/available_hosts.cpp
+++ b/src/placement/available_hosts.cpp
@@ -8,6 +8,7 @@
 
 namespace {
 
+// Free amounts up to this are rounding errors.
 constexpr double kMinUsefulRoom = 1e-6;
 
 Resources total_resources(const cloud::MachineType& type) {
@@ -24,6 +25,7 @@
 
 AvailableHosts::AvailableHosts(const Cluster& cluster, double now)
     : cluster_(cluster), now_(now), excluded_(cluster.hosts.size()) {
+  // The key is in the order of preference of candidates().
   std::map<std::tuple<bool, double, Index, bool>, std::vector<Index>> hosts_by_kind;
   for (Index i = 0; i < cluster.hosts.size(); ++i) {
     const auto& host = cluster.hosts[i];
@@ -46,8 +48,8 @@
   }
 }
 
-template <class Use>
-void AvailableHosts::scan(HostGroup& group, Use visit) {
+template <class Visit>
+void AvailableHosts::scan(HostGroup& group, Visit visit) {
   group.max_free = {};
   for (const Index i : group.hosts) {
     if (excluded_[i]) continue;
@@ -62,7 +64,7 @@
   return at != job.failed_on.end() && now_ < at->second;
 }
 
-// All machines of a shelf are alike in this.
+// The answer is the same for all machines of a group.
 bool AvailableHosts::may_use(const Job& job, const HostGroup& group) const {
   return (job.spec.allow_spot || !group.spot) && job.fits_type[group.type] &&
          (group.backfilled || !cluster_.is_reserved_for_larger_tasks(job, group.type, group.spot));
@@ -109,11 +111,11 @@
   for (const Index host : hosts) excluded_[host] = true;
 }
 
-// What must share a zone is helped by none of several that only together would do: the limit that
-// was kept for such a gang kept its team's array out for good, which had all the machines that were
-// rented.
+// For a job that must stay in a single zone, the capacities of several zones are not added up.
+// Otherwise a team's limit was reserved for a gang that no single zone could hold, and the team's
+// array, which had rented all the machines, was never placed.
 bool AvailableHosts::could_hold_when_empty(const Job& job, Index zone, std::uint32_t tasks) const {
-  std::map<Index, std::uint64_t> capacity_by_zone;  // by zone, or all of them as one
+  std::map<Index, std::uint64_t> capacity_by_zone;  // all zones together under kNone
   for (const auto& [pool, machines] : usable_hosts_by_pool_) {
     if ((zone != kNone && pool.zone != zone) || !is_zone_allowed(job, pool.zone) ||
         !may_run_on(cluster_, job, pool.type, pool.spot)) {
--- a/src/placement/plan.cpp
+++ b/src/placement/plan.cpp
@@ -16,22 +16,30 @@
 
 namespace {
 
+// The grace period of a task on a machine under reclaim ends this long before the cloud takes the
+// machine back.
 constexpr double kReclaimStopMargin_s = 1.5;
-constexpr double kBootTimesUntilUp = 3;  // boot times
-// A gang waits so long behind its own team's limit before the team's arrays give way.
+// A machine that the cloud lists as running must be up after this many boot times of its type.
+constexpr double kBootTimesUntilUp = 3;
+// After a gang has waited this long, the other jobs of its team leave room for it within the team's
+// limit.
 constexpr double kGangWaitBeforeReservation_s = 30;
 constexpr Usage kNoUsage{};
-// The users expect first tasks within four minutes of a job's acceptance. Room must still come, and
-// a change of leaders may lie between.
+// After this wait, the first task of a job is placed ahead of the service order. Users expect it to
+// start within four minutes of acceptance; within the remaining two minutes machines must become
+// free, and the leader may change.
 constexpr double kFirstTaskAfter_s = 120;
-// Room that is kept for others is not kept from a job that has had no task for so long. The users
-// allow 90 s. Its record, the next report and the fetch of its image come after, and an outage of
-// the key-value store of some twenty seconds may lie between, in which nothing starts.
+// A job that has had no running task for this long gets one task even in room that is reserved for
+// other jobs. Users accept 90 s. After the placement, its record must be stored, the worker's next
+// heartbeat must arrive and the image must be fetched, and nothing can start during an outage of
+// the key-value store, which may last some 20 s.
 constexpr double kMaxIdleBesideReservedRoom_s = 30;
-// Work that has waited so long is served whether or not it can still be in time.
+// A job that has waited this long gets a share of the machines even if it cannot be in time any
+// more.
 constexpr double kLongWait_s = 240;
 
-// For a job that must stay in one zone and has not begun: the zone that holds most of it.
+// Returns the zone whose candidate machines hold the most tasks of a job that must stay in a single
+// zone and has no attempts yet.
 Index best_zone(const Cluster& cluster, const Job& job, const std::vector<Index>& hosts) {
   std::map<Index, std::uint32_t> capacity_by_zone;
   for (const Index i : hosts) {
@@ -39,15 +47,15 @@
         cluster.hosts[i]->free.capacity_for(job.resources_per_task);
   }
   Index best = kNone;
-  for (const auto& [zone, copies] : capacity_by_zone) {
-    if (best == kNone || copies > capacity_by_zone[best]) best = zone;
+  for (const auto& [zone, capacity] : capacity_by_zone) {
+    if (best == kNone || capacity > capacity_by_zone[best]) best = zone;
   }
   return best;
 }
 
-// Room too small for the job's tasks is kept from all that come after it, where it may grow: tasks
-// of one core took every core as it came free, and tasks of two cores that went before them waited
-// two minutes for a machine with two. On so many machines at most.
+// Keeps jobs later in the order off machines whose free resources are too small for a task of this
+// job yet, up to `max_hosts` machines. Without this, one-core tasks took every core as it became
+// free, and two-core tasks ahead of them waited two minutes for two free cores on one machine.
 void reserve_partial_room(const Cluster& cluster, const Job& job, std::size_t max_hosts,
                           AvailableHosts& available) {
   if (!cluster.within_team_limit(job, 1)) return;
@@ -61,15 +69,18 @@
   available.exclude(hosts);
 }
 
-// Of a team's limit, what all but one gang leave to it.
+// The part of a team's limit that is reserved for one waiting gang: the team's other jobs must
+// leave it unused.
 struct GangReservation {
   Usage usage;
   Index gang = kNone;
 };
 
-// By team: the gang that has waited longest, for a while at least. It asks for all its tasks at
-// once, while arrays took each core as it came free, and smaller gangs what was left: one waited
-// 705 s of 730. Not while machines that are up could not hold it, and not against a guarantee.
+// Reserves a part of each team's limit for its longest-waiting gang, once that gang has waited
+// kGangWaitBeforeReservation_s. A gang needs room for all its tasks at once; without a reservation,
+// arrays took each core as it became free and smaller gangs took the rest, and one gang waited 705
+// s of a run of 730 s. There is no reservation for a gang that the usable machines could not hold,
+// and reservations do not apply to jobs within their team's guarantee.
 std::vector<GangReservation> reserve_limits_for_gangs(const Cluster& cluster,
                                                       const ServiceOrder& order,
                                                       const AvailableHosts& available, double now) {
@@ -84,7 +95,7 @@
     if (oldest != kNone && cluster.jobs[oldest]->unblocked_at <= job.unblocked_at) continue;
     if (available.could_hold_when_empty(job, job.zone, job.spec.tasks)) oldest = index;
   }
-  std::vector<Usage> non_array_usage(cluster.usage_by_team.size());  // what others than arrays use
+  std::vector<Usage> non_array_usage(cluster.usage_by_team.size());
   for (const auto& job : cluster.jobs) {
     if (!job || job->team == kNone || job->spec.shape == jobs::Shape::array) continue;
     non_array_usage[job->team].cpus +=
@@ -101,7 +112,7 @@
     const Job& gang = *cluster.jobs[reservations[team].gang];
     const double tasks = gang.spec.tasks;
     const Usage need{gang.resources_per_task.cpus * tasks, gang.resources_per_task.gpus * tasks};
-    // While gangs of its own team are in the way, giving way would help nobody.
+    // While gangs and services of the team take up the limit, a reservation would only idle arrays.
     if (fits(limits.max_cpus, non_array_usage[team].cpus, need.cpus) &&
         fits(limits.max_gpus, non_array_usage[team].gpus, need.gpus)) {
       reservations[team].usage = need;
@@ -115,7 +126,8 @@
   Job& job = *cluster.jobs[index];
   std::uint32_t task = cluster.next_pending_task(job, 0);
   if (task == job.spec.tasks) return 0;
-  // What fails everywhere is tried one by one: a broken array of hundreds took all room each time.
+  // A job that fails everywhere is tried one task at a time: a broken array of hundreds of tasks
+  // otherwise took all free room at each retry.
   if (job.fails_everywhere()) {
     if (!job.attempts.empty()) return 0;
     max_tasks = std::min(max_tasks, 1);
@@ -128,8 +140,8 @@
     const Index zone = best_zone(cluster, job, hosts);
     std::erase_if(hosts, [&](Index i) { return cluster.hosts[i]->zone != zone; });
   }
-  // The loss of a zone should leave a service half of its replicas; where there is no room
-  // elsewhere it stands as it can.
+  // A service should keep half of its replicas when a zone is lost. Where other zones have no room,
+  // it is placed without that limit.
   const bool prefers_spread = job.spec.shape == jobs::Shape::service && !job.spec.single_zone;
   ZoneRules rules(job, std::move(*tasks_by_zone));
   if (prefers_spread) rules.limit_to_half(job, true);
@@ -157,9 +169,10 @@
   return placed;
 }
 
-// All tasks of a gang or none; while it still gathers, replacements join the same attempt. A gang
-// that lacks machines keeps those of its zone from all that come after it: smaller gangs took them
-// one by one, and one of three machines waited 80 s although it was the first in line.
+// Places all tasks of a gang or none. Before the gang has started, tasks that were lost are placed
+// again with the same attempt number. If too few machines have room, those that do are kept from
+// jobs later in the order: otherwise smaller gangs took them one by one, and a gang of three
+// machines waited 80 s although it was first in the order.
 int place_gang(Cluster& cluster, Index index, AvailableHosts& available, const Usage& reserved,
                double now) {
   Job& job = *cluster.jobs[index];
@@ -176,11 +189,11 @@
   if (!tasks_by_zone) return 0;
   std::vector<Index> hosts = available.candidates(job);
   if (gathering) {
-    // A machine that still lists the attempt would ignore a start with the same number.
+    // A worker that still lists the exited attempt would ignore a start with the same number.
     std::erase_if(hosts, [&](Index i) {
       const auto& exited = cluster.hosts[i]->exited_tasks;
       return std::any_of(exited.begin(), exited.end(),
-                         [&](const ExitedTask& e) { return e.job == job.spec.id; });
+                         [&](const ExitedTask& task) { return task.job == job.spec.id; });
     });
   }
   if (!cluster.within_team_limit(job, wanted, gathering ? kNoUsage : reserved)) return 0;
@@ -213,12 +226,13 @@
   return static_cast<int>(wanted);
 }
 
-// Whether any of it was ever placed; an earlier leader's records tell as well.
+// Whether any task of the job was ever placed, also under an earlier leader.
 bool has_begun(const Job& job) {
   return job.done_count > 0 || !job.attempts.empty() || job.last_attempt > 0;
 }
 
-// Jobs that have waited for so long, the longest first; of those that have begun, none unless told.
+// Returns the jobs of the range that became unblocked more than `longer_than_s` ago, the longest
+// waiting first. Without `include_begun`, only jobs of which no task was ever placed.
 std::vector<Index> jobs_waiting_longer_than(const Cluster& cluster,
                                             std::vector<Index>::const_iterator begin,
                                             std::vector<Index>::const_iterator end,
@@ -235,9 +249,9 @@
   return found;
 }
 
-// The first task, or the gang, of each job that has waited long for it, whatever its rank: the
-// users expect that within four minutes, and the order of service, which counts jobs in time, puts
-// the largest last.
+// Places the first task, or the whole gang, of each job that has waited kFirstTaskAfter_s without
+// any, regardless of its rank. Users expect a first task within four minutes, but the service order
+// puts the largest jobs last to have as many jobs as possible in time.
 int place_overdue_first_tasks(Cluster& cluster, const ServiceOrder& order,
                               AvailableHosts& available, double now) {
   int placed = 0;
@@ -248,7 +262,7 @@
                                  ? place_gang(cluster, index, available, kNoUsage, now)
                                  : place_tasks(cluster, index, available, kNoUsage, now, 1);
     if (newly_placed > 0) {
-      spdlog::info("job {}: begins after {:.1f} s, before its turn", job.spec.id,
+      spdlog::info("job {}: begins after {:.1f} s, ahead of the service order", job.spec.id,
                    now - job.unblocked_at);
     } else if (job.spec.shape != jobs::Shape::gang) {
       reserve_partial_room(cluster, job, 1, available);
@@ -258,16 +272,18 @@
   return placed;
 }
 
-// Of a team's jobs of one rank, those that have waited longest get a part of what the team can use,
-// all machines or its limit, before its others. Not before those of a higher rank: a guest's idle
-// batch took a quarter of the machines from guaranteed work. Not a part of all machines either:
-// that was a small team's whole limit, and its small jobs waited three times as long.
+// Gives a share of the cores that a team can use to the team's longest-waiting jobs of one rank,
+// before its other jobs of that rank. [begin, end) are the jobs of the rank. Jobs of a higher rank
+// keep their precedence: when they did not, low-priority batch work of another team took a quarter
+// of the machines from guaranteed work. The share is of the team's limit, if it has one, and not of
+// all machines: a share of all machines was the whole limit of a small team, and its small jobs
+// waited three times as long.
 int place_long_waiting_jobs(Cluster& cluster, std::vector<Index>::const_iterator begin,
                             std::vector<Index>::const_iterator end, AvailableHosts& available,
                             double share, double now) {
   const std::vector<Index> waiting =
       jobs_waiting_longer_than(cluster, begin, end, kLongWait_s, true, now);
-  if (waiting.empty()) return 0;  // as in most plans
+  if (waiting.empty()) return 0;  // the usual case
   double all_cores = 0;
   for (const auto& host : cluster.hosts) {
     if (host && is_usable(cluster, *host, now)) all_cores += cluster.type_of(*host)->cpus;
@@ -301,7 +317,8 @@
   return placed;
 }
 
-// How long none of its tasks can have run, what is placed on machines that are silent included.
+// Returns for how long no task of the job can have been running; 0 if one may be running now. An
+// attempt on a machine that sends no heartbeats counts as running only until its lease ends.
 double idle_time_s(const Cluster& cluster, const Job& job, double now) {
   double ran_until = std::max(job.attempts_ended_by, job.unblocked_at);
   for (const auto& [task, attempt] : job.attempts) {
@@ -311,10 +328,12 @@
   return now - ran_until;
 }
 
-// The users' rule: no job is left waiting for long while a machine that fits has room and its team
-// is under its limit. Room is kept for growth, beside large tasks, and of a limit for gangs;
-// whoever has stood still for so long gets one task in it all the same, where it takes least. A job
-// whose tasks were lost with their zone counts from the end of their leases, not from their proof.
+// Places one task of each array and service that has been idle for kMaxIdleBesideReservedRoom_s,
+// also in reserved room, on the machine with the fewest free cores. Users require that no job waits
+// long while a suitable machine has room and its team is below its limit, but room is reserved for
+// larger tasks, on machines for large tasks, and within team limits for gangs. When a zone is lost,
+// the idle time counts from the end of the leases there and not from the later proof that the tasks
+// ended.
 int place_in_reserved_room(Cluster& cluster, const ServiceOrder& order, double now) {
   std::vector<Index> idle_jobs;
   for (const Index index : order.jobs) {
@@ -326,7 +345,7 @@
       idle_jobs.push_back(index);
     }
   }
-  if (idle_jobs.empty()) return 0;  // as in most plans
+  if (idle_jobs.empty()) return 0;  // the usual case
   std::vector<Index> hosts_with_room;
   for (Index i = 0; i < cluster.hosts.size(); ++i) {
     const auto& host = cluster.hosts[i];
@@ -347,8 +366,8 @@
     const auto host = std::find_if(hosts_with_room.begin(), hosts_with_room.end(), [&](Index i) {
       const Host& one = *cluster.hosts[i];
       const auto avoided = job.failed_on.find(i);
-      // An idle one that is kept for large tasks stays so: with one small task on it, no large one
-      // could begin there (gangs waited eight minutes).
+      // A machine that is reserved for large tasks and is more than half free stays reserved: with
+      // a small task on it, no large task could start there (gangs waited eight minutes).
       if (cluster.is_reserved_for_larger_tasks(job, one) &&
           one.free.cpus > cluster.type_of(one)->cpus / 2) {
         return false;
@@ -362,7 +381,7 @@
     if (!has_begun(job)) {
       spdlog::info("job {}: begins after {:.1f} s", job.spec.id, now - job.unblocked_at);
     }
-    spdlog::info("job {}: has stood still for {:.0f} s: a task in room that is kept for others",
+    spdlog::info("job {}: no running task for {:.0f} s: places one task in reserved room",
                  job.spec.id, idle_time_s(cluster, job, now));
     cluster.place(index, task, attempt, *host, now);
     ++placed;
@@ -370,8 +389,9 @@
   return placed;
 }
 
-// A gang that lost a task cannot go on: the rest is stopped and a new attempt begins once all of
-// it is gone. Returns whether that freed room.
+// Stops a gang that has lost a task or of which a task is stopping, because the remaining tasks
+// cannot continue. A new attempt is placed once all tasks have ended. Returns whether attempts
+// ended at once, which frees room.
 bool stop_broken_gang(Cluster& cluster, Index index) {
   Job& job = *cluster.jobs[index];
   if (job.is_complete()) return false;
@@ -387,8 +407,10 @@
   return job.attempts.size() < attempts_before;
 }
 
-// A machine under notice takes no new work. What can save its progress does so while there is
-// time; the rest runs on, since some of it will finish.
+// Marks machines that are being reclaimed or quarantined as draining and stops tasks there that
+// checkpoint, so that they save their progress in time, and tasks that have not started. Other
+// tasks run on, because some of them finish before the machine is gone. Tasks that were not sent to
+// an unreachable worker yet are stopped as well.
 void stop_tasks_on_leaving_hosts(Cluster& cluster, double now) {
   for (const auto& host : cluster.hosts) {
     if (!host) continue;
@@ -400,7 +422,7 @@
       Job& job = *cluster.jobs[ref.job];
       Attempt& attempt = job.attempts.at(ref.task);
       const bool started = attempt.start_sent || attempt.from_previous_leader;
-      // To what runs on a machine that does not hear us nothing can be said.
+      // A worker that is only unreachable receives no stop command for a task that it has started.
       if (started && !host->draining) continue;
       const bool saves_progress = job.spec.checkpoint_interval_s > 0;
       if (!started || (saves_progress && attempt.observed_state == ObservedState::running) ||
--- a/src/placement/preempt.cpp
+++ b/src/placement/preempt.cpp
@@ -11,13 +11,17 @@
 
 namespace {
 
-// Room may come by itself, and a start that is stopped at once was for nothing.
+// A gang preempts others only after it has waited this long, because room may become free by
+// itself.
 constexpr double kMinWaitBeforePreempting_s = 3;
+// A gang is preempted only after it has run this long, because stopping it earlier would waste its
+// start.
 constexpr double kMinRunBeforePreempted_s = 30;
 constexpr double kCpuTolerance = 1e-6;
 
-// PROTOCOL, "Preemption": for higher priority, or what another team runs beyond its own guarantee.
-// `yielded`: cores by team that are being stopped already.
+// Whether the rules in PROTOCOL, "Preemption", allow `preemptor` to stop `victim`: the victim has a
+// lower priority, or the preemptor is within its team's guarantee and the victim's team stays at or
+// above its own guarantee without the victim. `stopping_cores` is what each team loses already.
 bool may_preempt(const Cluster& cluster, const Job& victim, const Job& preemptor,
                  bool within_guarantee, const std::vector<double>& stopping_cores) {
   if (victim.priority < preemptor.priority) return true;
@@ -28,7 +32,7 @@
   return left + 1e-6 >= guarantee;
 }
 
-// A gang that runs, loses little when it is stopped, and is not being stopped yet.
+// Whether the job is a gang whose tasks all run, save checkpoints and are not being stopped yet.
 bool is_preemptible(const Job& job, double now) {
   if (job.spec.shape != jobs::Shape::gang || job.spec.checkpoint_interval_s <= 0 ||
       !job.gang_started || job.cancelled || job.is_complete()) {
@@ -41,8 +45,9 @@
   });
 }
 
-// Room on machines that are up once all that is being stopped there has ended, by pool, the most
-// cores first: in a full fleet, where claims are made, most machines have none.
+// The free resources of the usable machines once all stopping tasks have ended. Machines are
+// grouped by pool and sorted by free cores, largest first, so that a search can end early:
+// preemption happens when most machines are full.
 class FutureCapacity {
  public:
   FutureCapacity(const Cluster& cluster, double now)
@@ -60,23 +65,24 @@
     rebuild_pools();
   }
 
-  // The job's tasks are being stopped as well.
+  // Also counts the resources of all tasks of the job as free.
   void add_stopping(const Job& job) {
     for (const auto& [task, attempt] : job.attempts)
       free_by_host_[attempt.host] += job.resources_per_task;
     rebuild_pools();
   }
 
-  // For tasks of the job, by zone; zones that hold none, but where it might run, among them.
+  // The number of tasks of the job that fit, by zone. Includes zones with 0 if the job may run
+  // there.
   std::map<Index, std::uint32_t> capacity_by_zone(const Job& job) const {
     std::map<Index, std::uint32_t> found;
     for (const auto& [pool, machines] : hosts_by_pool_) {
       if (!is_zone_allowed(job, pool.zone) || !may_run_on(cluster_, job, pool.type, pool.spot))
         continue;
-      std::uint32_t& copies = found[pool.zone];
+      std::uint32_t& capacity = found[pool.zone];
       for (const Index i : machines) {
         if (free_by_host_[i].cpus + kCpuTolerance < job.resources_per_task.cpus) break;
-        copies += free_by_host_[i].capacity_for(job.resources_per_task);
+        capacity += free_by_host_[i].capacity_for(job.resources_per_task);
       }
     }
     return found;
@@ -101,8 +107,9 @@
   std::map<Pool, std::vector<Index>> hosts_by_pool_;
 };
 
-// Gangs to be stopped so that `missing` tasks of the claimant find room in the zone; none if even
-// all that may be stopped would not do.
+// Selects gangs to stop so that `missing_tasks` more tasks of the preemptor fit in the zone, and
+// adds their cores to `stopping_cores`. Returns none if stopping all eligible gangs would not
+// suffice.
 std::vector<Index> select_victims(const Cluster& cluster, const std::vector<Index>& preemptible,
                                   const Job& preemptor, bool within_guarantee, Index zone,
                                   std::uint32_t missing_tasks, std::vector<double>& stopping_cores,
@@ -132,34 +139,36 @@
   }
   std::sort(found.begin(), found.end());
   std::vector<Index> victims;
-  const auto take = [&](Index victim) {
+  const auto add_victim = [&](Index victim) {
     const Job& job = *cluster.jobs[victim];
     victims.push_back(victim);
     stopping_cores[job.team] +=
         job.resources_per_task.cpus * static_cast<double>(job.attempts.size());
   };
-  // The one that frees just enough, else several, the largest first.
-  const auto enough = std::find_if(found.begin(), found.end(),
-                                   [&](const auto& one) { return one.first >= missing_tasks; });
-  if (enough != found.end()) {
-    take(enough->second);
+  // Prefers the gang that frees the smallest sufficient number of tasks; if none frees enough
+  // alone, takes several, starting with those that free most.
+  const auto sufficient = std::find_if(found.begin(), found.end(),
+                                       [&](const auto& one) { return one.first >= missing_tasks; });
+  if (sufficient != found.end()) {
+    add_victim(sufficient->second);
     return victims;
   }
-  const std::vector<double> before = stopping_cores;
+  const std::vector<double> cores_before = stopping_cores;
   std::uint32_t freed = 0;
   for (auto at = found.rbegin(); at != found.rend() && freed < missing_tasks; ++at) {
     if (!may_preempt(cluster, *cluster.jobs[at->second], preemptor, within_guarantee,
                      stopping_cores))
       continue;
-    take(at->second);
+    add_victim(at->second);
     freed += at->first;
   }
   if (freed >= missing_tasks) return victims;
-  stopping_cores = before;
+  stopping_cores = cores_before;
   return {};
 }
 
-// A gang that has waited and could start as soon as it had room in one zone.
+// Whether the job is a waiting gang for which others may be preempted: all its tasks must run in
+// one zone, and only the lack of room there keeps it from starting.
 bool may_preempt_others(const Cluster& cluster, const Job& job, double now) {
   return job.spec.shape == jobs::Shape::gang && job.attempts.empty() && !job.fails_everywhere() &&
          now >= job.retry_not_before && now - job.unblocked_at >= kMinWaitBeforePreempting_s &&
@@ -167,7 +176,7 @@
          (job.spec.tasks == 1 || job.spec.single_zone);
 }
 
-// Cores, by team, of what is being stopped.
+// Returns the cores of stopping attempts by team.
 std::vector<double> stopping_cores_by_team(const Cluster& cluster) {
   std::vector<double> cores(cluster.usage_by_team.size());
   for (const auto& job : cluster.jobs) {
@@ -187,8 +196,8 @@
   for (const Index index : order.jobs) {
     if (may_preempt_others(cluster, *cluster.jobs[index], now)) preemptors.push_back(index);
   }
-  if (preemptors.empty()) return;                         // as in most plans
-  std::map<Index, std::uint32_t> reserved_tasks_by_zone;  // by zone, to claimants before
+  if (preemptors.empty()) return;                         // the usual case
+  std::map<Index, std::uint32_t> reserved_tasks_by_zone;  // for earlier preemptors
   std::vector<double> stopping_cores = stopping_cores_by_team(cluster);
   FutureCapacity future_capacity(cluster, now);
   std::vector<Index> preemptible;
@@ -202,20 +211,20 @@
         cluster.usage_by_team[job.team].cpus + job.resources_per_task.cpus * job.spec.tasks <=
             cluster.platform.teams[job.team].guaranteed_cpus + 1e-6;
     std::vector<std::pair<std::uint32_t, Index>> zones;
-    for (const auto& [zone, copies] : future_capacity.capacity_by_zone(job)) {
-      zones.emplace_back(copies - std::min(copies, reserved_tasks_by_zone[zone]), zone);
+    for (const auto& [zone, capacity] : future_capacity.capacity_by_zone(job)) {
+      zones.emplace_back(capacity - std::min(capacity, reserved_tasks_by_zone[zone]), zone);
     }
-    std::sort(zones.rbegin(), zones.rend());  // where the least is missing first
-    for (const auto& [copies, zone] : zones) {
+    std::sort(zones.rbegin(), zones.rend());  // largest capacity first
+    for (const auto& [capacity, zone] : zones) {
       std::vector<Index> victims;
-      if (copies < job.spec.tasks) {
+      if (capacity < job.spec.tasks) {
         victims = select_victims(cluster, preemptible, job, within_guarantee, zone,
-                                 job.spec.tasks - copies, stopping_cores, now);
+                                 job.spec.tasks - capacity, stopping_cores, now);
         if (victims.empty() || (approve_disruption && !approve_disruption(victims))) continue;
       }
       for (const Index victim : victims) {
         Job& victim_job = *cluster.jobs[victim];
-        spdlog::info("job {} makes room for {}", victim_job.spec.id, job.spec.id);
+        spdlog::info("job {} is preempted by job {}", victim_job.spec.id, job.spec.id);
         future_capacity.add_stopping(victim_job);
         for (const auto& [task, attempt] : victim_job.attempts) {
           cluster.request_stop(victim, task, victim_job.spec.checkpoint_duration_s + 1, true);
--- a/src/placement/service_order.cpp
+++ b/src/placement/service_order.cpp
@@ -11,9 +11,12 @@
 
 namespace {
 
-// A job that is late goes first again after this many times what was expected of it.
+// A job that can no longer be in time goes first once it has waited this many times as long as the
+// wait that its last latest start time allowed.
 constexpr double kOverdueFactor = 3;
 
+// The time by which jobs are sorted: the next latest start time that can still be met. kNever for
+// jobs that are late or have no such time; -kNever, which sorts first, for jobs that are very late.
 double urgency_key(const Job& job, double now) {
   const double next = job.next_latest_start(now);
   if (next != kNever || job.latest_starts.empty()) return next;
@@ -21,7 +24,7 @@
   return now - job.unblocked_at > kOverdueFactor * std::max(expected, 1.0) ? -kNever : kNever;
 }
 
-// Cores that arrays can count on: machines that are kept for larger tasks are not theirs.
+// Returns the cores of all usable machines that are not reserved for large tasks.
 double unreserved_cores(const Cluster& cluster, double now) {
   double cores = 0;
   for (const auto& host : cluster.hosts) {
@@ -34,9 +37,10 @@
   return cores;
 }
 
-// Cores, by team, that its arrays can count on: what its limit leaves beside gangs and services, or
-// all of the common ones. Measured against all machines alone, a team behind its limit seemed to
-// have room for its largest jobs, and all of its jobs were late with them.
+// Returns the cores that the arrays of each team can use: what the team's limit leaves beside its
+// gangs and services, or all unreserved cores if it has no limit. When only all machines were
+// considered, a team at its limit seemed to have room for its largest jobs, and running these made
+// all its jobs late.
 std::vector<double> array_cores_by_team(const Cluster& cluster, double unreserved_cores) {
   std::vector<double> other_cores(cluster.usage_by_team.size());
   for (const auto& job : cluster.jobs) {
@@ -53,8 +57,9 @@
   return cores;
 }
 
-// Aims count jobs, whatever their size: where arrays cannot all be in time, the largest wait.
-// `order` is sorted by guarantee, priority and urgency.
+// Moves arrays back within their rank if not all arrays of the rank can be in time. Service-level
+// objectives count jobs regardless of their size, so the largest arrays are deferred, to have as
+// many jobs as possible in time. `order` must be sorted by guarantee, priority and urgency.
 void defer_largest_arrays(const Cluster& cluster, std::vector<Index>& order,
                           const std::vector<bool>& guaranteed, double now) {
   const double cores = unreserved_cores(cluster, now);
@@ -73,31 +78,32 @@
       if (job.spec.shape == jobs::Shape::array && urgency_key(job, now) != kNever)
         arrays.push_back(*at);
     }
-    // First what each team's limit does not let through in time, then of the rest what all machines
-    // do not.
+    // First defers arrays that their team's limit makes late, then, among the remaining ones, those
+    // for which all machines together have no time.
     std::vector<bool> deferred(cluster.jobs.size());
-    const auto drop = [&](double of, std::optional<Index> team) {
-      std::vector<Index> of_these;
-      std::vector<MachineTimeRequest> claims;
+    const auto defer_late = [&](double available_cores, std::optional<Index> team) {
+      std::vector<Index> considered;
+      std::vector<MachineTimeRequest> requests;
       for (const Index i : arrays) {
         const Job& job = *cluster.jobs[i];
         if (deferred[i] || (team && job.team != *team)) continue;
         const double tasks = job.spec.tasks - job.done_count;
-        of_these.push_back(i);
-        claims.push_back({tasks * job.resources_per_task.cpus * job.spec.estimated_duration_s / of,
-                          urgency_key(job, now)});
+        considered.push_back(i);
+        requests.push_back(
+            {tasks * job.resources_per_task.cpus * job.spec.estimated_duration_s / available_cores,
+             urgency_key(job, now)});
       }
-      const std::vector<bool> dropped = select_late_requests(claims, now);
-      for (std::size_t i = 0; i < of_these.size(); ++i) deferred[of_these[i]] = dropped[i];
+      const std::vector<bool> late = select_late_requests(requests, now);
+      for (std::size_t i = 0; i < considered.size(); ++i) deferred[considered[i]] = late[i];
     };
     for (Index team = 0; team < by_team.size(); ++team) {
-      if (by_team[team] < cores) drop(by_team[team], team);
+      if (by_team[team] < cores) defer_late(by_team[team], team);
     }
-    drop(cores, std::nullopt);
-    // Before those that are late already, which have no due at all.
-    const auto late = std::find_if(
+    defer_late(cores, std::nullopt);
+    // Deferred arrays stay ahead of jobs that are late already and therefore have no urgency.
+    const auto first_late = std::find_if(
         begin, end, [&](Index i) { return urgency_key(*cluster.jobs[i], now) == kNever; });
-    std::stable_partition(begin, late, [&](Index i) { return !deferred[i]; });
+    std::stable_partition(begin, first_late, [&](Index i) { return !deferred[i]; });
     begin = end;
   }
 }
@@ -106,7 +112,7 @@
 
 std::vector<bool> select_late_requests(const std::vector<MachineTimeRequest>& requests,
                                        double now) {
-  std::vector<bool> dropped(requests.size());
+  std::vector<bool> late(requests.size());
   std::priority_queue<std::pair<double, std::size_t>> longest;
   double end = now;
   for (std::size_t i = 0; i < requests.size(); ++i) {
@@ -114,10 +120,10 @@
     longest.push({requests[i].duration_s, i});
     if (end <= requests[i].due_at || requests[i].due_at == -kNever) continue;
     end -= longest.top().first;
-    dropped[longest.top().second] = true;
+    late[longest.top().second] = true;
     longest.pop();
   }
-  return dropped;
+  return late;
 }
 
 ServiceOrder service_order(const Cluster& cluster, double now) {
