--- a/src/acquire/autoscaler.cpp
+++ b/src/acquire/autoscaler.cpp
@@ -23,7 +23,7 @@
 constexpr double kReclaimDecay_horizons = 30;
 constexpr double kMinBilledTime_s = 60;
 // An idle machine is kept for this long, because work that arrives in the meantime needs no boot.
-// In measurements on four simulated days, 20 s and 3 s cost more.
+// In measurements over four days, 20 s and 3 s cost more.
 constexpr double kMinIdleBeforeReturn_s = 8;
 
 double hourly_machine_price(const cloud::MachineType& type, bool spot) {
--- a/src/acquire/demand.cpp
+++ b/src/acquire/demand.cpp
@@ -121,8 +121,8 @@
 
 // Selects the zone for each job that must stay in a single zone, and reserves the machines there
 // for the job. Machines in other zones do not help such a job, and machines that one job will use
-// do not help the next. Without the reservation, all gangs selected the same zone, and after more
-// machines had become available in the other zones, two thirds of those were never requested.
+// do not help the next. Without the reservation, all gangs selected the same zone, and two thirds
+// of the machines that an enlarged site had for them were never requested.
 class ZoneSelector {
  public:
   ZoneSelector(const Autoscaler& autoscaler, const Cluster& cluster, const FleetCapacity& fleet)
@@ -217,7 +217,7 @@
     const Job& job = *cluster.jobs[index];
     if (now < job.retry_not_before) continue;
     double tasks = job.spec.tasks - job.done_count;
-    // Such a job is retried one task at a time.
+    // A job that fails everywhere is retried one task at a time.
     if (job.fails_everywhere() && job.spec.shape != jobs::Shape::gang) tasks = 1;
     const settings::Team& team = cluster.platform.teams[job.team];
     const auto limit_tasks = [&](double limit, double used, double need) {
--- a/src/placement/cluster.cpp
+++ b/src/placement/cluster.cpp
@@ -6,7 +6,10 @@
 
 namespace {
 
+// Rounding errors that sums of task resources may have.
 constexpr double kUsageTolerance = 1e-9;
+// A machine type stays reserved for large tasks for this long after a job with such tasks was last
+// waiting or running.
 constexpr double kLargeTaskReservation_s = 300;
 
 }  // namespace
@@ -34,7 +37,8 @@
   }
 }
 
-// Asked for every job and machine at every plan, so it is worked out once.
+// Computed once per job and catalog, because each placement pass needs it for every pair of job and
+// machine.
 void Cluster::update_fitting_types(Job& job) const {
   job.fits_type.assign(machine_types_.size(), false);
   job.smallest_fitting_type = kNone;
@@ -114,15 +118,15 @@
   }
   std::sort(job.deadline_latest_starts.begin(), job.deadline_latest_starts.end());
   job.latest_starts = job.deadline_latest_starts;
-  // Times other than deadlines begin when nothing holds the job back any more.
+  // Objectives other than deadlines count from the time at which the job is unblocked.
   if (!job.is_blocked())
     job.latest_starts.insert(job.latest_starts.end(), objective_starts.begin(),
                              objective_starts.end());
   std::sort(job.latest_starts.begin(), job.latest_starts.end());
 }
 
-double Job::next_latest_start(double time) const {
-  const auto at = std::lower_bound(latest_starts.begin(), latest_starts.end(), time);
+double Job::next_latest_start(double ready_at) const {
+  const auto at = std::lower_bound(latest_starts.begin(), latest_starts.end(), ready_at);
   return at == latest_starts.end() ? kNever : *at;
 }
 
@@ -134,12 +138,12 @@
     host.attempts.erase({index, task});
     host.free += job.resources_per_task;
   }
-  for (std::size_t chunk = 0; chunk < job.task_ranges.size(); ++chunk)
-    dirty_task_ranges.erase({index, chunk});
+  for (std::size_t range = 0; range < job.task_ranges.size(); ++range)
+    dirty_task_ranges.erase({index, range});
   finished_jobs.erase(index);
   jobs_with_changed_counts.erase(index);
-  for (const Dependency& need : job.dependencies) {
-    const auto at = dependents.find(need.id);
+  for (const Dependency& dependency : job.dependencies) {
+    const auto at = dependents.find(dependency.id);
     if (at != dependents.end() && at->second.erase(index) > 0 && at->second.empty()) {
       dependents.erase(at);
     }
@@ -180,8 +184,8 @@
   host.type = types.add(type);
   host.zone = zones.add(zone);
   host.spot = spot;
-  if (const auto* kind = type_of(host)) {
-    host.free += {kind->cpus, kind->gpus, kind->ram_gb};
+  if (const auto* machine_type = type_of(host)) {
+    host.free += {machine_type->cpus, machine_type->gpus, machine_type->ram_gb};
   } else {
     host.type = kNone;  // not in the catalog yet: nothing can be placed there
   }
@@ -214,9 +218,9 @@
   attempt.placed_at = now;
   job.attempts[task] = attempt;
   if (job.spec.shape == jobs::Shape::gang) job.last_attempt = std::max(job.last_attempt, number);
-  const std::size_t chunk = job.range_index(task);
-  ++job.task_ranges[chunk].unpersisted_attempts;
-  job.task_ranges[chunk].placement_bytes += added_record_bytes(index, task, number, *hosts[host]);
+  const std::size_t range = job.range_index(task);
+  ++job.task_ranges[range].unpersisted_attempts;
+  job.task_ranges[range].placement_bytes += added_record_bytes(index, task, number, *hosts[host]);
   hosts[host]->attempts.insert({index, task});
   hosts[host]->was_backfilled = false;
   hosts[host]->free -= job.resources_per_task;
@@ -299,7 +303,8 @@
 }
 
 void Cluster::update_large_task_reservations(double now) {
-  std::erase_if(large_task_reservations, [&](const auto& kept) { return kept.second < now; });
+  std::erase_if(large_task_reservations,
+                [&](const auto& reservation) { return reservation.second < now; });
   for (const auto& job : jobs) {
     if (!job || job->cancelled || job->is_blocked() || job->fails_everywhere() ||
         job->smallest_fitting_type == kNone || !takes_over_half(*job, job->smallest_fitting_type))
@@ -337,7 +342,8 @@
 }
 
 void Cluster::update_finished(Index index) {
-  // A cancelled job looks over until the attempts that an earlier leader recorded are loaded.
+  // The state may change back: a cancelled job is finished until restore() loads the attempts that
+  // an earlier leader stored.
   if (jobs[index]->is_finished()) {
     finished_jobs.insert(index);
   } else {
--- a/src/placement/cluster_records.cpp
+++ b/src/placement/cluster_records.cpp
@@ -1,4 +1,4 @@
-// How the cluster's jobs are cut into records of the key-value store, and what fits them.
+// Splits jobs into task ranges, computes the size of their records, and loads stored records.
 #include <algorithm>
 
 #include "placement/cluster.h"
@@ -7,20 +7,22 @@
 
 namespace {
 
-// JSON bytes reckoned for a task of a gang or a service, each on a machine of its own, and for one
-// of an array, several of which share a machine or wait for room.
+// JSON bytes that a record needs per task, for choosing the number of tasks per record. Each task
+// of a gang or service may be on a machine of its own. Several tasks of an array usually share a
+// machine; if they do not, they wait until their record has room.
 constexpr double kBytesPerTask = 56;
 constexpr double kBytesPerArrayTask = 20;
 constexpr double kCompactBytesPerArrayTask = 12.25;
 
 }  // namespace
 
-// Whole records are cut as version 0.2.0 cuts them: it drops a record, with what it says is done
-// and placed, whose number is past its own count, and would start those tasks again.
+// In the legacy format, the task ranges must be the same as those of version 0.2.0. That version
+// discards a record, with the done tasks and placements in it, if its number is not below the
+// number of records that it expects itself, and would run those tasks again.
 std::size_t Cluster::tasks_per_range(jobs::Shape shape) const {
-  const bool whole = format_ == jobs::TaskRecordFormat::legacy;
+  const bool is_legacy = format_ == jobs::TaskRecordFormat::legacy;
   const double bytes_per_task = shape != jobs::Shape::array ? kBytesPerTask
-                                : whole                     ? kBytesPerArrayTask
+                                : is_legacy                 ? kBytesPerArrayTask
                                                             : kCompactBytesPerArrayTask;
   return static_cast<std::size_t>(std::max(8.0, max_record_bytes() / bytes_per_task));
 }
@@ -35,11 +37,11 @@
   }
 }
 
-std::string Cluster::task_range_key(const Job& job, std::size_t chunk) const {
+std::string Cluster::task_range_key(const Job& job, std::size_t range) const {
   return format_ == jobs::TaskRecordFormat::legacy
-             ? jobs::legacy_task_range_key(job.spec.id, chunk)
-             : jobs::compact_task_range_key(job.spec.id, job.task_ranges[chunk].first,
-                                            job.task_ranges[chunk].end);
+             ? jobs::legacy_task_range_key(job.spec.id, range)
+             : jobs::compact_task_range_key(job.spec.id, job.task_ranges[range].first,
+                                            job.task_ranges[range].end);
 }
 
 jobs::Json Cluster::encode_task_range(const jobs::TaskRangeRecord& record) const {
@@ -66,9 +68,9 @@
     for (const auto& [task, attempt] : job.attempts) {
       if (!attempt.persisted) ++job.task_ranges[job.range_index(task)].unpersisted_attempts;
     }
-    for (const TaskRange& chunk : old_ranges) {
-      if (chunk.version == chunk.stored_version) continue;
-      for (std::uint32_t task = chunk.first; task < chunk.end;) {
+    for (const TaskRange& range : old_ranges) {
+      if (range.version == range.stored_version) continue;
+      for (std::uint32_t task = range.first; task < range.end;) {
         mark_range_dirty(index, task, now);
         task = job.task_ranges[job.range_index(task)].end;
       }
@@ -77,10 +79,10 @@
   }
 }
 
-// Placements are reckoned without the letters that all names share; as those grow fewer, records
-// grow longer.
+// In compact records, a machine name takes only the bytes after the common prefix of all names.
+// When the prefix becomes shorter, the sizes of all records grow.
 void Cluster::update_name_prefix(const std::string& name) {
-  const std::size_t before = name_prefix_.size();
+  const std::size_t old_length = name_prefix_.size();
   if (host_index.size() == 1) {
     name_prefix_ = name;
   } else {
@@ -88,7 +90,7 @@
         std::mismatch(name_prefix_.begin(), name_prefix_.end(), name.begin(), name.end());
     name_prefix_.erase(differ.first, name_prefix_.end());
   }
-  if (format_ == jobs::TaskRecordFormat::legacy || name_prefix_.size() >= before) return;
+  if (format_ == jobs::TaskRecordFormat::legacy || name_prefix_.size() >= old_length) return;
   for (Index index = 0; index < jobs.size(); ++index) {
     if (jobs[index]) recompute_placement_bytes(index);
   }
@@ -96,16 +98,16 @@
 
 void Cluster::recompute_placement_bytes(Index index) {
   Job& job = *jobs[index];
-  for (TaskRange& chunk : job.task_ranges) chunk.placement_bytes = 0;
+  for (TaskRange& range : job.task_ranges) range.placement_bytes = 0;
   std::set<std::tuple<std::size_t, Index, std::uint64_t>> counted_machines;
   for (const auto& [task, attempt] : job.attempts) {
-    const std::size_t number = job.range_index(task);
-    TaskRange& chunk = job.task_ranges[number];
-    chunk.placement_bytes += jobs::max_placement_bytes(format_, task, chunk.first, attempt.number);
+    const std::size_t range_number = job.range_index(task);
+    TaskRange& range = job.task_ranges[range_number];
+    range.placement_bytes += jobs::max_placement_bytes(format_, task, range.first, attempt.number);
     const std::uint64_t attempt_group =
         format_ == jobs::TaskRecordFormat::legacy ? 0 : attempt.number;
-    if (counted_machines.insert({number, attempt.host, attempt_group}).second) {
-      chunk.placement_bytes += jobs::max_machine_bytes(format_, hosts[attempt.host]->name,
+    if (counted_machines.insert({range_number, attempt.host, attempt_group}).second) {
+      range.placement_bytes += jobs::max_machine_bytes(format_, hosts[attempt.host]->name,
                                                        attempt.number, name_prefix_.size());
     }
   }
@@ -114,26 +116,26 @@
 std::size_t Cluster::added_record_bytes(Index index, std::uint32_t task, std::uint64_t attempt,
                                         const Host& host) const {
   const Job& job = *jobs[index];
-  const TaskRange& chunk = job.task_ranges[job.range_index(task)];
-  const bool whole = format_ == jobs::TaskRecordFormat::legacy;
+  const TaskRange& range = job.task_ranges[job.range_index(task)];
+  const bool is_legacy = format_ == jobs::TaskRecordFormat::legacy;
   bool machine_counted = false;
-  for (auto other = host.attempts.lower_bound({index, chunk.first});
+  for (auto other = host.attempts.lower_bound({index, range.first});
        !machine_counted && other != host.attempts.end() && other->job == index &&
-       other->task < chunk.end;
+       other->task < range.end;
        ++other) {
     machine_counted =
-        other->task != task && (whole || job.attempts.at(other->task).number == attempt);
+        other->task != task && (is_legacy || job.attempts.at(other->task).number == attempt);
   }
-  return jobs::max_placement_bytes(format_, task, chunk.first, attempt) +
+  return jobs::max_placement_bytes(format_, task, range.first, attempt) +
          (machine_counted
               ? 0
               : jobs::max_machine_bytes(format_, host.name, attempt, name_prefix_.size()));
 }
 
-bool Cluster::record_fits(const Job& job, std::size_t chunk, std::size_t extra_bytes) const {
+bool Cluster::record_fits(const Job& job, std::size_t range, std::size_t extra_bytes) const {
   return static_cast<double>(
              jobs::max_empty_range_bytes(format_, job.tasks_per_range, name_prefix_.size()) +
-             job.task_ranges[chunk].placement_bytes + extra_bytes) <= max_record_bytes();
+             job.task_ranges[range].placement_bytes + extra_bytes) <= max_record_bytes();
 }
 
 bool Cluster::record_has_room(Index index, std::uint32_t task, std::uint64_t attempt,
@@ -150,9 +152,10 @@
   --job.task_ranges[job.range_index(task)].unpersisted_attempts;
 }
 
-// The newest record that covers a task tells of it. So records may be cut anew, one at a time and
-// each in a transaction of its own, while the older ones still stand: at every moment each task has
-// its placement and its done mark, whoever takes over and however it cuts.
+// The newest record that covers a task determines the task's state. Records may therefore be
+// replaced by records of other task ranges one at a time, each in its own transaction, while older
+// records remain: at every moment a new leader finds the placement and the done mark of each task,
+// whatever task ranges it uses itself.
 void Cluster::restore(Index index, std::vector<StoredRecord> records, double now) {
   Job& job = *jobs[index];
   std::sort(records.begin(), records.end(),
@@ -179,18 +182,18 @@
       described_tasks.push_back(task);
     }
     for (const std::uint32_t task : described_tasks) covered[task] = true;
-    const bool compact = stored.parsed_key.format == jobs::TaskRecordFormat::compact;
-    if (compact) {
+    const bool is_compact = stored.parsed_key.format == jobs::TaskRecordFormat::compact;
+    if (is_compact) {
       for (std::uint32_t task = stored.parsed_key.first;
            task < std::min(stored.parsed_key.end, job.spec.tasks); ++task) {
         covered[task] = true;
       }
     }
     const std::size_t range_number =
-        compact ? record.first / job.tasks_per_range : stored.parsed_key.first;
+        is_compact ? record.first / job.tasks_per_range : stored.parsed_key.first;
     if (stored.parsed_key.format == format_ && range_number < job.task_ranges.size() &&
         job.task_ranges[range_number].first == record.first &&
-        (!compact || job.task_ranges[range_number].end == stored.parsed_key.end)) {
+        (!is_compact || job.task_ranges[range_number].end == stored.parsed_key.end)) {
       job.task_ranges[range_number].revision = stored.revision;
     } else {
       job.obsolete_records.push_back({stored.store_key, stored.revision});
@@ -203,10 +206,10 @@
   update_finished(index);
 }
 
-void Cluster::end_unstored_attempts(Index index, std::size_t chunk, double now) {
+void Cluster::end_unstored_attempts(Index index, std::size_t range, double now) {
   Job& job = *jobs[index];
   std::vector<std::uint32_t> unstored;
-  for (std::uint32_t task = job.task_ranges[chunk].first; task < job.task_ranges[chunk].end;
+  for (std::uint32_t task = job.task_ranges[range].first; task < job.task_ranges[range].end;
        ++task) {
     const auto at = job.attempts.find(task);
     if (at != job.attempts.end() && !at->second.persisted && !at->second.start_sent) {
@@ -219,38 +222,38 @@
 bool Cluster::rewrite_older_records(Index index, std::uint64_t revision, double now) {
   Job& job = *jobs[index];
   bool all_newer = true;
-  for (const TaskRange& chunk : job.task_ranges) {
-    if (chunk.revision > revision) continue;
+  for (const TaskRange& range : job.task_ranges) {
+    if (range.revision > revision) continue;
     all_newer = false;
-    if (chunk.version == chunk.stored_version) mark_range_dirty(index, chunk.first, now);
+    if (range.version == range.stored_version) mark_range_dirty(index, range.first, now);
   }
   return all_newer;
 }
 
 void Cluster::mark_range_dirty(Index index, std::uint32_t task, double now) {
   jobs_with_changed_counts.insert(index);
-  const std::size_t number = jobs[index]->range_index(task);
-  TaskRange& chunk = jobs[index]->task_ranges[number];
-  if (chunk.version++ == chunk.stored_version) chunk.dirty_since = now;
-  dirty_task_ranges.insert({index, number});
+  const std::size_t range_number = jobs[index]->range_index(task);
+  TaskRange& range = jobs[index]->task_ranges[range_number];
+  if (range.version++ == range.stored_version) range.dirty_since = now;
+  dirty_task_ranges.insert({index, range_number});
 }
 
 bool Cluster::range_is_stored(const Job& job, std::uint32_t task) const {
-  const TaskRange& chunk = job.task_ranges[job.range_index(task)];
-  return chunk.version == chunk.stored_version;
+  const TaskRange& range = job.task_ranges[job.range_index(task)];
+  return range.version == range.stored_version;
 }
 
-jobs::TaskRangeRecord Cluster::make_range_record(const Job& job, std::size_t chunk) const {
+jobs::TaskRangeRecord Cluster::make_range_record(const Job& job, std::size_t range) const {
   jobs::TaskRangeRecord record;
   record.last_attempt = job.last_attempt;
-  record.first = job.task_ranges[chunk].first;
-  const std::uint32_t end = job.task_ranges[chunk].end;
+  record.first = job.task_ranges[range].first;
+  const std::uint32_t end = job.task_ranges[range].end;
   for (std::uint32_t task = record.first; task < end; ++task) {
     if (job.done[task]) record.done.push_back(task);
   }
-  // Whatever was placed had room; a task found running that nobody had placed may have none, and
-  // shows again in its worker's next report.
-  const bool is_full = !record_fits(job, chunk, 0);
+  // Placements were made only where the record had room. Reconciled attempts were not checked for
+  // room. They are left out of a full record, because the worker's next heartbeat lists them again.
+  const bool is_full = !record_fits(job, range, 0);
   for (auto at = job.attempts.lower_bound(record.first);
        at != job.attempts.end() && at->first < end; ++at) {
     if (is_full && at->second.reconciled) continue;
--- a/src/placement/resources.cpp
+++ b/src/placement/resources.cpp
@@ -5,8 +5,8 @@
 namespace reachramp::placement {
 
 Index NameTable::add(const std::string& name) {
-  const auto [at, fresh] = indices_.try_emplace(name, size());
-  if (fresh) names_.push_back(name);
+  const auto [at, is_new] = indices_.try_emplace(name, size());
+  if (is_new) names_.push_back(name);
   return at->second;
 }
 
@@ -22,19 +22,20 @@
   return *this;
 }
 
-Resources& Resources::operator-=(const Resources& o) { return *this += o.scaled(-1); }
+Resources& Resources::operator-=(const Resources& other) { return *this += other.scaled(-1); }
 
 bool Resources::holds(const Resources& need) const {
-  const double slack = 1e-6;
-  return need.cpus <= cpus + slack && need.gpus <= gpus + slack && need.ram_gb <= ram_gb + slack;
+  const double tolerance = 1e-6;  // for rounding errors
+  return need.cpus <= cpus + tolerance && need.gpus <= gpus + tolerance &&
+         need.ram_gb <= ram_gb + tolerance;
 }
 
 std::uint32_t Resources::capacity_for(const Resources& need) const {
-  double copies = 1e6;
-  if (need.cpus > 0) copies = std::min(copies, (cpus + 1e-6) / need.cpus);
-  if (need.gpus > 0) copies = std::min(copies, (gpus + 1e-6) / need.gpus);
-  if (need.ram_gb > 0) copies = std::min(copies, (ram_gb + 1e-6) / need.ram_gb);
-  return copies < 0 ? 0 : static_cast<std::uint32_t>(copies);
+  double capacity = 1e6;
+  if (need.cpus > 0) capacity = std::min(capacity, (cpus + 1e-6) / need.cpus);
+  if (need.gpus > 0) capacity = std::min(capacity, (gpus + 1e-6) / need.gpus);
+  if (need.ram_gb > 0) capacity = std::min(capacity, (ram_gb + 1e-6) / need.ram_gb);
+  return capacity < 0 ? 0 : static_cast<std::uint32_t>(capacity);
 }
 
 Resources Resources::scaled(double factor) const {
--- a/src/placement/wait_reasons.cpp
+++ b/src/placement/wait_reasons.cpp
@@ -10,10 +10,12 @@
 
 namespace {
 
+// Whether every task of the job is done or has an attempt.
 bool is_fully_placed(const Job& job) {
   return job.attempts.size() + job.done_count >= job.spec.tasks;
 }
 
+// Describes what the first placed task that is not running waits for.
 std::string not_running_reason(const Cluster& cluster, const Job& job) {
   for (const auto& [task, attempt] : job.attempts) {
     if (job.done[task] || attempt.observed_state == ObservedState::running) continue;
@@ -52,8 +54,8 @@
 std::string wait_reason(Cluster& cluster, Index index, double now) {
   Job& job = *cluster.jobs[index];
   if (job.cancelled) return "it is cancelled, and its tasks are to be gone";
-  for (const Dependency& need : job.dependencies) {
-    if (need.state != DependencyState::done) return "for " + need.id;
+  for (const Dependency& dependency : job.dependencies) {
+    if (dependency.state != DependencyState::done) return "for " + dependency.id;
   }
   if (is_fully_placed(job)) return not_running_reason(cluster, job);
   if (job.team == kNone) return "no such team: " + job.spec.team;
