--- a/src/acquire/autoscaler_test.cpp
+++ b/src/acquire/autoscaler_test.cpp
@@ -9,10 +9,10 @@
 namespace reachramp::acquire {
 namespace {
 
-class BuyerTest : public ::testing::Test {
+class AutoscalerTest : public ::testing::Test {
  protected:
-  BuyerTest()
-      : cluster_(platform_, 1, jobs::TaskRecordFormat::compact), buyer_(settings::Policy{}) {
+  AutoscalerTest()
+      : cluster_(platform_, 1, jobs::TaskRecordFormat::compact), autoscaler_(settings::Policy{}) {
     cluster_.set_catalog({{"large", 32, 0, 128, 50, 1, 3.2, 0.8, 30, {"a", "b", "c"}}});
   }
 
@@ -26,10 +26,10 @@
     cluster_.add_job(made, cluster_.jobs.size() + 1, 0);
   }
 
-  int asked_in(const std::string& zone, double now) {
+  int requested_in(const std::string& zone, double now) {
     int machines = 0;
-    for (const ScaleOutRequest& wish : buyer_.scale_out_requests(cluster_, now)) {
-      if (cluster_.zones[wish.pool.zone] == zone) machines += wish.machines;
+    for (const ScaleOutRequest& request : autoscaler_.scale_out_requests(cluster_, now)) {
+      if (cluster_.zones[request.pool.zone] == zone) machines += request.machines;
     }
     return machines;
   }
@@ -40,48 +40,52 @@
     return p;
   }();
   Cluster cluster_;
-  Autoscaler buyer_;
+  Autoscaler autoscaler_;
 };
 
-// Every gang once found the same zone large enough, and the other zones were never asked.
-TEST_F(BuyerTest, GangsThatAFullZoneCannotHoldAreRentedForInOthers) {
+// Guards against selecting the same zone for each gang because it is large enough for one of them,
+// and requesting no machines in other zones.
+TEST_F(AutoscalerTest, MachinesAreRequestedInOtherZonesForGangsThatAZoneCannotHold) {
   for (int i = 0; i < 4; ++i) machine("a", false);
   const Pool full{0, cluster_.zones.find("a"), false};
-  buyer_.record_refusal(full, 0);
+  autoscaler_.record_refusal(full, 0);
   gang(2);
   gang(2);
-  EXPECT_TRUE(buyer_.scale_out_requests(cluster_, 1).empty()) << "two gangs of two fit the zone";
+  EXPECT_TRUE(autoscaler_.scale_out_requests(cluster_, 1).empty())
+      << "the zone holds two gangs of two";
   gang(3);
-  EXPECT_EQ(asked_in("a", 1), 0);
-  EXPECT_EQ(asked_in("b", 1) + asked_in("c", 1), 3);
+  EXPECT_EQ(requested_in("a", 1), 0);
+  EXPECT_EQ(requested_in("b", 1) + requested_in("c", 1), 3);
 }
 
-// Counted as falls of the whole pool, the losses of single machines made a large pool look as if it
-// were about to fall at any time.
-TEST_F(BuyerTest, AMachineLostFromALargePoolIsAShareOfIt) {
+// Guards against counting the reclaim of a single machine as one of the whole pool, which brings
+// the reclaim probability of a large pool close to 1.
+TEST_F(AutoscalerTest, AReclaimedMachineCountsAsItsShareOfThePool) {
   for (int i = 0; i < 30; ++i) machine("a", true);
   const Pool pool{0, cluster_.zones.find("a"), true};
-  const double before = buyer_.reclaim_probability(pool);
-  for (int i = 0; i < 3; ++i) buyer_.record_reclaim(cluster_, pool);
-  EXPECT_NEAR(buyer_.reclaim_probability(pool), before + 0.1, 0.01);
+  const double before = autoscaler_.reclaim_probability(pool);
+  for (int i = 0; i < 3; ++i) autoscaler_.record_reclaim(cluster_, pool);
+  EXPECT_NEAR(autoscaler_.reclaim_probability(pool), before + 0.1, 0.01);
 }
 
-TEST_F(BuyerTest, AllIdleMachinesBeyondTheNeedAreFoundAtOnce) {
+TEST_F(AutoscalerTest, AllUnneededIdleMachinesAreReturnedAtOnce) {
   for (int i = 0; i < 20; ++i) machine("a", false);
   gang(3);
-  EXPECT_EQ(buyer_.scale_in_candidates(cluster_, 1000).size(), 17u);
+  EXPECT_EQ(autoscaler_.scale_in_candidates(cluster_, 1000).size(), 17u);
 }
 
-TEST_F(BuyerTest, IdleMachinesAreKeptForJobsThatAreSoonFreed) {
+TEST_F(AutoscalerTest, IdleMachinesAreKeptForJobsThatAreSoonUnblocked) {
   for (int i = 0; i < 5; ++i) machine("a", false);
   gang(3);
   placement::Job& waiting = *cluster_.jobs[0];
   waiting.dependencies.push_back({"j-earlier", placement::DependencyState::live});
   waiting.expected_unblocked_at = 1029;
-  EXPECT_EQ(buyer_.scale_in_candidates(cluster_, 1000).size(), 2u) << "a boot takes 30 s";
-  EXPECT_EQ(buyer_.scale_in_candidates(cluster_, 990).size(), 5u);
+  EXPECT_EQ(autoscaler_.scale_in_candidates(cluster_, 1000).size(), 2u)
+      << "the job is unblocked within the boot time of 30 s";
+  EXPECT_EQ(autoscaler_.scale_in_candidates(cluster_, 990).size(), 5u);
   waiting.spec.tasks = 9;
-  EXPECT_TRUE(buyer_.scale_out_requests(cluster_, 1000).empty()) << "nothing is rented for it yet";
+  EXPECT_TRUE(autoscaler_.scale_out_requests(cluster_, 1000).empty())
+      << "no machines are rented for a blocked job";
 }
 
 }  // namespace
--- a/src/placement/available_hosts_test.cpp
+++ b/src/placement/available_hosts_test.cpp
@@ -17,8 +17,8 @@
   return p;
 }
 
-struct World {
-  World() : cluster(p, 1, jobs::TaskRecordFormat::compact) {
+struct TestCluster {
+  TestCluster() : cluster(p, 1, jobs::TaskRecordFormat::compact) {
     cluster.set_catalog({{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a", "b"}},
                          {"odd", 4, 1, 16, 50, 1, 0.4, 0.1, 5, {"b"}},
                          {"large", 32, 0, 128, 50, 1, 3.2, 0.8, 5, {"a", "b"}}});
@@ -38,13 +38,13 @@
   Cluster cluster;
 };
 
-// What the openings are to find, machine by machine.
-std::vector<Index> one_by_one(const Cluster& cluster, const Job& job,
-                              const std::vector<bool>& kept) {
+// The expected result of candidates(), computed by checking every machine.
+std::vector<Index> expected_candidates(const Cluster& cluster, const Job& job,
+                                       const std::vector<bool>& excluded) {
   std::vector<std::tuple<bool, double, Index, bool, Index>> found;
   for (Index i = 0; i < cluster.hosts.size(); ++i) {
     const Host& host = *cluster.hosts[i];
-    if (kept[i] || !is_usable(cluster, host, 1) || !may_run_on(cluster, job, host) ||
+    if (excluded[i] || !is_usable(cluster, host, 1) || !may_run_on(cluster, job, host) ||
         !host.free.holds(job.resources_per_task)) {
       continue;
     }
@@ -53,15 +53,15 @@
   }
   std::sort(found.begin(), found.end());
   std::vector<Index> order;
-  for (const auto& one : found) order.push_back(std::get<4>(one));
+  for (const auto& entry : found) order.push_back(std::get<4>(entry));
   return order;
 }
 
-// Kinds that are passed over hold nothing that is looked for, also after tasks were placed, ended
-// and machines kept.
-RC_GTEST_PROP(Openings, FindWhatALookAtEveryMachineFinds, ()) {
-  World world;
-  Cluster& cluster = world.cluster;
+// Guards against skipping a group that has a suitable machine: after tasks were placed or ended, or
+// machines were excluded, candidates() must still find what a check of every machine finds.
+RC_GTEST_PROP(AvailableHosts, FindsTheSameMachinesAsACheckOfEveryMachine, ()) {
+  TestCluster test_cluster;
+  Cluster& cluster = test_cluster.cluster;
   const auto pick = [](int end) { return *rc::gen::inRange(0, end); };
   const std::vector<std::string> types{"small", "odd", "large"};
   for (int i = 0, size = 1 + pick(20); i < size; ++i) {
@@ -70,49 +70,51 @@
     cluster.hosts[host]->cached_images.insert("img-" + std::to_string(pick(3)));
   }
   for (int i = 0; i < 6; ++i) {
-    const Index job = world.add(30, 1 + pick(6), pick(20));
+    const Index job = test_cluster.add(30, 1 + pick(6), pick(20));
     cluster.jobs[job]->zone = pick(3) == 0 ? cluster.zones.find("a") : kNone;
     cluster.jobs[job]->spec.allow_spot = pick(3) != 0;
   }
-  AvailableHosts open(cluster, 1);
-  std::vector<bool> kept(cluster.hosts.size());
+  AvailableHosts available(cluster, 1);
+  std::vector<bool> excluded(cluster.hosts.size());
   for (int step = 0; step < 30; ++step) {
     const Index index = static_cast<Index>(pick(6));
     Job& job = *cluster.jobs[index];
-    const auto found = open.candidates(job);
-    RC_ASSERT(found == one_by_one(cluster, job, kept));
+    const auto found = available.candidates(job);
+    RC_ASSERT(found == expected_candidates(cluster, job, excluded));
     const std::uint32_t task = cluster.next_pending_task(job, 0);
     if (!found.empty() && task < job.spec.tasks && pick(4) > 0) {
       cluster.place(index, task, 1, found[pick(static_cast<int>(found.size()))], 1);
     } else if (!job.attempts.empty() && pick(2) == 0) {
       cluster.end_attempt(index, job.attempts.begin()->first, 1);
-      open.refresh_bounds();
+      available.refresh_bounds();
     } else if (!found.empty()) {
-      open.exclude({found.front()});
-      kept[found.front()] = true;
+      available.exclude({found.front()});
+      excluded[found.front()] = true;
     }
   }
 }
 
-// A full fleet with many waiting jobs: each was held against each machine, ten times a second.
-TEST(Openings, WaitingJobsDoNotLookAtAFullFleet) {
-  World world;
+// Guards against checking each of many waiting jobs against each machine of a full fleet, which was
+// done ten times a second.
+TEST(AvailableHosts, WaitingJobsSkipMachinesThatAreFull) {
+  TestCluster test_cluster;
   constexpr std::size_t kMachines = 200, kJobs = 300;
   for (std::size_t i = 0; i < kMachines; ++i) {
-    test::add_machine(world.cluster, "small", i % 2 ? "a" : "b", true);
+    test::add_machine(test_cluster.cluster, "small", i % 2 ? "a" : "b", true);
   }
-  const Index first = world.add(kMachines * 4, 1, 1);
-  EXPECT_EQ(plan(world.cluster, 1), static_cast<int>(kMachines * 4));
-  AvailableHosts open(world.cluster, 1);
+  const Index first = test_cluster.add(kMachines * 4, 1, 1);
+  EXPECT_EQ(plan(test_cluster.cluster, 1), static_cast<int>(kMachines * 4));
+  AvailableHosts available(test_cluster.cluster, 1);
   for (std::size_t i = 0; i < kJobs; ++i) {
-    const Job& job = *world.cluster.jobs[world.add(10, 1, 1)];
-    EXPECT_TRUE(open.candidates(job).empty());
-    EXPECT_TRUE(open.hosts_with_partial_room(job).empty());
+    const Job& job = *test_cluster.cluster.jobs[test_cluster.add(10, 1, 1)];
+    EXPECT_TRUE(available.candidates(job).empty());
+    EXPECT_TRUE(available.hosts_with_partial_room(job).empty());
   }
-  EXPECT_EQ(open.hosts_examined(), kMachines) << "once, when the plan began";
-  world.cluster.end_attempt(first, 0, 1);
-  open.refresh_bounds();
-  EXPECT_EQ(open.candidates(*world.cluster.jobs.back()).size(), 1u);
+  EXPECT_EQ(available.hosts_examined(), kMachines)
+      << "each machine once, when the placement pass began";
+  test_cluster.cluster.end_attempt(first, 0, 1);
+  available.refresh_bounds();
+  EXPECT_EQ(available.candidates(*test_cluster.cluster.jobs.back()).size(), 1u);
 }
 
 }  // namespace
--- a/src/placement/plan_test.cpp
+++ b/src/placement/plan_test.cpp
@@ -47,9 +47,9 @@
 
 TEST_F(Plan, SpotIsOnlyForJobsThatAllowIt) {
   machine("small", "a", true);
-  jobs::Header barred = header(1, 1);
-  barred.spec.allow_spot = false;
-  cluster_.add_job(barred, 1, 0);
+  jobs::Header no_spot = header(1, 1);
+  no_spot.spec.allow_spot = false;
+  cluster_.add_job(no_spot, 1, 0);
   EXPECT_EQ(plan(cluster_, 1), 0);
   machine("small", "a", false);
   EXPECT_EQ(plan(cluster_, 1), 1);
@@ -69,9 +69,9 @@
   EXPECT_EQ(attempts.at(0).number, attempts.at(1).number);
 }
 
-// Gangs of two took the machines of a zone one pair after another from a gang of three that was
-// first in line.
-TEST_F(Plan, AGangThatLacksMachinesKeepsThemFromThoseAfterIt) {
+// Guards against gangs of two that take the machines of a zone, one pair after another, from a gang
+// of three that is ahead of them in the service order.
+TEST_F(Plan, MachinesAreReservedForAGangThatLacksMore) {
   const Index busy = machine("small", "a");
   machine("small", "a");
   machine("small", "a");
@@ -93,7 +93,7 @@
   cluster_.mark_done(0, 0, 2);
   EXPECT_EQ(plan(cluster_, 3), 3);
   EXPECT_EQ(cluster_.jobs[three]->attempts.size(), 3u);
-  // What could never hold it keeps nothing from anybody.
+  // For a gang that the machines could never hold, none are reserved.
   gang.spec.id = "j-nine";
   gang.spec.tasks = 9;
   cluster_.remove_job(three);
@@ -102,13 +102,14 @@
   EXPECT_EQ(cluster_.jobs[two]->attempts.size(), 2u);
 }
 
-// A record that is longer than a value may be is refused by the key-value store again and again.
+// Guards against task records above the value limit: the key-value store refuses such a record at
+// each attempt to store it.
 class RecordRoom : public Plan, public ::testing::WithParamInterface<jobs::TaskRecordFormat> {};
 INSTANTIATE_TEST_SUITE_P(Formats, RecordRoom,
                          ::testing::Values(jobs::TaskRecordFormat::legacy,
                                            jobs::TaskRecordFormat::compact));
 
-TEST_P(RecordRoom, PlacementsWaitUntilThereIsSome) {
+TEST_P(RecordRoom, PlacementsWaitUntilTheRecordHasRoom) {
   settings::Platform tight = platform_;
   tight.store_limits.value_kb = 1;
   Cluster cluster(tight, 1, GetParam());
@@ -123,8 +124,8 @@
   std::uint32_t rounds = 0;
   for (double now = 1; !cluster.jobs[job]->is_complete(); ++now) {
     ASSERT_GT(plan(cluster, now), 0);
-    for (std::size_t chunk = 0; chunk < cluster.jobs[job]->task_ranges.size(); ++chunk) {
-      const auto record = cluster.make_range_record(*cluster.jobs[job], chunk);
+    for (std::size_t range = 0; range < cluster.jobs[job]->task_ranges.size(); ++range) {
+      const auto record = cluster.make_range_record(*cluster.jobs[job], range);
       EXPECT_LE(wire::json_size(cluster.encode_task_range(record)), 1024u);
     }
     const auto attempts = cluster.jobs[job]->attempts;
@@ -134,33 +135,33 @@
     }
     ++rounds;
   }
-  EXPECT_GT(rounds, 1u) << "not all at once";
+  EXPECT_GT(rounds, 1u) << "the records had room for all tasks at once";
 }
 
-// Tasks of one core took every core as it came free; those of two cores before them waited for two
-// minutes.
-TEST_F(Plan, RoomThatIsTooSmallYetIsKeptForTheFirstInLine) {
+// Guards against one-core tasks that take every core as it becomes free. Two-core tasks ahead of
+// them in the service order waited for two minutes.
+TEST_F(Plan, PartialRoomIsReservedForTheFirstJobInOrder) {
   machine("small", "a");
   jobs::Header ones = header(9, 1);
   ones.spec.team = "free";
-  const Index crowd = cluster_.add_job(ones, 1, 0);
+  const Index array = cluster_.add_job(ones, 1, 0);
   ASSERT_EQ(plan(cluster_, 1), 4);
   jobs::Header twos = header(2, 2);
   twos.spec.team = "free";
   twos.spec.priority = jobs::Priority::high;
   const Index first = cluster_.add_job(twos, 2, 1);
   const auto finish = [&](std::uint32_t task) {
-    cluster_.mark_done(crowd, task, 2);
-    cluster_.end_attempt(crowd, task, 2);
+    cluster_.mark_done(array, task, 2);
+    cluster_.end_attempt(array, task, 2);
   };
   finish(0);
-  EXPECT_EQ(plan(cluster_, 2), 0) << "one core is kept";
+  EXPECT_EQ(plan(cluster_, 2), 0) << "the free core is reserved";
   finish(1);
   EXPECT_EQ(plan(cluster_, 3), 1);
   EXPECT_EQ(cluster_.jobs[first]->attempts.size(), 1u);
 }
 
-// Machines without a free core were passed over, also by tasks that take none.
+// Guards against skipping machines without a free core for tasks that need no core.
 TEST_F(Plan, ATaskWithoutCoresFitsAMachineWithoutFreeOnes) {
   machine("small", "a");
   jobs::Header cores = header(1, 4);
@@ -193,18 +194,18 @@
   EXPECT_EQ(plan(cluster_, 1), 2);
 }
 
-TEST_F(Plan, WhatATeamIsGuaranteedComesFirst) {
-  jobs::Header urgent = header(1, 1);
-  urgent.spec.priority = jobs::Priority::production;
-  const Index borrowed = cluster_.add_job(urgent, 1, 0);
-  jobs::Header owed = header(1, 4);
-  owed.spec.team = "blue";
-  owed.spec.priority = jobs::Priority::low;
-  const Index guaranteed = cluster_.add_job(owed, 2, 0);
-  EXPECT_EQ(service_order(cluster_, 0).jobs, (std::vector<Index>{guaranteed, borrowed}));
+TEST_F(Plan, JobsWithinAGuaranteeComeFirst) {
+  jobs::Header production = header(1, 1);
+  production.spec.priority = jobs::Priority::production;
+  const Index beyond_guarantee = cluster_.add_job(production, 1, 0);
+  jobs::Header within_guarantee = header(1, 4);
+  within_guarantee.spec.team = "blue";
+  within_guarantee.spec.priority = jobs::Priority::low;
+  const Index guaranteed = cluster_.add_job(within_guarantee, 2, 0);
+  EXPECT_EQ(service_order(cluster_, 0).jobs, (std::vector<Index>{guaranteed, beyond_guarantee}));
 }
 
-TEST_F(Plan, WhatCanBeInTimeGoesBeforeWhatCannotButNotForEver) {
+TEST_F(Plan, JobsThatCanBeInTimeGoFirstUntilALateJobIsVeryLate) {
   jobs::Header late = header(1, 1);
   late.spec.deadline_s = 20;
   const Index first = cluster_.add_job(late, 1, 0);
@@ -214,8 +215,9 @@
   EXPECT_EQ(service_order(cluster_, 40).jobs, (std::vector<Index>{first, second}));
 }
 
-// Small tasks once filled the few machines that whole-machine gangs wait for.
-TEST_F(Plan, LargeMachinesAreKeptForLargeTasks) {
+// Guards against small tasks that fill the few machines for which gangs with machine-sized tasks
+// wait.
+TEST_F(Plan, LargeMachinesAreReservedForLargeTasks) {
   machine("large", "a", false);
   jobs::Header big = header(1, 30);
   big.spec.team = "free";
@@ -228,13 +230,13 @@
   EXPECT_EQ(plan(cluster_, 3), 0);
   cluster_.remove_job(0);
   cluster_.hosts[0]->last_heartbeat_at = 400;
-  EXPECT_EQ(plan(cluster_, 400), 4) << "none has asked for long";
+  EXPECT_EQ(plan(cluster_, 400), 4) << "no large task has needed the type for a while";
   EXPECT_EQ(cluster_.jobs[job]->attempts.size(), 4u);
 }
 
-// The users' rule: an array that has lost its tasks, or has none yet, does not stand still for long
-// beside two cores that a gang's machine has to spare. Idle, that machine stays kept for gangs.
-TEST_F(Plan, NobodyStandsStillForLongBesideRoomThatIsKept) {
+// Users require that an array without a running task does not wait long while a machine with a
+// large task has two free cores. A machine that is mostly free stays reserved for large tasks.
+TEST_F(Plan, AnIdleJobGetsOneTaskInReservedRoom) {
   machine("large", "a", false);
   jobs::Header big = header(1, 30);
   big.spec.team = "free";
@@ -246,24 +248,24 @@
     cluster_.hosts[0]->last_heartbeat_at = now;
     return plan(cluster_, now);
   };
-  EXPECT_EQ(at(31), 0) << "it is kept for large tasks";
-  EXPECT_EQ(at(33), 2) << "one task of each";
+  EXPECT_EQ(at(31), 0) << "the machine is reserved for large tasks";
+  EXPECT_EQ(at(33), 2) << "one task of each job";
   EXPECT_EQ(at(34), 0);
   EXPECT_EQ(cluster_.jobs[small]->attempts.size(), 1u);
-  cluster_.hosts[0]->last_heartbeat_at = 80;  // the report that shows its end
+  cluster_.hosts[0]->last_heartbeat_at = 80;  // the heartbeat that shows the task's end
   cluster_.end_attempt(small, 0, 80);
-  EXPECT_EQ(at(109), 0) << "it stands still since 80";
+  EXPECT_EQ(at(109), 0) << "the job has been idle since 80 s";
   EXPECT_EQ(at(111), 1);
   EXPECT_EQ(cluster_.jobs[other]->attempts.size(), 1u);
   cluster_.end_attempt(gang, 0, 152);
   cluster_.mark_done(gang, 0, 152);
   cluster_.end_attempt(small, 0, 152);
-  EXPECT_EQ(at(230), 0) << "a large task could begin there";
+  EXPECT_EQ(at(230), 0) << "a large task could start there";
 }
 
-// A zone is cut off with all tasks of an array. Nothing proves that they have ended until it is
-// heard again, but their users see them stand still from the end of their leases.
-TEST_F(Plan, AJobWhoseMachinesAreSilentStandsStillSinceTheEndOfTheirLeases) {
+// A zone with all tasks of an array is cut off. Until its machines send heartbeats again, nothing
+// proves that the tasks have ended, but the array makes no progress from the end of the leases on.
+TEST_F(Plan, AJobOnSilentMachinesIsIdleFromTheEndOfTheirLeases) {
   const Index silent = machine("small", "a", true);
   const Index job = cluster_.add_job(header(30, 1), 1, 0);
   cluster_.hosts[silent]->last_heartbeat_at = 1;
@@ -275,20 +277,21 @@
   cluster_.hosts[large]->last_heartbeat_at = 2;
   cluster_.add_job(big, 2, 2);
   ASSERT_EQ(plan(cluster_, 2), 1);
-  const double still_from = 1 + cluster_.platform.worker_timings.lease_s;
+  const double idle_from = 1 + cluster_.platform.worker_timings.lease_s;
   const auto at = [&](double now) {
     cluster_.hosts[large]->last_heartbeat_at = now;
     return plan(cluster_, now);
   };
-  EXPECT_EQ(at(still_from + 29), 0) << "the room is kept for large tasks";
-  EXPECT_EQ(at(still_from + 31), 1);
-  EXPECT_EQ(at(still_from + 32), 0) << "one of its tasks may run now";
+  EXPECT_EQ(at(idle_from + 29), 0) << "the room is reserved for large tasks";
+  EXPECT_EQ(at(idle_from + 31), 1);
+  EXPECT_EQ(at(idle_from + 32), 0) << "one task of the job may be running now";
   EXPECT_EQ(cluster_.jobs[job]->attempts.size(), placed + 1);
 }
 
-// Own days: one machine was lent, taken back for a large task that could not use it, and lent
-// again, every second, up to 605 times, and never went back.
-TEST_F(Plan, AMachineIsNotLentAgainBeforeItHasWorked) {
+// Guards against a machine that is backfilled, taken back for a large task that cannot use it, and
+// backfilled again, every second, and is never returned. In simulated days this happened up to 605
+// times to one machine.
+TEST_F(Plan, AMachineIsNotBackfilledAgainBeforeItHasHadATask) {
   const Index host = machine("large", "a", true);
   jobs::Header big = header(1, 30);
   big.spec.team = "free";
@@ -308,7 +311,8 @@
   cluster_.add_job(small, 3, 2);
   ASSERT_TRUE(try_backfill(cluster_, host));
   cluster_.update_large_task_reservations(3);
-  EXPECT_TRUE(cluster_.hosts[host]->backfilled) << "the large one that waits may not use spot";
+  EXPECT_TRUE(cluster_.hosts[host]->backfilled)
+      << "the waiting large task may not use spot machines";
   EXPECT_GT(plan(cluster_, 3), 0);
   const Index idle = machine("large", "a", true);
   ASSERT_TRUE(try_backfill(cluster_, idle));
@@ -317,13 +321,14 @@
   fitting.spec.zone = "a";
   cluster_.add_job(fitting, 4, 3);
   cluster_.update_large_task_reservations(3.5);
-  EXPECT_FALSE(cluster_.hosts[idle]->backfilled) << "taken back";
-  EXPECT_FALSE(try_backfill(cluster_, idle)) << "and, if it is not needed after all, given back";
+  EXPECT_FALSE(cluster_.hosts[idle]->backfilled) << "a waiting large task can use the machine";
+  EXPECT_FALSE(try_backfill(cluster_, idle))
+      << "a machine without a task since its backfilling is returned";
 }
 
-// hunt-7b89-3: three machines that large tasks had needed before went back as "not needed" while
-// ten arrays waited.
-TEST_F(Plan, AMachineThatWouldGoBackIsLentOnce) {
+// Guards against returning a machine that large tasks needed before as "not needed" while small
+// tasks wait: three machines were returned while ten arrays waited (run hunt-7b89-3).
+TEST_F(Plan, AnIdleReservedMachineIsBackfilledOnce) {
   const Index host = machine("large", "a", false);
   jobs::Header big = header(1, 30);
   big.spec.team = "free";
@@ -331,18 +336,19 @@
   EXPECT_EQ(plan(cluster_, 1), 1);
   cluster_.end_attempt(large, 0, 2);
   cluster_.mark_done(large, 0, 2);
-  EXPECT_FALSE(try_backfill(cluster_, host)) << "nobody waits";
+  EXPECT_FALSE(try_backfill(cluster_, host)) << "no job waits";
   jobs::Header small = header(4, 1);
   const Index job = cluster_.add_job(small, 2, 2);
   cluster_.jobs[job]->cancelled = true;
-  EXPECT_FALSE(try_backfill(cluster_, host)) << "cancelled";
+  EXPECT_FALSE(try_backfill(cluster_, host)) << "the waiting job is cancelled";
   cluster_.jobs[job]->cancelled = false;
   EXPECT_EQ(plan(cluster_, 3), 0);
   EXPECT_TRUE(try_backfill(cluster_, host));
   EXPECT_EQ(plan(cluster_, 3.5), 4);
-  EXPECT_FALSE(try_backfill(cluster_, host)) << "once, or it would never go back";
+  EXPECT_FALSE(try_backfill(cluster_, host))
+      << "a second time would keep the machine from being returned";
 
-  // A large task that waits has it back as soon as it is free.
+  // A waiting large task gets the machine as soon as the small tasks have ended.
   big.spec.id = "j-9";
   cluster_.add_job(big, 3, 4);
   jobs::Header more = header(2, 1);
@@ -358,12 +364,13 @@
   EXPECT_EQ(cluster_.jobs[cluster_.job_index["j-9"]]->attempts.size(), 1u);
 }
 
-// hunt-7b89-5: a gang of a team asked for all its cores at once, while arrays of the team took each
-// as it came free under the limit; half of the class was served.
-TEST_F(Plan, ArraysGiveWayToAGangBehindTheirTeamsLimit) {
+// Guards against arrays that take each core within their team's limit as it becomes free, while a
+// gang of the team needs all its cores at once. Only half of the jobs of the gang's class were
+// served (run hunt-7b89-5).
+TEST_F(Plan, ArraysLeaveRoomInTheirTeamsLimitForAGang) {
   for (int i = 0; i < 4; ++i) machine("small", "a");
-  const Index crowd = cluster_.add_job(header(40, 1), 1, 0);
-  EXPECT_EQ(plan(cluster_, 1), 6) << "the limit";
+  const Index array = cluster_.add_job(header(40, 1), 1, 0);
+  EXPECT_EQ(plan(cluster_, 1), 6) << "the team's limit";
   jobs::Header four = header(1, 4);
   four.spec.shape = jobs::Shape::gang;
   const Index gang = cluster_.add_job(four, 2, 1);
@@ -371,13 +378,13 @@
   other.spec.shape = jobs::Shape::gang;
   const Index second = cluster_.add_job(other, 3, 2);
   const auto end_one = [&](double now) {
-    const std::uint32_t task = cluster_.jobs[crowd]->attempts.begin()->first;
-    cluster_.end_attempt(crowd, task, now);
-    cluster_.mark_done(crowd, task, now);
+    const std::uint32_t task = cluster_.jobs[array]->attempts.begin()->first;
+    cluster_.end_attempt(array, task, now);
+    cluster_.mark_done(array, task, now);
   };
   for (const auto& host : cluster_.hosts) host->last_heartbeat_at = 40;
   end_one(20);
-  EXPECT_EQ(plan(cluster_, 20), 1) << "it has not waited for long";
+  EXPECT_EQ(plan(cluster_, 20), 1) << "the gang has not waited long enough";
   for (int i = 0; i < 3; ++i) {
     end_one(40 + i);
     EXPECT_EQ(plan(cluster_, 40 + i), 0) << i;
@@ -385,15 +392,16 @@
   end_one(44);
   EXPECT_EQ(plan(cluster_, 44), 1);
   EXPECT_EQ(cluster_.jobs[gang]->attempts.size(), 1u);
-  // The other gang could not be let in by arrays while the first holds the limit: they go on.
+  // While the first gang runs, arrays cannot make room for the second one and are placed again.
   end_one(45);
   EXPECT_EQ(plan(cluster_, 45), 1);
   EXPECT_TRUE(cluster_.jobs[second]->attempts.empty());
 }
 
-// A simulated world that never finished: the limit was kept for a gang that must share a zone,
-// while three machines in two zones were all that its team's array had rented. Neither ever began.
-TEST_F(Plan, TheLimitIsNotKeptForAGangThatNoZoneCouldHold) {
+// Guards against reserving a team's limit for a gang that must stay in a single zone, while no zone
+// has enough machines. A simulated run never finished: the team's array had rented only three
+// machines, in two zones, and neither job ever started.
+TEST_F(Plan, TheLimitIsNotReservedForAGangThatNoZoneCouldHold) {
   machine("small", "a");
   machine("small", "b");
   const Index array = cluster_.add_job(header(4, 3), 1, 0);
@@ -407,9 +415,9 @@
   EXPECT_TRUE(cluster_.jobs[gang]->attempts.empty());
 }
 
-// hunt-7b89-5: against all machines there was time for all jobs of a team, behind its limit for
-// none.
-TEST_F(Plan, WhatATeamsLimitCannotBringInTimeWaits) {
+// Guards against comparing a team's arrays with all machines only: there is time for all of them,
+// but the team's limit makes all of them late (run hunt-7b89-5).
+TEST_F(Plan, ArraysThatTheTeamsLimitMakesLateGoLast) {
   platform_.teams[0].max_cpus = 4;
   settings::ServiceLevelObjective soon;
   soon.kind = settings::ServiceLevelObjective::Kind::finished;
@@ -429,8 +437,8 @@
   EXPECT_EQ(order, (std::vector<Index>{1, 2, 0}));
 }
 
-// A job that had failed once on every machine was never placed again.
-TEST_F(Plan, AMachineIsAvoidedForAWhileOnly) {
+// Guards against a job that has failed once on every machine never being placed again.
+TEST_F(Plan, AMachineIsAvoidedOnlyForALimitedTime) {
   const Index host = machine("small", "a");
   const Index job = cluster_.add_job(header(1, 1), 1, 0);
   cluster_.jobs[job]->failed_on[host] = 9;
@@ -438,7 +446,7 @@
   EXPECT_EQ(plan(cluster_, 9.5), 1);
 }
 
-TEST_F(Plan, AReclaimedMachineTakesNothingNew) {
+TEST_F(Plan, AMachineUnderReclaimGetsNoNewTasks) {
   const Index host = machine("small", "a");
   cluster_.hosts[host]->reclaim_at = 30;
   cluster_.add_job(header(1, 1), 1, 0);
--- a/src/placement/preempt_test.cpp
+++ b/src/placement/preempt_test.cpp
@@ -8,7 +8,7 @@
 namespace reachramp::placement {
 namespace {
 
-// Two machines; one team may run there what another may claim back.
+// Two machines. One team can use them beyond its guarantee, and another team can preempt that work.
 class Preempt : public ::testing::Test {
  protected:
   Preempt() : cluster_(platform_, 1, jobs::TaskRecordFormat::compact) {
@@ -36,7 +36,7 @@
     return index;
   }
 
-  bool stops(Index job) const {
+  bool is_stopping(Index job) const {
     const auto& attempts = cluster_.jobs[job]->attempts;
     return std::any_of(attempts.begin(), attempts.end(),
                        [](const auto& entry) { return entry.second.stopping; });
@@ -51,45 +51,45 @@
   Cluster cluster_;
 };
 
-TEST_F(Preempt, AGuaranteeIsTakenBackFromWhoeverRunsBeyondTheirs) {
-  const Index borrowed = running("none", 2, 100);
+TEST_F(Preempt, AGangWithinAGuaranteePreemptsWorkBeyondOne) {
+  const Index beyond_guarantee = running("none", 2, 100);
   gang("owed", 2, 140);
   plan(cluster_, 141);
-  EXPECT_FALSE(stops(borrowed)) << "room may yet come by itself";
+  EXPECT_FALSE(is_stopping(beyond_guarantee)) << "room may still become free by itself";
   plan(cluster_, 145);
-  EXPECT_TRUE(stops(borrowed));
-  for (const auto& [task, attempt] : cluster_.jobs[borrowed]->attempts) {
-    EXPECT_GE(attempt.grace_period_s, 4) << "all of it, with time to save";
+  EXPECT_TRUE(is_stopping(beyond_guarantee));
+  for (const auto& [task, attempt] : cluster_.jobs[beyond_guarantee]->attempts) {
+    EXPECT_GE(attempt.grace_period_s, 4) << "each task has time to save its progress";
   }
 }
 
-TEST_F(Preempt, WhatIsWithinAGuaranteeOrWouldNotDoIsLeftAlone) {
+TEST_F(Preempt, WorkWithinAGuaranteeOrTooSmallIsNotPreempted) {
   const Index own = running("borrows", 1, 100);
   const Index beyond = running("none", 1, 100);
   const Index large = gang("owed", 2, 140);
   plan(cluster_, 145);
-  EXPECT_FALSE(stops(own));
-  EXPECT_FALSE(stops(beyond)) << "its machine alone would not do";
+  EXPECT_FALSE(is_stopping(own));
+  EXPECT_FALSE(is_stopping(beyond)) << "its machine alone would not be enough";
   cluster_.remove_job(large);
   gang("owed", 1, 140);
   plan(cluster_, 146);
-  EXPECT_TRUE(stops(beyond));
+  EXPECT_TRUE(is_stopping(beyond));
 }
 
-TEST_F(Preempt, WorkBeyondTheGuaranteeOrOfTheSameTeamClaimsNothing) {
+TEST_F(Preempt, WorkBeyondTheGuaranteeOrOfTheSameTeamPreemptsNothing) {
   const Index first = running("none", 2, 100);
   gang("none", 2, 140);
   gang("borrows", 2, 140);
   plan(cluster_, 145);
-  EXPECT_FALSE(stops(first));
+  EXPECT_FALSE(is_stopping(first));
 }
 
-TEST_F(Preempt, OneClaimStopsOneGang) {
+TEST_F(Preempt, OneWaitingGangPreemptsOneGang) {
   const Index left = running("none", 1, 100);
   const Index right = running("none", 1, 101);
   gang("owed", 1, 140);
   for (double now = 145; now < 150; ++now) plan(cluster_, now);
-  EXPECT_NE(stops(left), stops(right));
+  EXPECT_NE(is_stopping(left), is_stopping(right));
 }
 
 }  // namespace
--- a/src/placement/service_order_test.cpp
+++ b/src/placement/service_order_test.cpp
@@ -8,38 +8,38 @@
 namespace reachramp::placement {
 namespace {
 
-bool all_in_time(const std::vector<MachineTimeRequest>& claims, const std::vector<bool>& dropped,
+bool all_in_time(const std::vector<MachineTimeRequest>& requests, const std::vector<bool>& late,
                  double now) {
   double end = now;
-  for (std::size_t i = 0; i < claims.size(); ++i) {
-    if (dropped[i]) continue;
-    end += claims[i].duration_s;
-    if (end > claims[i].due_at) return false;
+  for (std::size_t i = 0; i < requests.size(); ++i) {
+    if (late[i]) continue;
+    end += requests[i].duration_s;
+    if (end > requests[i].due_at) return false;
   }
   return true;
 }
 
-// Against every choice there is.
+// Compares the number of postponed requests with the minimum over all subsets.
 RC_GTEST_PROP(Order, DropsAsFewAsAnyChoiceCould, ()) {
   const auto count = *rc::gen::inRange<std::size_t>(0, 9);
-  std::vector<MachineTimeRequest> claims;
+  std::vector<MachineTimeRequest> requests;
   for (std::size_t i = 0; i < count; ++i) {
-    claims.push_back(
+    requests.push_back(
         {static_cast<double>(*rc::gen::inRange(1, 30)), 100.0 + *rc::gen::inRange(1, 90)});
   }
   std::sort(
-      claims.begin(), claims.end(),
+      requests.begin(), requests.end(),
       [](const MachineTimeRequest& a, const MachineTimeRequest& b) { return a.due_at < b.due_at; });
-  const std::vector<bool> dropped = select_late_requests(claims, 100);
-  RC_ASSERT(all_in_time(claims, dropped, 100));
-  std::size_t least = count;
-  for (unsigned choice = 0; choice < (1u << count); ++choice) {
-    std::vector<bool> without(count);
-    for (std::size_t i = 0; i < count; ++i) without[i] = (choice >> i & 1) != 0;
-    if (!all_in_time(claims, without, 100)) continue;
-    least = std::min<std::size_t>(least, std::count(without.begin(), without.end(), true));
+  const std::vector<bool> late = select_late_requests(requests, 100);
+  RC_ASSERT(all_in_time(requests, late, 100));
+  std::size_t minimum = count;
+  for (unsigned subset = 0; subset < (1u << count); ++subset) {
+    std::vector<bool> postponed(count);
+    for (std::size_t i = 0; i < count; ++i) postponed[i] = (subset >> i & 1) != 0;
+    if (!all_in_time(requests, postponed, 100)) continue;
+    minimum = std::min<std::size_t>(minimum, std::count(postponed.begin(), postponed.end(), true));
   }
-  RC_ASSERT(std::size_t(std::count(dropped.begin(), dropped.end(), true)) == least);
+  RC_ASSERT(std::size_t(std::count(late.begin(), late.end(), true)) == minimum);
 }
 
 }  // namespace
