--- a/src/acquire/autoscaler.cpp
+++ b/src/acquire/autoscaler.cpp
@@ -21,6 +21,7 @@
 constexpr int kMaxRefusalsCounted = 3;
 // The time constant of the exponential decay of past reclaims and exposure.
 constexpr double kReclaimDecay_horizons = 30;
+// The cloud bills each machine for at least this long.
 constexpr double kMinBilledTime_s = 60;
 // An idle machine is kept for this long, because work that arrives in the meantime needs no boot.
 // In measurements over four days, 20 s and 3 s cost more.
--- a/src/placement/plan.cpp
+++ b/src/placement/plan.cpp
@@ -112,7 +112,8 @@
     const Job& gang = *cluster.jobs[reservations[team].gang];
     const double tasks = gang.spec.tasks;
     const Usage need{gang.resources_per_task.cpus * tasks, gang.resources_per_task.gpus * tasks};
-    // While gangs and services of the team take up the limit, a reservation would only idle arrays.
+    // While the team's gangs and services take up the limit, a reservation would keep arrays from
+    // running without helping the gang.
     if (fits(limits.max_cpus, non_array_usage[team].cpus, need.cpus) &&
         fits(limits.max_gpus, non_array_usage[team].gpus, need.gpus)) {
       reservations[team].usage = need;
@@ -121,6 +122,8 @@
   return reservations;
 }
 
+// Places pending tasks of an array or a service, at most `max_tasks`. Tasks that do not fit stay
+// pending. Leaves `reserved` of the team's limit unused.
 int place_tasks(Cluster& cluster, Index index, AvailableHosts& available, const Usage& reserved,
                 double now, int max_tasks = std::numeric_limits<int>::max()) {
   Job& job = *cluster.jobs[index];
@@ -172,7 +175,8 @@
 // Places all tasks of a gang or none. Before the gang has started, tasks that were lost are placed
 // again with the same attempt number. If too few machines have room, those that do are kept from
 // jobs later in the order: otherwise smaller gangs took them one by one, and a gang of three
-// machines waited 80 s although it was first in the order.
+// machines waited 80 s although it was first in the order. Leaves `reserved` of the team's limit
+// unused.
 int place_gang(Cluster& cluster, Index index, AvailableHosts& available, const Usage& reserved,
                double now) {
   Job& job = *cluster.jobs[index];
--- a/src/placement/service_order.cpp
+++ b/src/placement/service_order.cpp
@@ -100,7 +100,7 @@
       if (by_team[team] < cores) defer_late(by_team[team], team);
     }
     defer_late(cores, std::nullopt);
-    // Deferred arrays stay ahead of jobs that are late already and therefore have no urgency.
+    // Deferred arrays stay ahead of jobs that are late already, whose sort key is kNever.
     const auto first_late = std::find_if(
         begin, end, [&](Index i) { return urgency_key(*cluster.jobs[i], now) == kNever; });
     std::stable_partition(begin, first_late, [&](Index i) { return !deferred[i]; });
