--- a/src/kv/client.h
+++ b/src/kv/client.h
@@ -15,11 +15,10 @@
 //
 // What an Outcome means for the caller:
 // - ok: done.
-// - absent: the key or lease doesn't exist. Don't retry; a lease that has gone needs a new one. Of
-// a
-//   watch: the position is too old. Read the keys again and watch from there.
-// - conflict: nothing was applied. Don't retry as it is; read the failed keys again and decide
-// anew.
+// - absent: the key or lease doesn't exist. Don't retry; in place of a lease that has expired, ask
+//   for a new one. For a watch: the position is too old. Read the keys again and watch from there.
+// - conflict: nothing was applied. Don't retry unchanged; read the failed keys again and decide
+//   anew.
 // - refused: not executed, so a retry is safe. Pause before it (jittered, kv/steady_clock.h); the
 //   client has already repeated requests that were throttled.
 // - unknown_lease: nothing was applied. Retry with a new lease only.
@@ -27,7 +26,7 @@
 // - unknown: it may have been executed, or may yet be. Reads and watches can be repeated. A
 //   transaction can be repeated unchanged if its writes change a key of its preconditions: at most
 //   one of the two is then applied, and a conflict may mean that the first one was. Renewals can
-//   be repeated; a lease whose grant went unheard expires by itself.
+//   be repeated; a lease whose grant was lost on the way expires by itself.
 #pragma once
 
 #include <chrono>
@@ -45,7 +44,7 @@
 namespace reachramp::kv {
 
 // Owns the connections to the store, the rate limit that this process keeps to, and what the
-// responses so far say of the store's reachability and of when revisions were assigned.
+// responses so far show about the store's reachability and about when revisions were assigned.
 //
 // All functions may be called by any thread, also at the same time. Requests block the caller: each
 // attempt for a response up to 1.5 s (a list 3 s, a watch 1.5 s longer than it may wait), besides
@@ -73,19 +72,20 @@
   WatchResult watch(const std::string& prefix, std::uint64_t after,
                     std::chrono::milliseconds max_wait);
 
-  // For how many seconds every response has been an outage's (503), at least 1 ms; 0 if the last
-  // response was another or there was none. `now`: steady_now().
+  // Returns for how many seconds every response has been a 503, which the store sends during an
+  // outage, but at least 1 ms; 0 if the last response had another status or there was none. `now`:
+  // steady_now().
   double refused_duration_s(double now) const;
-  // Seconds since the last response that was not an outage's; more than 1e9 if there was none yet.
-  // Unlike refused_duration_s, it grows also while no responses come at all.
+  // Returns the seconds since the last response other than a 503; more than 1e9 if there was none
+  // yet. Unlike refused_duration_s, it also grows while no responses come at all.
   double seconds_since_served(double now) const;
-  // A copy of what the responses so far tell of when revisions were assigned.
+  // Returns a copy of the clock that dates revisions by the responses so far.
   RevisionClock revision_clock() const;
 
  private:
-  // Sends a request at the rate the bucket allows and repeats it when throttled, a few times. Not
-  // sent at all (refused) if the bucket's queue is too long. Adds to `throttle_count`, if not null,
-  // the number of responses that were 429.
+  // Sends a request at the rate that the bucket allows, and repeats it a few times when the store
+  // throttles it. Does not send it (refused) if the wait for the bucket would be too long. Adds to
+  // `throttle_count`, if not null, the number of responses that were 429.
   wire::CallResult call(const char* method, const std::string& target, const Json* body,
                         std::chrono::milliseconds timeout, int* throttle_count = nullptr);
   // Updates reachability and the revision clock.
--- a/src/kv/codec.h
+++ b/src/kv/codec.h
@@ -17,9 +17,9 @@
 
 namespace reachramp::kv {
 
-// Whether the value, and `more` bytes by which the caller expects it to grow, stays within the size
-// limit of a value (`state.value_kb`, in KiB of the JSON form). A transaction that exceeds it is
-// malformed as a whole, so callers check before they commit.
+// Whether the value, and `growth_bytes` by which the caller expects it to grow, stays within the
+// size limit of a value (`state.value_kb`, in KiB of the JSON form). A transaction that exceeds it
+// is malformed as a whole, so callers check before they commit.
 bool fits(const Json& value, double value_kb, std::size_t growth_bytes = 0);
 
 // Request targets. Slashes in keys are not escaped, as the protocol wants it.
@@ -37,12 +37,13 @@
 Json encode_transaction(const Transaction& transaction);
 Json encode_lease_request(std::chrono::milliseconds lifetime);
 
-// What the status of a response says, or its absence.
+// Returns what the status of a response, or the lack of a response, says about the request.
 Outcome decode_outcome(const wire::CallResult& answer);
-// The store revision of any response that carries one; nothing if it doesn't.
+// Returns the store revision of a response; none if the response carries none.
 std::optional<std::uint64_t> decode_store_revision(const wire::CallResult& answer);
 
-// `throttle_count` is left to the caller: one response cannot tell it.
+// Decoders of whole responses. `throttle_count` is left at 0: it counts several responses, so the
+// caller sets it.
 CommitResult decode_commit_result(const wire::CallResult& answer);
 ListResult decode_list_result(const wire::CallResult& answer);
 WatchResult decode_watch_result(const wire::CallResult& answer);
--- a/src/kv/revision_clock.h
+++ b/src/kv/revision_clock.h
@@ -1,10 +1,11 @@
-// Ages of records, from their revisions alone. No time of day is involved, since those of two nodes
-// differ: times are in seconds of this process's steady clock (kv/steady_clock.h).
+// Estimates the age of a record from its revision alone. No time of day is involved, since the
+// times of day of two nodes differ: times are in seconds of this process's steady clock
+// (kv/steady_clock.h).
 //
-// Each response of the key-value store that carries its store revision is a sample: by now, the
-// store had come as far as that. So every node that has served for a while knows when the jobs of
-// that time were accepted, whether or not it led. What was before all nodes that are alive is
-// carried by one small record, `timeline`, that the leader writes now and then.
+// Each response of the key-value store that carries the store revision is a sample: when it came,
+// the store had reached that revision. So every node that has run for a while knows when the jobs
+// of that time were accepted, whether or not it led. For the time before any live node was started,
+// the leader writes its samples to one small record, `timeline`, now and then.
 #pragma once
 
 #include <cstdint>
@@ -16,9 +17,10 @@
 
 namespace reachramp::kv {
 
-// Key of the record. Stored: never renamed.
+// The key of that record. It is stored, so it must never change.
 inline constexpr const char* kTimelineKey = "timeline";
-// Whether it is a record of this slice that the schema level doesn't have, or has in another form.
+// Whether the record belongs to this module and must be removed or rewritten at the schema level
+// `level`, because the level has no such record or stores it in another form.
 bool is_stale(const std::string& key, const wire::Json& value, std::uint32_t level);
 
 // Owns the samples of the store revision: at most 64, the sparser the older.
@@ -26,33 +28,34 @@
 // Not safe to share between threads. Behaves the same for the same calls: it reads no clock itself.
 class RevisionClock {
  public:
-  // The store has just said, in a response that came at `now`, that it is at `store_revision`.
-  // Responses may overtake one another: an older revision than the last one is ignored.
+  // Adds a sample: a response that came at `now` carried `store_revision`. Responses may overtake
+  // one another: a revision older than the latest one is ignored.
   void observe(std::uint64_t store_revision, double now);
 
-  // Takes over the samples that a leader wrote in the record whose revision is `revision`, for the
-  // time before our own samples. For how long no leader wrote and we did not observe is unknown:
-  // that time counts as zero, so ages come out too small rather than too large. Throws
+  // Adds the samples of a record that a leader wrote, for the time before our own samples.
+  // `revision` is the revision of the record. The time between that write and our first sample is
+  // unknown: it counts as zero, so ages come out too small rather than too large. Throws
   // wire::BadMessage, or what Json throws for a wrong type, and is then left unchanged.
   void restore(const wire::Json& record, std::uint64_t revision, double now);
 
-  // When the revision was assigned, at the latest; `now` for one that no sample has reached yet.
-  // Interpolated between samples: an estimate, for ages and deadlines.
+  // Estimates when the revision was assigned, for ages and deadlines, by interpolation between
+  // samples. Returns `now` for a revision above all samples, and the time of the first sample for
+  // one below all: it was assigned then at the latest.
   double time_of(std::uint64_t revision, double now) const;
 
-  // When the revision was assigned, at the earliest: a bound, never an estimate. Nothing for one
-  // from before this process's own first sample: how long before, it can't know, and what an
-  // earlier leader wrote is no proof.
+  // Returns a lower bound of when the revision was assigned; never an estimate. None for a revision
+  // from before this process's own first sample: its age is unknown here, and what an earlier
+  // leader wrote is no proof.
   std::optional<double> earliest_time_of(std::uint64_t revision) const;
 
-  // The record: samples as [revision, milliseconds before `now`], the oldest first. Takes up to 2
-  // KiB.
+  // Encodes the record `timeline`: samples as [revision, milliseconds before `now`], the oldest
+  // first. Takes up to 2 KiB.
   wire::Json encode(double now) const;
 
  private:
-  // At `at` the store had come as far as `revision`. A revision has at most two samples in a row:
-  // when it was first observed and when it was last; between them the store was quiet. Ascending in
-  // both.
+  // At `observed_at` the store had reached `revision`. A revision has at most two samples in a row,
+  // its first and its last observation, between which the store did not change. Samples ascend in
+  // both fields.
   struct RevisionSample {
     std::uint64_t revision = 0;
     double observed_at = 0;
--- a/src/kv/token_bucket.h
+++ b/src/kv/token_bucket.h
@@ -1,5 +1,5 @@
-// A token bucket: keeps a caller under a rate limit that the other side enforces, or, in the
-// emulator, enforces it.
+// A token bucket. It keeps a client below a rate limit that the server enforces; the emulator of
+// the server enforces the limit with it.
 #pragma once
 
 #include <algorithm>
@@ -7,18 +7,18 @@
 
 namespace reachramp::kv {
 
-// Owns the tokens that are left. They come back at a constant rate, up to the size of a burst.
+// Counts the tokens that are left. They are refilled at a constant rate, up to the size of a burst.
 //
 // Not safe to share between threads. `now` is in seconds of any clock, the same one in every call;
-// the bucket is full at the first.
+// the bucket is full at the first call.
 class TokenBucket {
  public:
   // `rate`: tokens per second, above 0; `burst`: the most tokens that can accumulate.
   TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), tokens_(burst) {}
 
   // Takes `amount` tokens and returns 0, or takes none and returns the seconds until they are
-  // there. More than a burst can be taken once the bucket is full; the rest is a debt that later
-  // callers wait for.
+  // available. An amount above a burst can be taken once the bucket is full; the rest is a debt
+  // that later callers wait for.
   double take(double amount, double now) {
     refill(now);
     const double needed = std::min(amount, burst_);
--- a/src/kv/types.h
+++ b/src/kv/types.h
@@ -1,4 +1,5 @@
-// What the key-value store's client takes and returns: values only, free of wire names and of I/O.
+// Types that the client of the key-value store takes and returns: plain values, without I/O and
+// without the field names of the wire format.
 // The terms (lease, revision, store revision, compare-and-swap) are explained in kv/client.h.
 #pragma once
 
@@ -14,7 +15,7 @@
 
 using wire::Json;
 
-// What became of a request. What each means for the caller, and whether to retry: kv/client.h.
+// The outcome of a request. kv/client.h says what each means for the caller and whether to retry.
 enum class Outcome {
   ok,             // executed
   absent,         // no such key or lease; of a watch: its position is older than the change log
@@ -69,7 +70,7 @@
   Outcome outcome = Outcome::unknown;
   std::uint64_t store_revision = 0;      // set when ok: the revision that all its writes share
   std::vector<std::string> failed_keys;  // set on a conflict: whose preconditions failed
-  // How often this call was throttled (429), whatever came of it in the end: tells the caller that
+  // How often this call was throttled (429), whatever its final outcome: it shows the caller that
   // its own estimate of the service's rate limit is too high.
   int throttle_count = 0;
 };
--- a/src/leadership/leader_election.h
+++ b/src/leadership/leader_election.h
@@ -1,6 +1,6 @@
 // Leader election: the leader is the node named under a key that is attached to a lease of the
-// key-value store. The key's revision is the leader's fencing token, so tokens only ever grow.
-// docs/design.md, docs/design/meetings.md.
+// key-value store. The key's revision is the leader's fencing token, so tokens only ever grow. See
+// docs/design.md and docs/design/meetings.md.
 #pragma once
 
 #include <condition_variable>
@@ -52,6 +52,7 @@
   // Campaigns, renews the lease and watches the leader's key, on the calling thread. Never returns.
   void run();
 
+  // Returns what this node knows of the leadership now.
   LeadershipStatus status();
   // Whether leadership with that fencing token is beyond doubt: its last renewal was asked for less
   // than the lease's duration ago. A process that was suspended may have been replaced, and learns
--- a/src/schema/schema.h
+++ b/src/schema/schema.h
@@ -1,10 +1,10 @@
 // Decisions about the schema level: whether a process is compatible with what is stored, and when
-// the schema migrates to the next level or back. The leader carries migrations out; users of other
-// slices only need has().
+// the schema migrates to the next level or back. The leader carries migrations out; other modules
+// only need has_level().
 //
-// Pure functions on values, for any thread. A new leader needs no more than the records of this
-// slice and those it reads anyway: no migration cursor is stored, since a failover reads every
-// record and so finds those that remain to be migrated.
+// Pure functions on values, for any thread. A new leader needs only the records of this module and
+// those that it reads anyway: no migration cursor is stored, since a new leader reads every record
+// and so finds those that remain to be migrated.
 #pragma once
 
 #include <cstdint>
@@ -22,13 +22,13 @@
 // The duration of the lease of a claim, in seconds: a claim may outlive its process by as much.
 inline constexpr double kClaimLease_s = 20;
 
-// What a process does with the claim that its predecessor on the node left behind.
+// What a process does with the claim that an earlier process on the same node left behind.
 enum class PredecessorClaim {
   adopt,       // it announces the same: renew its lease
   replace,     // it announces something else, or has no lease that would end it
   leave_alone  // it is malformed, possibly of a later version
 };
-// `predecessor` is the record under the key of `own`.
+// Decides what to do with `predecessor`, the record found under the key of the claim `own`.
 PredecessorClaim disposition_of(const kv::Entry& predecessor, const Claim& own);
 
 // Whether the program version `version` is later than `than`. Both are compared number by number; a
@@ -42,7 +42,7 @@
   std::uint64_t revision = 0;
 };
 
-// Whether records of `level` are written.
+// Whether records are written in the form of `level` or a later one.
 inline bool has_level(const StoredSchema& stored, std::uint32_t level) {
   return stored.written_level >= level;
 }
@@ -68,11 +68,11 @@
 std::optional<SchemaMigration> next_migration(const StoredSchema& stored,
                                               const std::vector<Claim>& claims,
                                               const std::vector<std::string>& nodes);
-// What to commit once strong reads have shown that no obsolete record remains.
+// Returns what to commit once strong reads have shown that no obsolete record remains.
 StoredSchema settled_form(const StoredSchema& stored);
 
-// The nodes whose claims have another digest of the shared settings than `own_digest`. Claims
-// without a digest are passed over.
+// Returns the nodes whose claims have another digest of the shared settings than `own_digest`.
+// Claims without a digest are skipped.
 std::vector<std::string> nodes_with_other_settings(const std::vector<Claim>& claims,
                                                    std::uint64_t own_digest);
 
--- a/src/schema/schema_levels.h
+++ b/src/schema/schema_levels.h
@@ -3,9 +3,10 @@
 // the ones below it. Several program versions can read and write the same level, and every program
 // version supports a contiguous range of levels.
 //
-// This header stands below all slices that own records. Each of those decides beside its own codec
-// which of its records are obsolete at a level; every change of a record's form, and all behaviour
-// that depends on one, gets an entry in kSchemaLevels. All of it is constant, for any thread.
+// All modules that own records include this header, and it includes none of them. Each module
+// decides next to its codec which of its records are obsolete at a level. Every change of a
+// record's form, and all behaviour that depends on one, gets an entry in kSchemaLevels. Everything
+// here is constant.
 #pragma once
 
 #include <array>
@@ -27,9 +28,12 @@
   std::optional<std::string_view> no_downgrade_because{};
 };
 
-inline constexpr std::uint32_t kUncompacted = 1;  // a record names its tasks one by one
-inline constexpr std::uint32_t kCompact = 2;      // announced by member/; see peers/members.h
-inline constexpr std::uint32_t kTimeline = 3;     // the revision clock; no level 1 record remains
+// A record of tasks names each of its tasks.
+inline constexpr std::uint32_t kUncompacted = 1;
+// A record of tasks holds ranges. Nodes announce the level in member/<node>; see peers/members.h.
+inline constexpr std::uint32_t kCompact = 2;
+// The record "timeline" (kv/revision_clock.h); no level 1 record remains.
+inline constexpr std::uint32_t kTimeline = 3;
 inline constexpr std::uint32_t kClosedPools = 4;  // a pool without scale-out request has no record
 inline constexpr std::uint32_t kShares = 5;       // the record "shares"
 inline constexpr std::uint32_t kDrains = 6;       // the records "drains", "drains/used", "zones"
@@ -52,7 +56,7 @@
      "all three are removed, which ends all drains"},
 }};
 
-// The description of `level`, which must be from kOldest to kNewest.
+// The description of `level`, which must be from kOldestLevel to kNewestLevel.
 inline const SchemaLevel& schema_level(std::uint32_t level) { return kSchemaLevels[level - 1]; }
 
 }  // namespace reachramp::schema
--- a/src/schema/schema_records.h
+++ b/src/schema/schema_records.h
@@ -1,6 +1,6 @@
-// The records that the schema slice stores, and their codecs. `level` holds the schema level of the
-// stored records and lasts. `claim/<node>` holds which levels the live process on a node supports;
-// it is attached to a lease, so that it ends with the process.
+// The records that this module stores, and their codecs. `level` holds the schema level of the
+// stored records and outlives all processes. `claim/<node>` holds which levels the live process on
+// a node supports; it is attached to a lease, so that it ends with the process.
 //
 // Pure functions on values, for any thread. Field names of the records stand here alone.
 #pragma once
@@ -35,7 +35,7 @@
   std::string version;  // of the program
   std::uint32_t oldest = kOldestLevel;
   std::uint32_t newest = kUncompacted;
-  std::uint32_t hold_at = 0;          // as in SupportedVersions
+  std::uint32_t hold_at = 0;          // as in SupportedLevels
   std::uint64_t settings_digest = 0;  // of the settings that nodes must share; 0: not announced
   std::uint64_t revision = 0;         // of the record itself; not part of its value
 };
--- a/src/schema/schema_version_tracker.h
+++ b/src/schema/schema_version_tracker.h
@@ -1,5 +1,5 @@
-// A node's part in the schema protocol: it announces which levels its process supports for as long
-// as it lives, and follows the level that is stored.
+// A node's part in the schema protocol: announces which levels its process supports for as long as
+// the process lives, and follows the level that is stored.
 #pragma once
 
 #include <atomic>
@@ -34,8 +34,8 @@
   std::optional<std::uint64_t> revision();
   // The same, with the stored schema itself.
   std::optional<SchemaView> view();
-  // Reads the revision anew: for callers whose transaction failed since the level has changed.
-  // Results as for revision().
+  // As revision(), but always reads from the store: for callers whose transaction failed because
+  // the level has changed.
   std::optional<std::uint64_t> read_revision();
   // Whether this process must not serve anybody, as of the latest read.
   bool incompatible() const { return incompatible_; }
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,4 +1,5 @@
-// What a node is told: the platform's file (TOML) and the operators' own policy (S-expressions).
+// Settings of a controller node: the platform's settings file (TOML), which describes the node and
+// the services around it, and the operators' policy file (S-expressions).
 #pragma once
 
 #include <memory>
@@ -10,7 +11,7 @@
 
 namespace reachramp::settings {
 
-// Refused settings; what() reads "file: field: reason".
+// Thrown for settings that are missing or invalid; what() reads "file: field: reason".
 class BadSettings : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -18,13 +19,15 @@
 
 struct SExpression;
 
+// Another controller node.
 struct Member {
   std::string name;
-  std::string failure_domain;
-  wire::Address address;
+  std::string failure_domain;  // nodes of one domain may fail together
+  wire::Address address;       // where it listens for other nodes
 };
 
-// Zero means none: no guarantee, no limit.
+// A team of users, with the resources that it is guaranteed and those that it may use at most. Zero
+// stands for no guarantee or no limit.
 struct Team {
   std::string name;
   double guaranteed_cpus = 0;
@@ -33,79 +36,97 @@
   double max_gpus = 0;
 };
 
-// What is expected for a class of jobs: tasks started, or the job finished, within so long; or the
-// job done within so many times its deadline.
+// A service level objective for one class of jobs.
 struct ServiceLevelObjective {
-  enum class Kind { wait, finished, deadline } kind = Kind::wait;
+  enum class Kind {
+    wait,      // tasks start within `within_s` of the submission
+    finished,  // the job finishes within `within_s` of the submission
+    deadline   // the job finishes within `deadline_factor` times its deadline
+  } kind = Kind::wait;
   std::string job_class;
   double within_s = 0;
   double deadline_factor = 1;
 };
 
+// Intervals and timeouts that workers and controller nodes agree on (PROTOCOL).
 struct WorkerTimings {
-  double report_interval_s = 1;
-  double lease_s = 10;
-  double gang_wait_s = 30;
-  double gang_peer_s = 5;
+  double report_interval_s = 1;  // between a worker's heartbeats
+  double lease_s = 10;           // for which a worker without a response keeps its tasks running
+  double gang_wait_s = 30;       // for which a task of a gang waits until all others have joined
+  double gang_peer_s = 5;        // within which tasks of a gang notice that one of them has ended
+  // Within which a job's tasks end once its user is told that it is cancelled.
   double cancel_s = 30;
 };
 
+// Limits that the key-value store enforces.
 struct StoreLimits {
-  double rps = 50;
-  double write_rps = 10;
-  double value_kb = 4;
-  int txn_ops = 8;
+  double rps = 50;        // requests per second
+  double write_rps = 10;  // writes per second
+  double value_kb = 4;    // size of a value, in KiB of its JSON form
+  int txn_ops = 8;        // writes in one transaction
 };
 
-// What may be written now and will still be taken under the limits to come.
+// Returns the stricter of the two limits in each field: what respects it is accepted now and after
+// the upcoming limits have come into force.
 StoreLimits stricter_limits(const StoreLimits& current, const StoreLimits& upcoming);
 
+// Properties of the cloud's interface.
 struct CloudLimits {
-  double rps = 3;
-  double list_lag_s = 5;
+  double rps = 3;         // requests per second
+  double list_lag_s = 5;  // by which the list of machines may lag behind
 };
 
+// The platform's settings of one node. Field names of the file are in platform.cpp.
 struct Platform {
   std::string node_name;
   std::string failure_domain;
-  wire::Address serve_on;
-  wire::Address cluster_listen;
-  std::vector<Member> members;
+  wire::Address serve_on;        // where this node listens for users and workers
+  wire::Address cluster_listen;  // where this node listens for other nodes
+  std::vector<Member> members;   // the other nodes
   wire::Address cloud_address;
   wire::Address store_address;
   std::vector<Team> teams;
   std::vector<ServiceLevelObjective> objectives;
   WorkerTimings worker_timings;
   StoreLimits store_limits;
-  StoreLimits
-      upcoming_store_limits;  // from an unannounced moment on; what is not said stays as it is
+  // Limits that come into force at an unannounced time. Those that the file leaves out equal the
+  // current ones.
+  StoreLimits upcoming_store_limits;
+  // The limits that every write must respect.
   StoreLimits strictest_store_limits() const {
     return settings::stricter_limits(store_limits, upcoming_store_limits);
   }
   CloudLimits cloud_limits;
+  // Limits of this process.
   int fd_limit = 512;
-  int thread_limit = 2000;  // of a process; the users' page on the large fleet
+  int thread_limit = 2000;  // as the users' page on the large fleet states
   double ram_mb = 64;
 };
 
-// The knobs of Tributary that operators may turn; see docs/design.md.
+// The operators' policy. The numbers are parameters of Tributary, the algorithm that chooses which
+// machines to rent (acquire/tributary.h, docs/design.md).
 struct Policy {
+  // The expected share of the wanted resources that must survive reclaims of spot machines.
   double target_utility = 0.95;
+  // Weight of the price correlation between pools in their probability of being reclaimed.
   double gamma = 0.01;
-  double prior_reclaim_probability = 0.1;
-  double price_window_s = 600;
-  double scaling_interval_s = 10;
-  double horizon_s = 60;
-  // (levels (hold-at N)): the stored state stays at or below that level; 0: no wish.
+  double prior_reclaim_probability = 0.1;  // per horizon, of a pool that was not observed yet
+  double price_window_s = 600;             // how far back spot prices are correlated
+  double scaling_interval_s = 10;          // between two scaling decisions
+  double horizon_s = 60;                   // the time ahead that a scaling decision looks at
+  // (levels (hold-at N)): the schema level is kept at or below this one; 0: no limit.
   unsigned hold_at = 0;
-  // (drains ...), as it stands; none: nothing is drained. Read by the slice of that name.
+  // The unparsed section (drains ...), for drains/; null if there is none: nothing is drained then.
   std::shared_ptr<const SExpression> drains;
 };
 
+// All functions below throw BadSettings for a file that cannot be read or is invalid. Fields that
+// are unknown are ignored: later versions may add some. `path` is only for error messages where the
+// text is given.
 Platform load_platform(const std::string& path);
 Platform parse_platform(const std::string& text, const std::string& path);
 Policy load_policy(const std::string& path);
-// Throws BadSettings.
+// Returns the contents of the file.
 std::string read_file(const std::string& path);
 Policy parse_policy(const std::string& text, const std::string& path);
 
--- a/src/wire/socket.h
+++ b/src/wire/socket.h
@@ -1,4 +1,5 @@
-// A blocking TCP socket with a limit on every wait, shaped as a Beast stream.
+// A blocking TCP socket with a timeout on every operation. It models Beast's SyncReadStream, so
+// that Beast's parsers read from it.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -8,14 +9,16 @@
 
 namespace reachramp::wire {
 
+// An IPv4 address and a port.
 struct Address {
   std::string host;
   std::uint16_t port = 0;
 };
 
-// "10.0.0.1:8080"; throws std::invalid_argument for anything else.
+// Parses text such as "10.0.0.1:8080". Throws std::invalid_argument for anything else.
 Address parse_address(const std::string& text);
 
+// Owns a file descriptor and closes it. Not safe to share between threads, except for shutdown().
 class Socket {
  public:
   using Millis = std::chrono::milliseconds;
@@ -26,16 +29,24 @@
   Socket& operator=(Socket&& other) noexcept;
   ~Socket();
 
-  // A cut network gives no error: connecting, sending and receiving all end after `limit`.
+  // Connects within `timeout`, which is also the timeout of later reads and writes: a network that
+  // is cut reports no error by itself.
   static Socket connect(const Address& address, Millis timeout, boost::beast::error_code& ec);
+  // Binds the address and listens. Retries for a few seconds while the port is in use. Throws
+  // std::system_error if it fails.
   static Socket listen(const Address& address);
+  // Waits for a connection. The socket returned is not open if accepting failed.
   Socket accept() const;
 
   bool is_open() const { return fd_ >= 0; }
   int fd() const { return fd_; }
+  // Sets the timeout of each read and write.
   void set_timeout(Millis timeout);
+  // Ends the connection in both directions, so that a thread blocked in an operation on it returns.
+  // The descriptor stays open.
   void shutdown() const;
 
+  // Reads at least one byte into the first buffer, and returns how many; see SyncReadStream.
   template <class Buffers>
   std::size_t read_some(const Buffers& buffers, boost::beast::error_code& ec) {
     const boost::asio::mutable_buffer first = *boost::asio::buffer_sequence_begin(buffers);
@@ -49,6 +60,7 @@
     return n;
   }
 
+  // Writes all bytes. Returns false if the connection fails or a write times out.
   bool send_all(const std::string& bytes);
 
  private:
--- a/src/wire/thread_pool.h
+++ b/src/wire/thread_pool.h
@@ -1,6 +1,6 @@
-// Threads that serve connections: one a connection, used again for the next. Made and ended with
-// each connection, threads on their way out came on top of those at work, and a storm of
-// connections met the limit of the process (found with 2,500 machines and a leader that died).
+// A pool of threads, each of which is reused once its work is done. With a new thread for each
+// connection, threads that were ending added to those at work, and a storm of connections reached
+// the thread limit of the process (found with 2,500 machines and a leader that died).
 #pragma once
 
 #include <chrono>
@@ -11,23 +11,28 @@
 
 namespace reachramp::wire {
 
+// Runs each piece of work on a thread at once, and starts a thread if none is idle. Any thread may
+// call its functions.
 class ThreadPool {
  public:
   using Work = std::function<void()>;
 
+  // `idle_timeout`: after which an idle thread ends.
   explicit ThreadPool(std::chrono::milliseconds idle_timeout) : idle_timeout_(idle_timeout) {}
-  // Waits until all work is done and all threads are gone.
+  // Waits until all work is done and all threads have ended.
   ~ThreadPool();
   ThreadPool(const ThreadPool&) = delete;
 
-  // Never more threads than pieces of work at the same time. Throws std::system_error if there is
-  // no thread to be had.
+  // Runs `work` on a thread of the pool. There are never more threads than pieces of work at the
+  // same time. Throws std::system_error if the system allows no further thread.
   void run(Work work);
+  // All threads, idle ones included.
   std::size_t thread_count() const;
-  // Of these, those that wait for work.
+  // Threads that wait for work.
   std::size_t idle_count() const;
 
  private:
+  // The body of each thread.
   void run_thread();
 
   const std::chrono::milliseconds idle_timeout_;
