--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-// The reachramp command: serve, check.
+// The command `reachramp`: `serve` runs a controller node, `check` validates its settings.
 #include <malloc.h>
 #include <pthread.h>
 #include <spdlog/sinks/stdout_sinks.h>
@@ -19,6 +19,7 @@
 constexpr int kExitBadSettings = 2;
 constexpr int kExitFailure = 1;
 
+// Logs to standard error. LOG_LEVEL sets the level; an unknown value counts as "info".
 void configure_logging() {
   spdlog::set_default_logger(spdlog::stderr_logger_mt("reachramp"));
   spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
@@ -30,15 +31,16 @@
   }
 }
 
-// Controllers get little memory: threads share one heap and have stacks of a fixed, small size.
+// A controller node has little memory. Its threads share few heap arenas, freed memory goes back to
+// the system early, and thread stacks have a fixed, small size.
 void limit_memory_use() {
   mallopt(M_ARENA_MAX, 2);
   mallopt(M_TRIM_THRESHOLD, 1024 * 1024);
-#ifndef __SANITIZE_THREAD__  // whose thread-local storage alone is larger: no thread could start
-  constexpr std::size_t kStackBytes = 256 * 1024;
+#ifndef __SANITIZE_THREAD__  // its thread-local storage exceeds such a stack: no thread could start
+  constexpr std::size_t kThreadStack_bytes = 256 * 1024;
   pthread_attr_t attributes;
   pthread_attr_init(&attributes);
-  pthread_attr_setstacksize(&attributes, kStackBytes);
+  pthread_attr_setstacksize(&attributes, kThreadStack_bytes);
   pthread_setattr_default_np(&attributes);
   pthread_attr_destroy(&attributes);
 #endif
@@ -52,13 +54,14 @@
   app.require_subcommand(1);
   std::string config;
   std::string policy_path;
-  const auto with_settings = [&](CLI::App* command) {
+  const auto add_settings_options = [&](CLI::App* command) {
     command->add_option("--config", config, "the platform's settings (TOML)")->required();
     command->add_option("--policy", policy_path, "operators' policy (S-expressions)");
     return command;
   };
-  CLI::App* serve = with_settings(app.add_subcommand("serve", "run a controller node"));
-  with_settings(app.add_subcommand("check", "read the settings and say what is wrong with them"));
+  CLI::App* serve = add_settings_options(app.add_subcommand("serve", "run a controller node"));
+  add_settings_options(
+      app.add_subcommand("check", "read the settings and say what is wrong with them"));
   CLI11_PARSE(app, argc, argv);
 
   configure_logging();
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -61,53 +61,54 @@
 }
 
 ListedMachine decode_listed_machine(const Json& body) {
-  ListedMachine listed;
-  listed.name = wire::text(body, "ref");
-  // A machine without one that can be used is there all the same. To drop the list for it would be
-  // worse: nothing would be rented and nothing given back any more.
+  ListedMachine machine;
+  machine.name = wire::text(body, "ref");
+  // A machine without a usable address exists nevertheless. If it made the whole list invalid, no
+  // machine would be rented or returned any more.
   const Json* address = wire::find(body, "address");
-  if (address != nullptr && address->is_string()) listed.address = address->get<std::string>();
-  listed.type = wire::text(body, "rig");
-  listed.zone = wire::text(body, "hall");
-  listed.spot = wire::flag(body, "loaner");
+  if (address != nullptr && address->is_string()) machine.address = address->get<std::string>();
+  machine.type = wire::text(body, "rig");
+  machine.zone = wire::text(body, "hall");
+  machine.spot = wire::flag(body, "loaner");
   const std::string phase = wire::text(body, "phase");
-  listed.phase = phase == "failed"    ? MachinePhase::failed
-                 : phase == "running" ? MachinePhase::running
-                                      : MachinePhase::starting;
-  listed.rented_for_s = wire::optional_amount(body, "held_s").value_or(0);
-  return listed;
+  machine.phase = phase == "failed"    ? MachinePhase::failed
+                  : phase == "running" ? MachinePhase::running
+                                       : MachinePhase::starting;
+  machine.rented_for_s = wire::optional_amount(body, "held_s").value_or(0);
+  return machine;
 }
 
 Client::Client(const wire::Address& address) : http_(address, 1, kMaxCloudResponse_bytes) {}
 
 std::optional<Catalog> Client::catalog() {
-  const wire::CallResult answer = http_.call("GET", "/catalog", nullptr, kCloudTimeout);
-  if (answer.status != 200) return std::nullopt;
+  const wire::CallResult response = http_.call("GET", "/catalog", nullptr, kCloudTimeout);
+  if (response.status != 200) return std::nullopt;
   try {
-    return decode_catalog(answer.body);
+    return decode_catalog(response.body);
   } catch (const std::exception& error) {
-    spdlog::error("cloud catalog: {}", error.what());
+    spdlog::error("cloud: cannot decode the catalog: {}", error.what());
     return std::nullopt;
   }
 }
 
 ScaleOutResult Client::scale_out(const ScaleOutRequest& request) {
   const Json body = encode_scale_out(request);
-  const wire::CallResult answer = http_.call("POST", "/hosts", &body, kCloudTimeout);
+  const wire::CallResult response = http_.call("POST", "/hosts", &body, kCloudTimeout);
   ScaleOutResult result;
   try {
-    if (answer.status == 200) {
-      for (const Json& name : wire::list(answer.body, "hosts")) {
+    if (response.status == 200) {
+      for (const Json& name : wire::list(response.body, "hosts")) {
         result.machines.push_back(name.get<std::string>());
       }
       result.outcome = CloudOutcome::ok;
-    } else if (answer.status == 503 && answer.body.value("error", "") == "no capacity") {
+    } else if (response.status == 503 && response.body.value("error", "") == "no capacity") {
       result.outcome = CloudOutcome::no_capacity;
-    } else if (answer.status == 400) {
+    } else if (response.status == 400) {
       result.outcome = CloudOutcome::malformed;
     }
   } catch (const std::exception& error) {
-    spdlog::error("cloud hire {}: {}", request.name, error.what());
+    spdlog::error("cloud: cannot decode the response to scale-out request {}: {}", request.name,
+                  error.what());
     result = {};
   }
   return result;
@@ -121,18 +122,18 @@
 ListPage Client::list_machines(const std::string& after) {
   std::string target = "/hosts?limit=500";
   if (!after.empty()) target += "&after=" + after;
-  const wire::CallResult answer = http_.call("GET", target, nullptr, kCloudTimeout);
+  const wire::CallResult response = http_.call("GET", target, nullptr, kCloudTimeout);
   ListPage page;
-  if (answer.status != 200) return page;
+  if (response.status != 200) return page;
   try {
-    for (const Json& item : wire::list(answer.body, "hosts")) {
+    for (const Json& item : wire::list(response.body, "hosts")) {
       page.machines.push_back(decode_listed_machine(item));
     }
-    const Json* more = wire::find(answer.body, "truncated");
+    const Json* more = wire::find(response.body, "truncated");
     page.has_more = more != nullptr && more->get<bool>();
     page.outcome = CloudOutcome::ok;
   } catch (const std::exception& error) {
-    spdlog::error("cloud list: {}", error.what());
+    spdlog::error("cloud: cannot decode the list of machines: {}", error.what());
     page = {};
   }
   return page;
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -12,16 +12,18 @@
 using namespace std::chrono_literals;
 
 constexpr auto kStoreTimeout = 1500ms;
-// A page may be 512 KiB and a watch's response has no limit; this only bounds our memory.
+// The store limits a page to 512 KiB and a watch's response not at all: this bounds the memory that
+// a response takes here.
 constexpr std::size_t kMaxStoreResponse_bytes = 8 * 1024 * 1024;
 constexpr std::size_t kMaxIdleConnections = 8;
 
-// Whoever would wait longer for our own rate limit is told at once, so that it can decide anew.
+// A caller that would have to wait longer for our own rate limit gets `refused` at once, so that it
+// can decide anew.
 constexpr double kMaxRateWait_s = 0.5;
 // Waits for our own rate limit count as attempts, too.
 constexpr int kMaxRetries = 4;
 constexpr double kFirstRetry_s = 0.04;  // doubles with each attempt
-// When a store that has never served counts as having served last: longer ago than any limit.
+// Stands for the time of the last response if there was none: longer ago than any limit.
 constexpr double kNeverServedAt_s = -1e9;
 
 constexpr int kThrottled = 429;
@@ -45,19 +47,19 @@
       std::this_thread::sleep_for(std::chrono::duration<double>(wait));
       continue;
     }
-    wire::CallResult answer = http_.call(method, target, body, timeout);
-    if (answer.received_response) record_response(answer);
-    if (answer.status == kThrottled && throttle_count != nullptr) ++*throttle_count;
-    if (answer.status != kThrottled || attempt >= kMaxRetries) return answer;
+    wire::CallResult response = http_.call(method, target, body, timeout);
+    if (response.received_response) record_response(response);
+    if (response.status == kThrottled && throttle_count != nullptr) ++*throttle_count;
+    if (response.status != kThrottled || attempt >= kMaxRetries) return response;
     std::this_thread::sleep_for(jittered(kFirstRetry_s * (1 << attempt)));
   }
 }
 
-void Client::record_response(const wire::CallResult& answer) {
-  const std::optional<std::uint64_t> store_revision = decode_store_revision(answer);
+void Client::record_response(const wire::CallResult& response) {
+  const std::optional<std::uint64_t> store_revision = decode_store_revision(response);
   const double now = steady_now();
   std::lock_guard lock(mutex_);
-  if (answer.status != kOutage) {
+  if (response.status != kOutage) {
     refused_since_.reset();
     last_served_at_ = now;
   } else if (!refused_since_) {
--- a/src/kv/client.h
+++ b/src/kv/client.h
@@ -89,7 +89,7 @@
   wire::CallResult call(const char* method, const std::string& target, const Json* body,
                         std::chrono::milliseconds timeout, int* throttle_count = nullptr);
   // Updates reachability and the revision clock.
-  void record_response(const wire::CallResult& answer);
+  void record_response(const wire::CallResult& response);
 
   wire::Client http_;
   mutable std::mutex mutex_;  // guards all below
--- a/src/kv/codec.cpp
+++ b/src/kv/codec.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-// Runs `decode`, which fills the result according to its outcome; an undecodable response becomes
-// the default result.
+// Returns a result with the outcome of the response, which `decode` completes. If `decode` throws,
+// logs the reason and returns the default result.
 template <class Result, class Decode>
-Result decode_or_unknown(const wire::CallResult& answer, Decode decode) {
+Result decode_or_unknown(const wire::CallResult& response, Decode decode) {
   Result result;
-  result.outcome = decode_outcome(answer);
+  result.outcome = decode_outcome(response);
   try {
     decode(result);
   } catch (const std::exception& error) {
-    spdlog::error("key-value store: {}", error.what());
+    spdlog::error("key-value store: cannot decode a response: {}", error.what());
     result = Result{};
   }
   return result;
@@ -78,7 +78,7 @@
   Json writes = Json::array();
   for (const Write& write : transaction.writes) writes.push_back(encode_write(write));
   Json body{{"if", std::move(preconditions)}};
-  if (!writes.empty()) body["then"] = std::move(writes);  // without it, it only compares
+  if (!writes.empty()) body["then"] = std::move(writes);  // without `then`, it only compares
   return body;
 }
 
@@ -86,10 +86,10 @@
   return {{"life_ms", lifetime.count()}};
 }
 
-Outcome decode_outcome(const wire::CallResult& answer) {
-  if (!answer.received_response)
-    return answer.may_have_been_sent ? Outcome::unknown : Outcome::refused;
-  switch (answer.status) {
+Outcome decode_outcome(const wire::CallResult& response) {
+  if (!response.received_response)
+    return response.may_have_been_sent ? Outcome::unknown : Outcome::refused;
+  switch (response.status) {
     case 200:
       return Outcome::ok;
     case 400:
@@ -104,66 +104,67 @@
   }
 }
 
-std::optional<std::uint64_t> decode_store_revision(const wire::CallResult& answer) {
-  const Json* revision = answer.body.is_object() ? wire::find(answer.body, "epoch") : nullptr;
+std::optional<std::uint64_t> decode_store_revision(const wire::CallResult& response) {
+  const Json* revision = response.body.is_object() ? wire::find(response.body, "epoch") : nullptr;
   if (revision == nullptr || !revision->is_number_unsigned()) return std::nullopt;
   return revision->get<std::uint64_t>();
 }
 
-CommitResult decode_commit_result(const wire::CallResult& answer) {
-  return decode_or_unknown<CommitResult>(answer, [&](CommitResult& result) {
-    if (result.outcome == Outcome::ok) result.store_revision = wire::count(answer.body, "epoch");
+CommitResult decode_commit_result(const wire::CallResult& response) {
+  return decode_or_unknown<CommitResult>(response, [&](CommitResult& result) {
+    if (result.outcome == Outcome::ok) result.store_revision = wire::count(response.body, "epoch");
     if (result.outcome == Outcome::conflict) {
-      for (const Json& key : wire::list(answer.body, "failed")) {
+      for (const Json& key : wire::list(response.body, "failed")) {
         result.failed_keys.push_back(key.get<std::string>());
       }
     }
-    if (result.outcome == Outcome::malformed && answer.body.value("error", "") == "no such lease") {
+    if (result.outcome == Outcome::malformed &&
+        response.body.value("error", "") == "no such lease") {
       result.outcome = Outcome::unknown_lease;
     }
   });
 }
 
-ListResult decode_list_result(const wire::CallResult& answer) {
-  return decode_or_unknown<ListResult>(answer, [&](ListResult& page) {
+ListResult decode_list_result(const wire::CallResult& response) {
+  return decode_or_unknown<ListResult>(response, [&](ListResult& page) {
     if (page.outcome != Outcome::ok) return;
-    page.store_revision = wire::count(answer.body, "epoch");
-    const Json* more = wire::find(answer.body, "truncated");
+    page.store_revision = wire::count(response.body, "epoch");
+    const Json* more = wire::find(response.body, "truncated");
     page.has_more = more != nullptr && more->get<bool>();
-    for (const Json& item : wire::list(answer.body, "entries")) {
+    for (const Json& item : wire::list(response.body, "entries")) {
       page.entries.push_back(
           {wire::text(item, "k"), wire::require(item, "value"), wire::count(item, "stamp")});
     }
   });
 }
 
-WatchResult decode_watch_result(const wire::CallResult& answer) {
-  return decode_or_unknown<WatchResult>(answer, [&](WatchResult& result) {
+WatchResult decode_watch_result(const wire::CallResult& response) {
+  return decode_or_unknown<WatchResult>(response, [&](WatchResult& result) {
     if (result.outcome != Outcome::ok) return;
-    result.store_revision = wire::count(answer.body, "epoch");
-    for (const Json& item : wire::list(answer.body, "log")) {
+    result.store_revision = wire::count(response.body, "epoch");
+    for (const Json& item : wire::list(response.body, "log")) {
       result.changes.push_back(decode_change(item));
     }
   });
 }
 
-ReadResult decode_read_result(const wire::CallResult& answer) {
-  return decode_or_unknown<ReadResult>(answer, [&](ReadResult& found) {
+ReadResult decode_read_result(const wire::CallResult& response) {
+  return decode_or_unknown<ReadResult>(response, [&](ReadResult& found) {
     if (found.outcome == Outcome::ok) {
-      found.entry = {wire::text(answer.body, "k"), wire::require(answer.body, "value"),
-                     wire::count(answer.body, "stamp")};
-      if (wire::find(answer.body, "permit") != nullptr) {
-        found.entry.lease_id = wire::count(answer.body, "permit");
+      found.entry = {wire::text(response.body, "k"), wire::require(response.body, "value"),
+                     wire::count(response.body, "stamp")};
+      if (wire::find(response.body, "permit") != nullptr) {
+        found.entry.lease_id = wire::count(response.body, "permit");
       }
     } else if (found.outcome == Outcome::absent) {
-      found.store_revision = wire::count(answer.body, "epoch");
+      found.store_revision = wire::count(response.body, "epoch");
     }
   });
 }
 
-LeaseGrant decode_lease_grant(const wire::CallResult& answer) {
-  return decode_or_unknown<LeaseGrant>(answer, [&](LeaseGrant& lease) {
-    if (lease.outcome == Outcome::ok) lease.id = wire::count(answer.body, "permit");
+LeaseGrant decode_lease_grant(const wire::CallResult& response) {
+  return decode_or_unknown<LeaseGrant>(response, [&](LeaseGrant& lease) {
+    if (lease.outcome == Outcome::ok) lease.id = wire::count(response.body, "permit");
   });
 }
 
--- a/src/kv/codec.h
+++ b/src/kv/codec.h
@@ -38,16 +38,16 @@
 Json encode_lease_request(std::chrono::milliseconds lifetime);
 
 // Returns what the status of a response, or the lack of a response, says about the request.
-Outcome decode_outcome(const wire::CallResult& answer);
+Outcome decode_outcome(const wire::CallResult& response);
 // Returns the store revision of a response; none if the response carries none.
-std::optional<std::uint64_t> decode_store_revision(const wire::CallResult& answer);
+std::optional<std::uint64_t> decode_store_revision(const wire::CallResult& response);
 
 // Decoders of whole responses. `throttle_count` is left at 0: it counts several responses, so the
 // caller sets it.
-CommitResult decode_commit_result(const wire::CallResult& answer);
-ListResult decode_list_result(const wire::CallResult& answer);
-WatchResult decode_watch_result(const wire::CallResult& answer);
-ReadResult decode_read_result(const wire::CallResult& answer);
-LeaseGrant decode_lease_grant(const wire::CallResult& answer);
+CommitResult decode_commit_result(const wire::CallResult& response);
+ListResult decode_list_result(const wire::CallResult& response);
+WatchResult decode_watch_result(const wire::CallResult& response);
+ReadResult decode_read_result(const wire::CallResult& response);
+LeaseGrant decode_lease_grant(const wire::CallResult& response);
 
 }  // namespace reachramp::kv
--- a/src/kv/revision_clock.cpp
+++ b/src/kv/revision_clock.cpp
@@ -9,13 +9,15 @@
 
 namespace {
 
-// A change sooner after the last sample isn't worth one of its own: ages are used in seconds.
+// A new revision sooner after the latest sample gets no sample of its own: ages are only needed to
+// the second.
 constexpr double kSampleInterval_s = 0.25;
-// Samples lie this part of their age apart, so that an hour takes a few dozen of them.
+// The minimum distance of two samples as a fraction of their age, so that an hour takes a few dozen
+// samples.
 constexpr double kSpacingByAge = 1.0 / 8;
 constexpr double kMinSpacing_s = 1;
 constexpr std::size_t kMaxSamples = 64;
-// Nearly four months. A record that claims more is taken for a damaged one.
+// Nearly four months. A record with an older sample counts as damaged.
 constexpr double kMaxAge_s = 1e7;
 
 }  // namespace
@@ -23,7 +25,7 @@
 void RevisionClock::observe(std::uint64_t store_revision, double now) {
   if (!first_observed_) first_observed_ = store_revision;
   if (samples_.empty() || store_revision > samples_.back().revision) {
-    // Between two samples close by, one or the other is soon enough.
+    // A later response brings the next sample soon enough.
     if (!samples_.empty() && now - samples_.back().observed_at < kSampleInterval_s) return;
     samples_.push_back({store_revision, now});
     if (samples_.size() > kMaxSamples) compact(now);
--- a/src/leadership/holder.cpp
+++ b/src/leadership/holder.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 
-// Empty where the record is no object, or the field is missing or no text: versions up to 0.4.0
-// write no address.
+// Returns a field's text; empty if the record is not an object, or the field is missing or not
+// text: versions up to 0.4.0 write no address.
 std::string text_in(const wire::Json& value, const char* field) {
   const wire::Json* found = value.is_object() ? wire::find(value, field) : nullptr;
   return found != nullptr && found->is_string() ? found->get<std::string>() : std::string();
 }
 
-// As stored under `nonce`: of the process and of the lease that it claimed with.
+// Returns the field `nonce` of the record: the process's nonce followed by the lease of the claim.
 std::string nonce_with(const Identity& self, std::uint64_t lease_id) {
   return self.nonce + std::to_string(lease_id);
 }
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -16,16 +16,18 @@
 using namespace std::chrono_literals;
 
 constexpr const char* kLeaderKey = "leader";
-// Of a worker's lease. Without a leader nobody answers workers: after a leader's death a new one
-// must be elected well within their lease.
+// The lease of the leader's key as a fraction of a worker's lease. Without a leader nobody answers
+// workers, so after a leader's death a new one must be elected well within a worker's lease.
 constexpr double kLeasePerWorkerLease = 0.3;
 constexpr double kMinLease_s = 1;
-// Long worker leases are no reason to leave a dead leader's key longer: meanwhile nothing starts.
+// Nothing starts while a dead leader's key remains, so its lease stays short even if worker leases
+// are long.
 constexpr double kMaxLease_s = 4;
 constexpr double kRenewalsPerLease = 4;
 constexpr double kElectionRetryDelay_s = 0.3;
 constexpr double kDeferral_s = 0.3;
-// Of a worker's lease: how long a node that has resigned leaves the election to others.
+// For how long a node that has resigned leaves the election to others, as a fraction of a worker's
+// lease.
 constexpr double kPauseAfterResigning = 0.1;
 
 std::chrono::milliseconds millis(double seconds) {
@@ -167,10 +169,10 @@
   return renewed;
 }
 
-// While the key-value store does not answer, a leader goes on answering workers for the sake of
-// their leases: nothing new starts, and a successor shows in a higher fencing token. Not where this
-// node alone is isolated: workers that it answers would never report to the leader that replaces
-// it.
+// Waits until the next renewal is due and renews the lease. While the key-value store does not
+// respond, the leader goes on answering workers, so that their leases don't expire: nothing new
+// starts, and a successor is recognized by its higher fencing token. But it steps down if this node
+// alone is isolated: workers that it answers would never report to the leader that replaces it.
 void LeaderElection::keep_leading() {
   pause(lease_duration_s_ / kRenewalsPerLease);
   const std::uint64_t fencing_token = status().fencing_token;
@@ -179,7 +181,7 @@
   const bool isolated =
       renewed != Outcome::ok && renewed != Outcome::absent &&
       is_isolated_(kv::steady_now() - renewed_at_.value(), lease_duration_s_, fencing_token);
-  // An outage may have ended while the other nodes were asked.
+  // The outage may have ended while the other nodes were asked: tries once more.
   if (isolated) renewed = renew_lease();
   if (renewed == Outcome::absent) {
     on_lease_expired(fencing_token);
@@ -196,15 +198,15 @@
 
 void LeaderElection::step_down_isolated(std::uint64_t fencing_token) {
   spdlog::error("stepped down reason=isolated fencing_token={}", fencing_token);
-  // Without the lease the key, if it still exists, counts as a predecessor's from now on.
+  // If the key still exists, it counts as a predecessor's from now on, since its lease is given up.
   lease_id_ = 0;
   std::lock_guard lock(mutex_);
   clear_leadership(true);
 }
 
 void LeaderElection::campaign() {
-  // Whatever the outcome, the key is read again. A watch reports only changes, and a vacancy that
-  // lasts is none: once all claims had failed, no node would campaign again.
+  // Whatever the outcome, the key is read again. A watch only reports changes, and a key that stays
+  // absent is no change: once all claims had failed, no node would campaign again.
   leaderless_ = false;
   watch_revision_ = 0;
   if (defer_to_others()) return;
@@ -218,7 +220,8 @@
   claim_leader_key(asked_at);
 }
 
-// Whether this vacancy's one deferral was spent just now, by a pause in which another may claim.
+// Pauses, once while the key is absent, so that another node may claim it first. Returns whether it
+// did.
 bool LeaderElection::defer_to_others() {
   const bool defers =
       (should_defer_() || std::exchange(defers_to_others_, false)) && !has_deferred_;
@@ -227,7 +230,7 @@
   return defers;
 }
 
-// `asked_at`: when the lease was asked for, which is the earliest that its duration began.
+// `asked_at`: when the lease was asked for. Its duration began then at the earliest.
 void LeaderElection::claim_leader_key(double asked_at) {
   kv::Transaction claim;
   claim.preconditions = {{kLeaderKey, 0}};
@@ -240,16 +243,16 @@
     store_.revoke_lease(lease_id_);
     lease_id_ = 0;
   } else {
-    // Without an answer the claim may have been applied; the lease is kept, and the key
-    // is read again to find out.
+    // Without a response, the claim may have been applied. Keeps the lease; the key is read again
+    // to find out.
     pause_before_retry();
   }
 }
 
-// A process that was restarted at once finds its predecessor's key, which would stay for seconds,
-// or as long as the key-value store is out and a lease more. Removed, not taken over: another node
-// that has been running since then leads first, so that a node that crashes again and again does
-// not keep leadership from those that run.
+// A process that is restarted at once finds the key of its predecessor, which would remain for
+// seconds, or for the rest of an outage of the key-value store and a lease more. The key is removed
+// and not taken over: nodes that have kept running go first, so that a node that crashes again and
+// again does not keep them from leading.
 void LeaderElection::remove_dead_leader(std::uint64_t revision) {
   kv::Transaction removal;
   removal.preconditions = {{kLeaderKey, revision}};
@@ -290,9 +293,9 @@
   set_leader(0, "");
 }
 
-// By a list, since its answer has the store's revision too. The key's own may be older than any
-// watch can reach: a node that joined under a leader of many hours would read the key and fail
-// to watch it in turn, as fast as it can.
+// Uses a list rather than get(), since a list also returns the store revision. The revision of the
+// key itself may be too old to watch from: a node that starts while the same leader has led for
+// many hours would alternate between reading the key and failing to watch it, without a pause.
 void LeaderElection::read_leader_key() {
   const kv::ListResult page = store_.list(kLeaderKey, "");
   if (page.outcome != Outcome::ok) {
@@ -318,7 +321,7 @@
       store_.watch(kLeaderKey, watch_revision_, millis(lease_duration_s_));
   if (changes.outcome != Outcome::ok) {
     watch_revision_ = 0;
-    // `absent`: the revision is too old to watch from, which reading the key mends at once.
+    // `absent`: the revision is too old to watch from. Reading the key returns a newer one.
     if (changes.outcome != Outcome::absent) pause_before_retry();
     return;
   }
--- a/src/leadership/read_freshness.cpp
+++ b/src/leadership/read_freshness.cpp
@@ -6,19 +6,20 @@
 
 namespace {
 
-// Seconds that a worker needs to end a task, and that clocks which drift add to durations.
+// For the time that a worker needs to end a task, and for what clock drift adds to durations.
 constexpr double kTaskEndMargin_s = 1;
-// A leader could not stay within less even while the key-value store is well: watches return every
-// second, and an answer may take a few hundred milliseconds.
+// A leader would exceed a shorter bound even in normal operation of the key-value store: watches
+// return every second, and a response may take a few hundred milliseconds.
 constexpr double kMinStalenessBound_s = 3;
-// While the key-value store is well no read of the jobs is as old; where the bound is short, half
-// of it.
+// Members are polled once the latest read of the jobs is older than this, or than half of a short
+// bound. In normal operation of the key-value store no read gets as old.
 constexpr double kPollAfter_s = 3;
 constexpr double kPollInterval_s = 0.5;
-// Added to each window for the time of the question and its answer on the network.
+// Added to each window for the time that request and response take on the network.
 constexpr double kWindowSlack_s = 1;
 
-// What the promise allows, which may be too little or negative.
+// Returns the bound with which tasks end within cancel_s; it may be too short for normal operation,
+// or negative.
 double exact_bound(const settings::WorkerTimings& workers) {
   return (workers.cancel_s - workers.lease_s) / (1 + 2 * kMaxClockDrift) - kTaskEndMargin_s;
 }
@@ -46,8 +47,8 @@
   }
 }
 
-// The member read its list after it was asked and before its answer came. So the time that the list
-// covers began, at the latest, that long before the answer came.
+// The member compiled its list after it was asked and before its response came. So the time that
+// the list covers began, at the latest, `covered` before the response came.
 bool ReadFreshness::apply_digest(const CancellationDigest& digest) {
   if (digest.member >= members_known_until_.size()) return false;
   double& known_until = members_known_until_[digest.member];
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint32_t kUnlimited = std::numeric_limits<std::uint32_t>::max();
 
-// The numbers in a program version, up to the first part that is not a number.
+// Returns the numbers in a program version, up to the first part that is not a number.
 std::vector<int> version_numbers(const std::string& version) {
   std::vector<int> numbers;
   const char* next = version.data();
@@ -57,14 +57,16 @@
   return reason ? std::optional<std::string>(*reason) : std::nullopt;
 }
 
-// Writers leave the level first; `level` itself follows once its records are gone.
+// Lowers the level that writers use; the level that readers must support follows once no record of
+// it remains.
 std::optional<SchemaMigration> downgrade(const StoredSchema& stored, ClaimSummary summary) {
   if (auto reason = downgrade_rejection(stored)) {
     return SchemaMigration{{stored.level, stored.written_level, false},
                            std::move(summary.revisions),
                            std::move(reason)};
   }
-  if (stored.written_level < stored.level) return std::nullopt;  // the last one is not settled yet
+  if (stored.written_level < stored.level)
+    return std::nullopt;  // the previous downgrade is not settled yet
   return SchemaMigration{{stored.level, stored.written_level - 1, false},
                          std::move(summary.revisions)};
 }
--- a/src/schema/schema_records.cpp
+++ b/src/schema/schema_records.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-// Above any level there will be; keeps numbers from the store within 32 bits.
+// Above any future level. Keeps numbers from the store within 32 bits.
 constexpr std::uint64_t kMaxLevel = 1000;
 
 std::uint32_t read_level(const kv::Json& map, const char* field) {
   return static_cast<std::uint32_t>(wire::count(map, field, kMaxLevel));
 }
 
-// Whether a leader can have written it: migrations move one level at a time.
+// Whether a leader can have written these values: migrations move one level at a time.
 bool is_consistent(const StoredSchema& stored) {
   if (stored.written_level < kCompact) return false;
   if (stored.level < stored.written_level || stored.level > stored.written_level + 1) return false;
--- a/src/schema/schema_version_tracker.cpp
+++ b/src/schema/schema_version_tracker.cpp
@@ -15,7 +15,8 @@
 
 using kv::Outcome;
 
-// Each round of run() renews the claim once, so that three renewals may fail before it ends.
+// Each round of run() renews the claim once, so that three renewals may fail before its lease
+// expires.
 constexpr double kClaimRenewalInterval_s = kClaimLease_s / 4;
 constexpr double kSchemaRetryDelay_s = 0.5;
 constexpr int kRoundsPerClaimsRead = 3;
@@ -58,10 +59,10 @@
   if (!claim_lease_id_) claim_lease_id_ = announce();
 }
 
-// The claim of this process's predecessor on the node may still exist. If it announces the same, it
-// is adopted with its lease: a process that restarts again and again writes nothing, leaves no
-// leases behind, and its claim does not come and go. Returns the lease of the claim, none if the
-// claim is not known to be stored.
+// Stores this process's claim. The claim of an earlier process on this node may still exist. If it
+// announces the same, it is adopted with its lease: so a process that restarts again and again
+// writes nothing and leaves no leases behind, and its claim does not come and go. Returns the lease
+// of the claim, none if it is not known to be stored.
 std::optional<std::uint64_t> SchemaVersionTracker::announce() {
   const kv::ReadResult found = store_.get(claim_key(node_));
   const Claim claim{node_,
@@ -80,7 +81,7 @@
       }
       return std::nullopt;
     case PredecessorClaim::adopt:
-      // Where the lease has just expired, the next round finds no claim.
+      // If the lease has just expired, the next round finds no claim and stores a new one.
       if (store_.renew_lease(found.entry.lease_id) != Outcome::ok) return std::nullopt;
       return found.entry.lease_id;
     case PredecessorClaim::replace:
@@ -89,7 +90,8 @@
   return publish(claim, found.entry.revision);
 }
 
-// After an unknown outcome the next round finds the claim, if it was stored, and adopts it.
+// Stores the claim under a new lease. If the outcome is unknown, the next round finds the claim, if
+// it was stored, and adopts it.
 std::optional<std::uint64_t> SchemaVersionTracker::publish(const Claim& claim,
                                                            std::uint64_t predecessor_revision) {
   const kv::LeaseGrant lease = store_.grant_lease(millis(kClaimLease_s));
@@ -160,8 +162,8 @@
   return latest_->revision;
 }
 
-// Lists the one key, since a list also returns the store's revision: the record's own may be older
-// than any that a watch can start from.
+// Uses a list rather than get(), since a list also returns the store revision: the revision of the
+// record itself may be too old for a watch to start from.
 std::optional<std::uint64_t> SchemaVersionTracker::read_stored_schema() {
   const kv::ListResult page = store_.list(kLevelKey, "");
   if (page.outcome != Outcome::ok) return std::nullopt;
@@ -192,7 +194,7 @@
   log_compatibility(reason);
 }
 
-// The operators' page quotes the second line. Called with mutex_ held.
+// Called with mutex_ held. The operators' documentation quotes the second log line.
 void SchemaVersionTracker::log_compatibility(const std::string& reason) {
   if (reason == last_logged_reason_) return;
   if (reason.empty()) {
--- a/src/schema/shared_settings.cpp
+++ b/src/schema/shared_settings.cpp
@@ -11,7 +11,7 @@
 
 namespace reachramp::schema {
 
-// Hashes the JSON form, since its fields are sorted.
+// Hashes the JSON form, which is the same for the same settings since its fields are sorted.
 std::uint64_t shared_settings_digest(const settings::Platform& platform) {
   kv::Json shared = kv::Json::object();
   std::vector<std::string> nodes{platform.node_name};
--- a/src/settings/platform.cpp
+++ b/src/settings/platform.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Reads fields of one table, naming the full path of whatever is wrong.
+// Reads the fields of one TOML table. Its errors name the file and the full path of the field.
 class TableReader {
  public:
   TableReader(const toml::table& table, std::string file, std::string prefix)
@@ -63,17 +63,17 @@
   }
 
   std::vector<TableReader> tables(const char* field) const {
-    std::vector<TableReader> found;
-    if (!table_.contains(field)) return found;
+    std::vector<TableReader> readers;
+    if (!table_.contains(field)) return readers;
     const auto* array = table_[field].as_array();
     if (array == nullptr) throw_bad_settings(field, "not a list of tables");
     for (std::size_t i = 0; i < array->size(); ++i) {
       const std::string name = std::string(field) + "[" + std::to_string(i) + "]";
       const auto* inner = array->get(i)->as_table();
       if (inner == nullptr) throw_bad_settings(name, "not a table");
-      found.emplace_back(*inner, file_, prefix_ + name + ".");
+      readers.emplace_back(*inner, file_, prefix_ + name + ".");
     }
-    return found;
+    return readers;
   }
 
  private:
@@ -82,14 +82,14 @@
   std::string prefix_;
 };
 
-WorkerTimings read_workers(const TableReader& table) {
-  WorkerTimings workers;
-  workers.report_interval_s = table.number("report_s", 0.01);
-  workers.lease_s = table.number("lease_s", 0.1);
-  workers.gang_wait_s = table.number("gang_wait_s", 0.1);
-  workers.gang_peer_s = table.number("gang_peer_s", 0.1);
-  workers.cancel_s = table.number("cancel_s", 0.1);
-  return workers;
+WorkerTimings read_worker_timings(const TableReader& table) {
+  WorkerTimings timings;
+  timings.report_interval_s = table.number("report_s", 0.01);
+  timings.lease_s = table.number("lease_s", 0.1);
+  timings.gang_wait_s = table.number("gang_wait_s", 0.1);
+  timings.gang_peer_s = table.number("gang_peer_s", 0.1);
+  timings.cancel_s = table.number("cancel_s", 0.1);
+  return timings;
 }
 
 StoreLimits read_store_limits(const TableReader& table) {
@@ -123,9 +123,9 @@
   try {
     parsed = toml::parse(text, path);
   } catch (const toml::parse_error& error) {
-    std::ostringstream where;
-    where << path << ": line " << error.source().begin.line << ": " << error.description();
-    throw BadSettings(where.str());
+    std::ostringstream message;
+    message << path << ": line " << error.source().begin.line << ": " << error.description();
+    throw BadSettings(message.str());
   }
   const TableReader root(parsed, path, "");
   Platform platform;
@@ -148,7 +148,7 @@
                               team.number_or("gpus_max", 0, 0)});
   }
   for (const TableReader& objective : facts.tables("objectives")) {
-    // Kinds that we do not know say nothing to us.
+    // Objectives of an unknown kind are ignored: a later version may define it.
     const std::string kind = objective.text("kind");
     if (kind == "deadline") {
       platform.objectives.push_back({ServiceLevelObjective::Kind::deadline, objective.text("class"),
@@ -159,11 +159,11 @@
                                      objective.text("class"), objective.number("within_s", 0), 1});
     }
   }
-  platform.worker_timings = read_workers(facts.table("workers"));
-  const TableReader state = facts.table("state");
-  platform.store_limits = read_store_limits(state);
+  platform.worker_timings = read_worker_timings(facts.table("workers"));
+  const TableReader store = facts.table("state");
+  platform.store_limits = read_store_limits(store);
   platform.upcoming_store_limits =
-      state.has("next") ? read_upcoming_store_limits(state.table("next"), platform.store_limits)
+      store.has("next") ? read_upcoming_store_limits(store.table("next"), platform.store_limits)
                         : platform.store_limits;
   const TableReader cloud = facts.table("cloud");
   platform.cloud_limits = {cloud.number("rps", 0.1), cloud.number("list_lag_s", 0)};
--- a/src/settings/policy.cpp
+++ b/src/settings/policy.cpp
@@ -12,12 +12,14 @@
 
 namespace {
 
+// A setting that is one number, with the range of its valid values.
 struct NumericSetting {
   double Policy::*field;
   double min;
   double max;
 };
 
+// By the name in the policy file.
 const std::map<std::string, NumericSetting>& numeric_settings() {
   static const std::map<std::string, NumericSetting> all{
       {"target", {&Policy::target_utility, 0.5, 0.9999}},
@@ -29,12 +31,12 @@
   return all;
 }
 
-// (levels (hold-at N))
+// Reads the section (levels (hold-at N)).
 void read_levels(const SExpression& section, Policy& policy, const std::string& path) {
   for (std::size_t i = 1; i < section.items.size(); ++i) {
     const SExpression& entry = section.items[i];
     if (entry.name().empty()) throw_bad_settings(path, entry, "levels", "expected (name value)");
-    if (entry.name() != "hold-at") continue;  // a newer version's setting
+    if (entry.name() != "hold-at") continue;  // ignored: a later version may define it
     const double level = parse_number(entry, schema::kCompact, schema::kNewestLevel, path);
     policy.hold_at = static_cast<unsigned>(level);
     if (policy.hold_at != level) throw_bad_settings(path, entry, "hold-at", "not a whole number");
@@ -55,7 +57,7 @@
     if (name.empty()) throw_bad_settings(path, entry, "policy", "expected (name value)");
     const auto setting = numeric_settings().find(name);
     if (setting == numeric_settings().end() && name != "levels" && name != "drains") {
-      continue;  // a newer version's setting
+      continue;  // ignored: a later version may define it
     }
     if (!seen.insert(name).second) throw_bad_settings(path, entry, name, "given twice");
     if (name == "levels") {
--- a/src/settings/s_expression.cpp
+++ b/src/settings/s_expression.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
+// For std::unique_ptr.
 struct SexpDeleter {
   void operator()(sexp_t* tree) const { destroy_sexp(tree); }
 };
 
-// The library does not tell where it found what. Lists open in the text in the order in which a
-// walk through the tree meets them.
+// Returns the line on which each list starts, in the order of the text, in which a walk through the
+// tree also visits the lists. The S-expression library reports no positions.
 std::vector<int> list_start_lines(const std::string& text) {
   std::vector<int> lines;
   int line = 1;
@@ -39,6 +40,8 @@
   return lines;
 }
 
+// Converts the library's tree. `lines` is the result of list_start_lines(), `next_list` the index
+// of the list that the walk visits next, `line` the line of the enclosing list.
 SExpression convert(const sexp_t* source, const std::vector<int>& lines, std::size_t& next_list,
                     int line) {
   SExpression tree;
@@ -75,8 +78,8 @@
   if (!tree || tree->ty != SEXP_LIST) {
     throw BadSettings(path + ": line 1: policy: expected (policy (name value) ...)");
   }
-  std::size_t lists = 0;
-  return convert(tree.get(), list_start_lines(text), lists, 1);
+  std::size_t next_list = 0;
+  return convert(tree.get(), list_start_lines(text), next_list, 1);
 }
 
 std::string to_text(const SExpression& tree) {
--- a/src/wire/connection_limiter.cpp
+++ b/src/wire/connection_limiter.cpp
@@ -14,14 +14,16 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t kClientKinds = 4;
-constexpr std::size_t kReservedDivisor = 4;  // a party's due is one in this many
+// One in this many connections, or requests, is reserved for each kind of client.
+constexpr std::size_t kReservedDivisor = 4;
+// The shares of the process's resources that connections to serve may take.
 constexpr double kConnectionShareOfDescriptors = 0.65;
 constexpr double kConnectionShareOfMemory = 0.5;
 constexpr double kConnectionMemory_mb = 0.044;
 constexpr double kConnectionShareOfThreads = 0.9;
 constexpr auto kConnectionThreadIdleTimeout = 10s;
 constexpr double kMinConnections = 16;
-// A connection that was told to close needs its thread's turn to be gone.
+// For the thread of a connection that was shut down to notice and to remove it.
 constexpr auto kCloseTimeout = 200ms;
 
 std::int64_t now_ms() {
@@ -37,11 +39,12 @@
 std::optional<std::size_t> choose_connection_to_close(
     const std::vector<ConnectionStatus>& connections, ClientKind new_kind) {
   std::size_t counts[kClientKinds] = {};
-  for (const ConnectionStatus& one : connections) ++counts[index_of(one.kind)];
+  for (const ConnectionStatus& connection : connections) ++counts[index_of(connection.kind)];
   const std::size_t reserved = connections.size() / kReservedDivisor;
-  const auto may_close = [&](const ConnectionStatus& one) {
-    return !one.busy && (one.kind == ClientKind::unknown || one.kind == new_kind ||
-                         counts[index_of(one.kind)] > reserved);
+  const auto may_close = [&](const ConnectionStatus& connection) {
+    return !connection.busy &&
+           (connection.kind == ClientKind::unknown || connection.kind == new_kind ||
+            counts[index_of(connection.kind)] > reserved);
   };
   std::optional<std::size_t> chosen;
   for (std::size_t i = 0; i < connections.size(); ++i) {
@@ -98,7 +101,7 @@
       remove(connection);
     });
   } catch (const std::system_error& error) {
-    spdlog::error("no thread for a connection: {}", error.what());
+    spdlog::error("cannot start a thread for a connection: {}", error.what());
     remove(connection);
     return false;
   }
@@ -109,9 +112,9 @@
   connection->status.idle_since_ms = now_ms();
   std::unique_lock lock(mutex_);
   if (connections_.size() >= max_connections_) {
-    const auto room = [&] { return connections_.size() < max_connections_; };
+    const auto has_room = [&] { return connections_.size() < max_connections_; };
     if (!close_one_locked(connection->status.kind)) return false;
-    if (!removed_.wait_for(lock, kCloseTimeout, room)) return false;
+    if (!removed_.wait_for(lock, kCloseTimeout, has_room)) return false;
   }
   connections_.insert(connection);
   return true;
--- a/src/wire/http.cpp
+++ b/src/wire/http.cpp
@@ -14,6 +14,7 @@
 
 namespace {
 
+// Of a connection to the server, for each read and write.
 constexpr auto kIdleTimeout = std::chrono::seconds(75);
 constexpr std::uint32_t kMaxHeader_bytes = 8 * 1024;
 using Buffer = boost::beast::flat_static_buffer<4096>;
@@ -63,7 +64,8 @@
     connection->socket = listener_.accept();
     if (stopping_) return;
     if (!connection->socket.is_open()) {
-      // Out of sockets, most likely: free one rather than spin on the same failure.
+      // Most likely no descriptor is left. Frees one and pauses, so that this loop does not repeat
+      // the same failure at full speed.
       limiter_.close_one_for(initial_kind_);
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
       continue;
@@ -76,7 +78,7 @@
       serve_connection(connection);
       --active_connections_;
     });
-    if (!admitted) --active_connections_;  // and it is closed
+    if (!admitted) --active_connections_;  // its destructor closes the socket
   }
 }
 
@@ -88,7 +90,7 @@
   } catch (const BadMessage& error) {
     return {400, {{"error", error.what()}}};
   } catch (const std::exception& error) {
-    spdlog::error("{} {}: {}", request.method, request.path, error.what());
+    spdlog::error("request {} {} failed: {}", request.method, request.path, error.what());
     return {503, {{"error", "internal"}}, 1};
   }
 }
@@ -156,9 +158,10 @@
   if (auto socket = take_idle()) {
     socket->set_timeout(timeout);
     if (exchange(*socket, request_bytes, method, result)) return result;
-    // A kept connection that the other side closed meanwhile says nothing about the request; one
-    // that stayed silent for the whole limit does. Every request here is safe to repeat: it is
-    // conditional, named, or a read.
+    // If the server closed the idle connection meanwhile, the failure says nothing about the
+    // request, which is repeated. If the server did not respond within the timeout, it is not.
+    // Every request of this program is safe to repeat: it is conditional, has a name, or only
+    // reads.
     if (std::chrono::steady_clock::now() - start > timeout / 2) return result;
   }
   error_code ec;
@@ -183,15 +186,16 @@
   const auto& message = parser.get();
   result.received_response = true;
   result.status = static_cast<int>(message.result_int());
-  const auto retry = message[http::field::retry_after];
-  if (!retry.empty()) result.retry_after_s = std::atoi(std::string(retry).c_str());
+  const auto retry_after_text = message[http::field::retry_after];
+  if (!retry_after_text.empty())
+    result.retry_after_s = std::atoi(std::string(retry_after_text).c_str());
   result.body = Json::object();
   if (!message.body().empty()) {
     try {
       result.body = decode_map(message.body());
     } catch (const BadMessage&) {
-      spdlog::info("{}:{} answered {} with a body that is no message", address_.host, address_.port,
-                   result.status);
+      spdlog::info("{}:{} responded with status {} and a malformed body", address_.host,
+                   address_.port, result.status);
       result.body = Json();
     }
   }
--- a/src/wire/message.cpp
+++ b/src/wire/message.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
+// Deeper than any message of the protocol.
 constexpr int kMaxNestingDepth = 12;
 
-// Walks a body without building anything, so that a hostile one is refused before it costs memory
-// or stack: the library's reader recurses once for every level of nesting.
+// Checks a body without building a document, so that a hostile one is rejected before it takes
+// memory or stack: the library's parser recurses once for every level of nesting.
 class MessageValidator : public nlohmann::json_sax<Json> {
  public:
   bool null() override { return true; }
--- a/src/wire/socket.cpp
+++ b/src/wire/socket.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-// A process that is started a moment after the end of the one before may find that one's port still
-// taken. Past this it is somebody else's.
+// A process that starts just after its predecessor has ended may find the port still in use. If it
+// is in use for longer than this, another program has it.
 constexpr auto kBindRetryDuration = std::chrono::seconds(3);
 constexpr auto kBindRetryInterval = std::chrono::milliseconds(20);
 
