--- a/src/cloud/client_bytes_test.cpp
+++ b/src/cloud/client_bytes_test.cpp
@@ -30,7 +30,7 @@
   EXPECT_EQ(read[0].zones, (std::vector<std::string>{"a", "b"}));
 }
 
-TEST(CloudBytes, HireIsWrittenAsLiteral) {
+TEST(CloudBytes, ScaleOutRequestIsWrittenAsLiteral) {
   EXPECT_TRUE(
       is_written_as(encode_scale_out({"r-40-1", "g8", "a", true, 3}),
                     R"({"hire":"r-40-1","rig":"g8","hall":"a","loaner":true,"how_many":3})"));
@@ -67,9 +67,9 @@
   });
   Client client(service.at());
   ASSERT_TRUE(client.catalog());
-  const ScaleOutResult hired = client.scale_out({"r-40-1", "g8", "a", false, 3});
-  EXPECT_EQ(hired.outcome, CloudOutcome::ok);
-  EXPECT_EQ(hired.machines, (std::vector<std::string>{"n-1", "n-2"}));
+  const ScaleOutResult result = client.scale_out({"r-40-1", "g8", "a", false, 3});
+  EXPECT_EQ(result.outcome, CloudOutcome::ok);
+  EXPECT_EQ(result.machines, (std::vector<std::string>{"n-1", "n-2"}));
   EXPECT_TRUE(client.scale_in({"n-1", "n-2"}));
   const ListPage page = client.list_machines("");
   EXPECT_EQ(page.outcome, CloudOutcome::ok);
@@ -90,14 +90,14 @@
   }
 }
 
-TEST(CloudBytes, RefusalsOfHireAreReadFromLiteral) {
-  wire::Response reply{503, received(R"({"error":"no capacity"})"), 0};
-  test::Recorder service([&](const wire::Request&) { return reply; });
+TEST(CloudBytes, RejectionsOfScaleOutAreReadFromLiteral) {
+  wire::Response response{503, received(R"({"error":"no capacity"})"), 0};
+  test::Recorder service([&](const wire::Request&) { return response; });
   Client client(service.at());
   EXPECT_EQ(client.scale_out({}).outcome, CloudOutcome::no_capacity);
-  reply = {503, received(R"({"error":"outage"})"), 0};
+  response = {503, received(R"({"error":"outage"})"), 0};
   EXPECT_EQ(client.scale_out({}).outcome, CloudOutcome::retry_later);
-  reply = {400, received(R"({"error":"bad"})"), 0};
+  response = {400, received(R"({"error":"bad"})"), 0};
   EXPECT_EQ(client.scale_out({}).outcome, CloudOutcome::malformed);
 }
 
--- a/src/cloud/client_test.cpp
+++ b/src/cloud/client_test.cpp
@@ -5,9 +5,10 @@
 namespace reachramp::cloud {
 namespace {
 
-// Found with the lab's cloud, which had no address for a machine that was still starting: the whole
-// list was dropped for it, for as long as the machine was listed.
-TEST(CloudClient, AMachineWithoutAnAddressIsListedAllTheSame) {
+// Guards against one malformed entry that makes the whole list of machines invalid. The emulated
+// cloud listed a machine that was still starting without an address, and the list was dropped for
+// as long as that machine was in it.
+TEST(CloudClient, MachineWithoutAnAddressIsStillListed) {
   const Json machine{{"ref", "n-1"},   {"rig", "small"},      {"hall", "a"},
                      {"loaner", true}, {"phase", "starting"}, {"held_s", 3}};
   for (const Json& address : {Json(), Json(""), Json(7), Json(std::string(300, 'x'))}) {
@@ -19,7 +20,7 @@
   Json nameless = machine;
   nameless["ref"] = "";
   EXPECT_THROW(decode_listed_machine(nameless), wire::BadMessage)
-      << "whatever it is, it cannot be told";
+      << "a machine without a name cannot be identified";
 }
 
 }  // namespace
--- a/src/kv/client_bytes_test.cpp
+++ b/src/kv/client_bytes_test.cpp
@@ -1,4 +1,5 @@
-// The literal requests that the key-value store's client sends: method, target and body.
+// The requests that the client of the key-value store sends, in literal form: method, target and
+// body.
 #include "kv/client.h"
 #include "recorder.h"
 
--- a/src/kv/client_test.cpp
+++ b/src/kv/client_test.cpp
@@ -1,4 +1,4 @@
-// What the client makes of throttling, outages and silence, against a store with set responses.
+// How the client handles throttling and outages, against a server whose responses the test sets.
 #include "kv/client.h"
 
 #include <atomic>
@@ -13,7 +13,7 @@
 
 wire::Response reply(int status) { return {status, received(R"({"epoch":3})"), 0}; }
 
-// Guards against users seeing a refusal that a short pause would have avoided.
+// Guards against users' requests that fail although a short pause would have avoided it.
 TEST(KeyValueClient, ThrottledTransactionIsRepeatedAndCounted) {
   std::atomic<int> requests{0};
   test::Recorder store([&](const wire::Request&) { return reply(++requests <= 2 ? 429 : 200); });
@@ -66,7 +66,7 @@
   EXPECT_LE(assigned_at, steady_now());
 }
 
-// Guards against callers that queue up behind our own rate limit without an end.
+// Guards against ever more callers that wait for our own rate limit.
 TEST(KeyValueClient, RequestThatWouldWaitLongForOurOwnRateIsRefusedUnsent) {
   test::Recorder store([](const wire::Request&) { return reply(404); });
   Client client(store.at(), 0.1);
--- a/src/kv/revision_clock_bytes_test.cpp
+++ b/src/kv/revision_clock_bytes_test.cpp
@@ -1,4 +1,5 @@
-// The literal form of the record `timeline`, which outlives releases.
+// Encodes and decodes the record `timeline` in its literal form, which must not change: later
+// versions read it.
 #include "bytes.h"
 #include "kv/revision_clock.h"
 
--- a/src/kv/revision_clock_test.cpp
+++ b/src/kv/revision_clock_test.cpp
@@ -1,4 +1,4 @@
-// Ages of records from the samples of the store revision, with the store's true history beside.
+// Compares the estimated ages of records with the true history of an emulated store.
 #include "kv/revision_clock.h"
 
 #include <gtest/gtest.h>
@@ -9,8 +9,8 @@
 namespace reachramp::kv {
 namespace {
 
-// A store whose revision moves at times that no node observes exactly, and when each revision was
-// truly assigned.
+// A store whose revision changes at times that no node observes exactly. Records when each revision
+// was assigned.
 struct StoreHistory {
   double now = 1000;
   std::uint64_t store_revision = 5;
@@ -28,9 +28,9 @@
   std::uint64_t revision = 0;
 };
 
-// Guards against taking something for younger than it is: the bound is never later than the
+// Guards against an age that is underestimated: the bound is never later than the time at which the
 // revision was assigned, and there is none for a revision from before this process's first sample,
-// whatever an earlier leader wrote of it.
+// whatever an earlier leader wrote about it.
 RC_GTEST_PROP(RevisionClock, EarliestTimeIsNeverLaterThanTheRevisionWasAssigned, ()) {
   StoreHistory store;
   for (int i = 0; i < 20; ++i) {
--- a/src/leadership/holder_bytes_test.cpp
+++ b/src/leadership/holder_bytes_test.cpp
@@ -1,4 +1,4 @@
-// The leader's record as it is stored, byte for byte.
+// Encodes and decodes the leader's record in its literal stored form.
 #include "bytes.h"
 #include "leadership/holder.h"
 
--- a/src/leadership/holder_test.cpp
+++ b/src/leadership/holder_test.cpp
@@ -38,10 +38,10 @@
   }
 }
 
-// One history: processes of three nodes, and of a fourth that has the first one's name at another
-// address, read the leader's key, then claim it or remove it with what they read some time ago.
-// They end at any moment and are restarted at once; what they had sent may be applied after their
-// end.
+// A random history: processes of three nodes, and of a fourth that has the name of the first one
+// but another address, read the leader's key, and some time later claim or remove it on the basis
+// of what they read. They end at any moment and are restarted at once. Transactions that they sent
+// may be applied after their end.
 class LeaderKeyHistory {
  public:
   explicit LeaderKeyHistory(std::uint64_t seed) : random_(seed) {
@@ -66,7 +66,7 @@
     }
   }
 
-  // Everything that was sent arrives, and every process reads the key once more.
+  // Applies all transactions that were sent, and lets every process read the key once more.
   void settle() {
     for (const kv::Transaction& transaction : delayed_) apply(transaction);
     for (Process& process : processes_) {
@@ -81,7 +81,7 @@
     return entries.empty() ? std::nullopt : std::optional(entries.front());
   }
 
-  // Whether a live process takes the key for its own.
+  // Whether a live process regards the key as its own.
   bool is_held(const std::optional<kv::Entry>& entry) const {
     return entry && std::any_of(processes_.begin(), processes_.end(), [&](const Process& one) {
              return holder_of(entry->value, one.self, one.lease_id) == Holder::ours;
@@ -107,7 +107,7 @@
         {kNodes[i].name, kNodes[i].at, std::to_string(++started_) + "-"}, 0, {}, false};
   }
 
-  // A claim of the key where it is absent, the removal of a predecessor's, or nothing.
+  // Returns a claim of the key if it is absent, its removal if it is a predecessor's, or nothing.
   std::optional<kv::Transaction> next_transaction(Process& process) {
     kv::Transaction transaction;
     if (!process.read) {
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -220,8 +220,8 @@
   claim_leader_key(asked_at);
 }
 
-// Pauses, once while the key is absent, so that another node may claim it first. Returns whether it
-// did.
+// If other nodes should go first, pauses so that one of them may claim the key, but only once while
+// the key stays absent. Returns whether it paused.
 bool LeaderElection::defer_to_others() {
   const bool defers =
       (should_defer_() || std::exchange(defers_to_others_, false)) && !has_deferred_;
--- a/src/leadership/read_freshness_test.cpp
+++ b/src/leadership/read_freshness_test.cpp
@@ -1,6 +1,6 @@
-// What made it necessary: the key-value store refuses the leader, other nodes confirm
-// cancellations, then the store is down for all for longer than cancel_s, while workers go on
-// reporting to that leader.
+// Guards against tasks that outlive cancel_s: the key-value store rejects only the leader's
+// requests, other nodes confirm cancellations, then the store is down for all nodes for longer than
+// cancel_s, while workers go on reporting to that leader.
 #include "leadership/read_freshness.h"
 
 #include <gtest/gtest.h>
@@ -62,8 +62,8 @@
   EXPECT_GT(staleness_bound({1, 10, 15, 4, 8}), 0) << "or no worker would ever be answered";
 }
 
-// One history: clocks that drift, members that restart or cannot be reached, digests that are held
-// up, a key-value store that serves all, all but the leader, or nobody.
+// A random history: clocks drift, members restart or cannot be reached, digests are delayed, and
+// the key-value store serves all nodes, all but the leader, or none.
 class CancellationHistory {
  public:
   explicit CancellationHistory(std::uint64_t seed) : random_(seed) {
@@ -89,7 +89,7 @@
     check_answer(now);
   }
 
-  // For how many seconds the leader answered workers without the key-value store.
+  // The longest time for which the leader answered workers without a response of the store.
   double longest_without_store_s() const { return longest_without_store_s_; }
 
  private:
@@ -185,8 +185,8 @@
     });
   }
 
-  // Each confirmed cancellation has reached the leader by the time of any answer, or the lease that
-  // the answer extends ends within cancel_s of the confirmation.
+  // When the leader answers a worker, it knows each confirmed cancellation, or the lease that the
+  // answer extends ends within cancel_s of the confirmation.
   void check_answer(double now) {
     if (!freshness_->may_answer(clock(kLeader, now))) return;
     longest_without_store_s_ = std::max(longest_without_store_s_, now - last_read_at_);
--- a/src/schema/schema.pml
+++ b/src/schema/schema.pml
@@ -6,9 +6,9 @@
  *   - the migration is applied only while the claim of each node says that its process supports the
  *     new level;
  *   - a leader that was replaced changes nothing.
- * Each precondition is left out in a run of its own (scripts/model), which has to fail. Of the two
- * of a leader's transactions, leadership and level, either alone would do while at most one of its
- * transactions is pending. The protocol is in schema.h and schema_version_tracker.h. A claim may
+ * scripts/model also runs the model without each precondition in turn, which has to fail. A leader's
+ * transactions have two, leadership and level; one of them alone would suffice while at most one of
+ * its transactions is pending. The protocol is in schema.h and schema_version_tracker.h. A claim may
  * outlive its process; a later process on the node, of any version, replaces it before it serves. */
 
 #ifndef LEADER_HOLDS
--- a/src/schema/schema_bytes_test.cpp
+++ b/src/schema/schema_bytes_test.cpp
@@ -50,8 +50,8 @@
   EXPECT_EQ(claim.settings_digest, 4711u);
 }
 
-// Every node announces it in its claim and compares it with the others'. During a rolling upgrade
-// it must be the same for the same settings in both versions.
+// Every node announces the digest in its claim and compares it with those of others. During a
+// rolling upgrade both versions must compute the same digest for the same settings.
 TEST(ClaimRecordBytes, DigestOfSettingsIsFixed) {
   settings::Platform platform;
   platform.node_name = "node-1";
@@ -61,7 +61,7 @@
   EXPECT_EQ(shared_settings_digest(platform), 980543660533034833ull);
 }
 
-// Stored records carry the numbers, and versions in use rely on them.
+// The numbers stand in stored records, and versions in use rely on them.
 TEST(SchemaLevelBytes, NumbersAndVersionsAreFixed) {
   const std::pair<std::uint32_t, const char*> levels[] = {{1, "0.2.0"}, {2, "0.3.0"}, {3, "0.4.0"},
                                                           {4, "0.4.0"}, {5, "0.4.0"}, {6, "0.5.0"}};
--- a/src/schema/schema_test.cpp
+++ b/src/schema/schema_test.cpp
@@ -21,12 +21,13 @@
 
 Claim own_claim() { return {"node-1", "0.4.0", 1, kNewestLevel, 0, 7, 0}; }
 
-// The record that the process before left under the key of own_claim().
+// The record that an earlier process left under the key of own_claim().
 kv::Entry predecessor(const kv::Json& value, std::uint64_t lease_id) {
   return {"claim/node-1", value, 30, lease_id};
 }
 
-// A process that restarts again and again neither rewrites its claim each time nor leaves leases.
+// Guards against a process that restarts again and again and each time rewrites its claim and
+// leaves a lease behind.
 TEST(Levels, SameClaimOfPredecessorIsAdopted) {
   const Claim own = own_claim();
   EXPECT_EQ(disposition_of(predecessor(encode_claim(own), 9), own), PredecessorClaim::adopt);
--- a/src/settings/settings_bytes_test.cpp
+++ b/src/settings/settings_bytes_test.cpp
@@ -1,4 +1,5 @@
-// The literal form of the platform's file and of the policy's, with every field given.
+// Reads a platform file and a policy file in literal form, with every field given: guards against a
+// field whose outer name changes with a renaming in the code.
 #include <gtest/gtest.h>
 
 #include "settings/s_expression.h"
@@ -115,7 +116,7 @@
   EXPECT_EQ(platform.thread_limit, 900);
 }
 
-// The section (drains ...) is held by drains/rules_bytes_test.cpp.
+// The fields of the section (drains ...) are tested in src/drains/, which parses them.
 TEST(PolicyText, EveryFieldIsReadFromLiteral) {
   const Policy policy = parse_policy(
       "(policy (target 0.9) (gamma 0.02) (prior 0.2) (price-window-s 300) (tick-s 5)"
--- a/src/settings/settings_test.cpp
+++ b/src/settings/settings_test.cpp
@@ -43,7 +43,7 @@
 fd_limit = 700
 )";
 
-std::string complaint(const std::string& text) {
+std::string error_of(const std::string& text) {
   try {
     parse_platform(text, "node.toml");
   } catch (const BadSettings& error) {
@@ -52,11 +52,11 @@
   return "";
 }
 
-std::string without(std::string text, const std::string& line) {
+std::string without_line(std::string text, const std::string& line) {
   return text.erase(text.find(line), line.size());
 }
 
-TEST(Platform, LimitsToComeMayBeSaidInPart) {
+TEST(Platform, UpcomingLimitsMayBeGivenInPart) {
   Platform platform = parse_platform(kPlatform, "node.toml");
   EXPECT_EQ(platform.upcoming_store_limits.value_kb, 8);
   std::string text = kPlatform;
@@ -67,10 +67,10 @@
   EXPECT_EQ(both.value_kb, 2);
   EXPECT_EQ(both.write_rps, 15) << "limits may also rise";
   text.insert(text.find("value_kb = 2.0"), "txn_ops = 0\n");
-  EXPECT_EQ(complaint(text), "node.toml: facts.state.next.txn_ops: out of range");
+  EXPECT_EQ(error_of(text), "node.toml: facts.state.next.txn_ops: out of range");
 }
 
-TEST(Platform, ReadsWhatItKnowsAndIgnoresTheRest) {
+TEST(Platform, UnknownFieldsAreIgnored) {
   const Platform platform = parse_platform(kPlatform, "node.toml");
   EXPECT_EQ(platform.members.at(0).address.port, 9081);
   EXPECT_EQ(platform.teams.at(0).guaranteed_cpus, 4);
@@ -78,14 +78,14 @@
 }
 
 TEST(Platform, NamesFileFieldAndReason) {
-  EXPECT_EQ(complaint(without(kPlatform, "lease_s = 10.0")),
+  EXPECT_EQ(error_of(without_line(kPlatform, "lease_s = 10.0")),
             "node.toml: facts.workers.lease_s: missing or not a number");
-  EXPECT_NE(complaint(without(kPlatform, "serve_on = \"127.0.0.1:8080\"")).find("serve_on"),
+  EXPECT_NE(error_of(without_line(kPlatform, "serve_on = \"127.0.0.1:8080\"")).find("serve_on"),
             std::string::npos);
-  EXPECT_NE(complaint("x = ").find("node.toml: line 1"), std::string::npos);
+  EXPECT_NE(error_of("x = ").find("node.toml: line 1"), std::string::npos);
   std::string bad = kPlatform;
   bad.replace(bad.find("127.0.0.1:9081"), 14, "somewhere:9081");
-  EXPECT_NE(complaint(bad).find("members[0].addr"), std::string::npos);
+  EXPECT_NE(error_of(bad).find("members[0].addr"), std::string::npos);
 }
 
 TEST(Policy, DefaultsAndValues) {
@@ -95,7 +95,7 @@
   EXPECT_EQ(policy.horizon_s, Policy{}.horizon_s);
 }
 
-TEST(Policy, HoldsTheFleetAtALevelThatThereIs) {
+TEST(Policy, HoldAtMustBeAnExistingLevel) {
   EXPECT_EQ(parse_policy("(policy)", "p").hold_at, 0u);
   EXPECT_EQ(parse_policy("(policy (levels (hold-at 3) (newer 1)))", "p").hold_at, 3u);
   for (const char* bad : {"1", "99", "2.5", "x", "3 4", "-3", "nan"}) {
@@ -111,7 +111,7 @@
   EXPECT_THROW(parse_policy("(policy (levels) (levels))", "p"), BadSettings);
 }
 
-TEST(Tree, KnowsItsLinesAndComesBackFromItsText) {
+TEST(SExpression, HasLineNumbersAndRoundTripsThroughText) {
   const std::string text =
       "(policy ; (not a list)\n (target 0.9)\n (drains (serial 3)\n  (machines (names \"n (1\" "
       "x))))";
@@ -130,7 +130,7 @@
   }
 }
 
-TEST(Policy, RefusesWhatItCannotUse) {
+TEST(Policy, InvalidPolicyIsRejected) {
   for (const char* bad : {"", "(", "policy", "(other)", "(policy target)", "(policy (target))",
                           "(policy (target x))", "(policy (target 2))", "(policy (gamma 0))",
                           "(policy (target 0.9) (target 0.8))", "(policy (target 0.9 0.8))"}) {
--- a/src/wire/http_bytes_test.cpp
+++ b/src/wire/http_bytes_test.cpp
@@ -1,4 +1,4 @@
-// Requests and replies as they go over the line, headers and MessagePack included.
+// Requests and responses byte for byte, with headers and MessagePack bodies.
 #include <thread>
 
 #include "ports.h"
@@ -9,26 +9,26 @@
 
 using namespace std::string_literals;
 
-constexpr auto kLimit = std::chrono::milliseconds(5000);
+constexpr auto kTestTimeout = std::chrono::milliseconds(5000);
 
 std::string read_bytes(Socket& socket, std::size_t size) {
-  std::string found;
-  char piece[512];
+  std::string bytes;
+  char buffer[512];
   boost::beast::error_code error;
-  while (found.size() < size) {
-    const std::size_t n = socket.read_some(boost::asio::buffer(piece), error);
+  while (bytes.size() < size) {
+    const std::size_t n = socket.read_some(boost::asio::buffer(buffer), error);
     if (error || n == 0) break;
-    found.append(piece, n);
+    bytes.append(buffer, n);
   }
-  return found;
+  return bytes;
 }
 
-TEST(HttpBytes, ReplyGoesOverTheLineAsLiteral) {
+TEST(HttpBytes, ResponseIsSentAsLiteral) {
   test::Recorder server([](const Request&) -> Response { return {503, Json{{"a", 1u}}, 5}; });
   boost::beast::error_code error;
-  Socket user = Socket::connect(server.at(), kLimit, error);
+  Socket user = Socket::connect(server.at(), kTestTimeout, error);
   ASSERT_FALSE(error);
-  user.set_timeout(kLimit);
+  user.set_timeout(kTestTimeout);
   ASSERT_TRUE(user.send_all(
       "POST /x?y=1 HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n\x81\xa1"s + "a\x02"));
   const std::string expected =
@@ -41,7 +41,7 @@
   EXPECT_TRUE(test::is_written_as(server.asked()[0].body, R"({"a":2})"));
 }
 
-TEST(HttpBytes, RequestGoesOverTheLineAsLiteral) {
+TEST(HttpBytes, RequestIsSentAsLiteral) {
   test::PortReservations ports;
   const Address at{"127.0.0.1", ports.reserve()};
   Socket listener = Socket::listen(at);
@@ -49,10 +49,10 @@
   std::thread user([&] {
     Client client(at, 0, kMaxBody_bytes);
     const Json body{{"a", 2u}};
-    answer = client.call("POST", "/x?y=1", &body, kLimit);
+    answer = client.call("POST", "/x?y=1", &body, kTestTimeout);
   });
   Socket server = listener.accept();
-  server.set_timeout(kLimit);
+  server.set_timeout(kTestTimeout);
   const std::string expected =
       "POST /x?y=1 HTTP/1.1\r\nHost: 127.0.0.1\r\nContent-Type: application/msgpack\r\n"
       "Content-Length: 4\r\n\r\n\x81\xa1"s +
--- a/src/wire/message_test.cpp
+++ b/src/wire/message_test.cpp
@@ -10,15 +10,15 @@
 namespace reachramp::wire {
 namespace {
 
-RC_GTEST_PROP(Message, AnyBytesAreTakenOrRefusedButNeverCrash, (const std::string& bytes)) {
+RC_GTEST_PROP(Message, AnyBytesAreDecodedOrRejectedWithoutACrash, (const std::string& bytes)) {
   try {
     RC_ASSERT(decode_map(bytes).is_object());
   } catch (const BadMessage&) {
   }
 }
 
-// A valid message with some bytes changed gets further into the reader than noise does.
-RC_GTEST_PROP(Message, DamagedMessagesAreTakenOrRefused,
+// A valid message with one byte changed gets further into the parser than random bytes do.
+RC_GTEST_PROP(Message, DamagedMessagesAreDecodedOrRejected,
               (const std::map<std::string, std::vector<int>>& content)) {
   std::string bytes = encode(Json(content));
   const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
@@ -34,8 +34,9 @@
   RC_ASSERT(decode_map(encode(message)) == message);
 }
 
-// 64 KiB of nested lists once meant as many nested calls in the library's reader.
-TEST(Message, DeepNestingIsRefusedBeforeItCostsStack) {
+// Guards against a stack overflow: 64 KiB of nested lists once caused as many nested calls in the
+// library's parser.
+TEST(Message, DeepNestingIsRejectedBeforeItTakesStack) {
   EXPECT_THROW(decode_map(std::string(kMaxBody_bytes, '\x91')), BadMessage);
   EXPECT_THROW(decode_map("\x81\xa1x" + std::string(60000, '\x91')), BadMessage);
 }
