--- a/src/kv/codec_bytes_test.cpp
+++ b/src/kv/codec_bytes_test.cpp
@@ -86,7 +86,7 @@
   EXPECT_EQ(absent.store_revision, 41u);
 }
 
-// Guards against a retry of what was executed, or none of what was not.
+// Guards against callers that repeat a request that was executed, or give up one that was not.
 TEST(KeyValueCodecBytes, EachStatusIsDecodedAsItsOutcome) {
   EXPECT_EQ(decode_outcome(response(200, "{}")), Outcome::ok);
   EXPECT_EQ(decode_outcome(response(400, "{}")), Outcome::malformed);
--- a/src/kv/revision_clock_test.cpp
+++ b/src/kv/revision_clock_test.cpp
@@ -22,7 +22,7 @@
   }
 };
 
-// The record as a leader wrote it, and the revision that the write got.
+// A record `timeline` as a leader wrote it, and the revision of that write.
 struct StoredRecord {
   wire::Json value;
   std::uint64_t revision = 0;
@@ -59,10 +59,10 @@
   }
 }
 
-// Guards against ages lost in failovers. Through any number of leaders, each of which observed
-// nothing before it led and restores what the last one wrote: no revision seems older than it is by
-// more than the samples' spacing, and none loses more than the time without a leader and the last
-// few seconds before it.
+// Guards against ages that are lost in failovers. Several leaders follow one another; each of them
+// observed nothing before it led, and restores what the last one wrote. No revision seems older
+// than it is by more than the spacing of samples, and none seems younger by more than the time
+// without a leader and the few seconds between the last record and the leader's end.
 RC_GTEST_PROP(RevisionClock, AgesSurviveFailoversToNodesWithoutSamples, ()) {
   StoreHistory store;
   double lost = 0;
--- a/src/leadership/holder_test.cpp
+++ b/src/leadership/holder_test.cpp
@@ -21,12 +21,13 @@
   const Identity self{"node-1", "10.0.0.1:8081", "77-"};
   const Json own = encode_holder(self, 5);
   EXPECT_EQ(holder_of(own, self, 5), Holder::ours);
-  EXPECT_EQ(holder_of(own, self, 6), Holder::predecessor) << "a claim of ours that came late";
+  EXPECT_EQ(holder_of(own, self, 6), Holder::predecessor)
+      << "a claim of ours that was applied late";
   EXPECT_EQ(holder_of(own, self, 0), Holder::predecessor);
   EXPECT_EQ(holder_of(encode_holder({"node-1", "10.0.0.1:8081", "12-"}, 5), self, 5),
             Holder::predecessor);
   EXPECT_EQ(holder_of(encode_holder({"node-1", "10.0.0.9:8081", "12-"}, 5), self, 5), Holder::other)
-      << "the same name by mistake";
+      << "two nodes have the same name by mistake";
   EXPECT_EQ(holder_of(encode_holder({"node-2", "10.0.0.1:8081", "12-"}, 5), self, 5),
             Holder::other);
   EXPECT_EQ(holder_of(Json{{"node", "node-1"}, {"nonce", "12-5"}}, self, 5), Holder::other)
--- a/src/leadership/read_freshness_test.cpp
+++ b/src/leadership/read_freshness_test.cpp
@@ -25,18 +25,18 @@
 TEST(ReadFreshness, MayAnswerEndsBeforeALeaseCouldOutlastACancellation) {
   ReadFreshness freshness(kWorkers, 2, 100);
   EXPECT_TRUE(freshness.may_answer(118.5));
-  EXPECT_FALSE(freshness.may_answer(119)) << "a lease, and a moment more, before 130";
+  EXPECT_FALSE(freshness.may_answer(119)) << "a lease and a margin before 130";
   freshness.on_jobs_read(110);
   EXPECT_TRUE(freshness.may_answer(128.5));
   freshness.on_jobs_read(105);
-  EXPECT_EQ(freshness.cancellations_known_until(), 110) << "answers overtake each other";
+  EXPECT_EQ(freshness.cancellations_known_until(), 110) << "responses may overtake each other";
 }
 
 TEST(ReadFreshness, DigestsAdvanceItOnlyOnceAllMembersAnswered) {
   ReadFreshness freshness(kWorkers, 2, 100);
   const double window = freshness.query_windows(104).front();
   EXPECT_TRUE(freshness.apply_digest({0, window, 50, 104, 104.1, {}}));
-  EXPECT_EQ(freshness.cancellations_known_until(), 100) << "the other has not answered";
+  EXPECT_EQ(freshness.cancellations_known_until(), 100) << "the other member has not answered";
   EXPECT_TRUE(freshness.apply_digest({1, window, 50, 104, 104.1, {}}));
   EXPECT_EQ(freshness.cancellations_known_until(), 104);
 }
@@ -46,10 +46,10 @@
   const double window = freshness.query_windows(104).front();
   EXPECT_TRUE(freshness.apply_digest({0, window, 50, 104, 104.1, {}}));
   EXPECT_FALSE(freshness.apply_digest({1, window, 2, 104, 104.1, {}}))
-      << "it began two seconds ago";
-  EXPECT_FALSE(freshness.apply_digest({1, window, 50, 104, 106, {}})) << "its answer was held up";
+      << "its list covers only two seconds";
+  EXPECT_FALSE(freshness.apply_digest({1, window, 50, 104, 106, {}})) << "its answer was delayed";
   EXPECT_FALSE(freshness.apply_digest({1, window, 50, 104, 103, {}}));
-  EXPECT_FALSE(freshness.apply_digest({2, window, 50, 104, 104.1, {}})) << "no member";
+  EXPECT_FALSE(freshness.apply_digest({2, window, 50, 104, 104.1, {}})) << "there is no member 2";
   EXPECT_EQ(freshness.cancellations_known_until(), 100);
   EXPECT_TRUE(freshness.apply_digest({1, window, 50, 104, 104.1, {}}));
   EXPECT_EQ(freshness.cancellations_known_until(), 104);
@@ -59,7 +59,7 @@
   EXPECT_TRUE(staleness_bound_holds(kWorkers));
   EXPECT_FALSE(staleness_bound_holds({1, 10, 15, 4, 12}));
   EXPECT_FALSE(staleness_bound_holds({1, 10, 15, 4, 8}));
-  EXPECT_GT(staleness_bound({1, 10, 15, 4, 8}), 0) << "or no worker would ever be answered";
+  EXPECT_GT(staleness_bound({1, 10, 15, 4, 8}), 0) << "otherwise no worker would ever be answered";
 }
 
 // A random history: clocks drift, members restart or cannot be reached, digests are delayed, and
@@ -198,12 +198,13 @@
 
   std::mt19937_64 random_;
   std::array<Clock, kMembers> clocks_;
-  std::array<std::unique_ptr<peers::RecentCancellations>, kMembers> confirmed_;  // by each member
+  // The cancellations that each member has confirmed.
+  std::array<std::unique_ptr<peers::RecentCancellations>, kMembers> confirmed_;
   std::unique_ptr<ReadFreshness> freshness_;
-  std::map<std::string, double> stored_at_, confirmed_at_;  // cancelled jobs
-  std::set<std::string> known_;                             // to the leader
-  double refused_until_ = 0;                                // the leader, by the key-value store
-  double down_from_ = 0, down_until_ = 0;                   // the key-value store, for all
+  std::map<std::string, double> stored_at_, confirmed_at_;  // by cancelled job
+  std::set<std::string> known_;                             // cancelled jobs, to the leader
+  double refused_until_ = 0;               // until then the key-value store refuses the leader
+  double down_from_ = 0, down_until_ = 0;  // between them the store is down for all nodes
   std::vector<Poll> polls_;
   int jobs_ = 0;
   double last_read_at_ = 0;
--- a/src/schema/schema_test.cpp
+++ b/src/schema/schema_test.cpp
@@ -109,7 +109,7 @@
 TEST(Levels, HoldBelowWrittenLevelDowngradesOneLevel) {
   const auto held = claims_with_hold_on_one_node(3);
   EXPECT_EQ(next_migration({4, 4, true}, held, kNodes)->target, (StoredSchema{4, 3, false}));
-  EXPECT_FALSE(next_migration({4, 3, false}, held, kNodes)) << "under way";
+  EXPECT_FALSE(next_migration({4, 3, false}, held, kNodes)) << "a downgrade is under way";
   EXPECT_EQ(settled_form({4, 3, false}), (StoredSchema{3, 3, true}));
 }
 
--- a/src/schema/schema_version_tracker.cpp
+++ b/src/schema/schema_version_tracker.cpp
@@ -59,10 +59,10 @@
   if (!claim_lease_id_) claim_lease_id_ = announce();
 }
 
-// Stores this process's claim. The claim of an earlier process on this node may still exist. If it
-// announces the same, it is adopted with its lease: so a process that restarts again and again
-// writes nothing and leaves no leases behind, and its claim does not come and go. Returns the lease
-// of the claim, none if it is not known to be stored.
+// Makes sure that this process's claim is stored. The claim of an earlier process on this node may
+// still exist. If it announces the same, it is adopted with its lease: so a process that restarts
+// again and again writes nothing, leaves no leases behind, and its claim exists all the time.
+// Returns the lease of the claim, none if the claim is not known to be stored.
 std::optional<std::uint64_t> SchemaVersionTracker::announce() {
   const kv::ReadResult found = store_.get(claim_key(node_));
   const Claim claim{node_,
--- a/src/settings/policy.cpp
+++ b/src/settings/policy.cpp
@@ -19,7 +19,7 @@
   double max;
 };
 
-// By the name in the policy file.
+// All settings of this kind, by their names in the policy file.
 const std::map<std::string, NumericSetting>& numeric_settings() {
   static const std::map<std::string, NumericSetting> all{
       {"target", {&Policy::target_utility, 0.5, 0.9999}},
--- a/src/settings/s_expression.cpp
+++ b/src/settings/s_expression.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// For std::unique_ptr.
+// The deleter with which std::unique_ptr owns a tree of the S-expression library.
 struct SexpDeleter {
   void operator()(sexp_t* tree) const { destroy_sexp(tree); }
 };
--- a/src/wire/connection_limiter.cpp
+++ b/src/wire/connection_limiter.cpp
@@ -23,7 +23,7 @@
 constexpr double kConnectionShareOfThreads = 0.9;
 constexpr auto kConnectionThreadIdleTimeout = 10s;
 constexpr double kMinConnections = 16;
-// For the thread of a connection that was shut down to notice and to remove it.
+// How long a new connection waits until the thread of the one that was shut down for it has ended.
 constexpr auto kCloseTimeout = 200ms;
 
 std::int64_t now_ms() {
--- a/src/wire/http.cpp
+++ b/src/wire/http.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Of a connection to the server, for each read and write.
+// The server closes a connection on which a read or a write makes no progress for this long.
 constexpr auto kIdleTimeout = std::chrono::seconds(75);
 constexpr std::uint32_t kMaxHeader_bytes = 8 * 1024;
 using Buffer = boost::beast::flat_static_buffer<4096>;
@@ -78,7 +78,7 @@
       serve_connection(connection);
       --active_connections_;
     });
-    if (!admitted) --active_connections_;  // its destructor closes the socket
+    if (!admitted) --active_connections_;  // the connection's destructor closes it
   }
 }
 
@@ -158,10 +158,10 @@
   if (auto socket = take_idle()) {
     socket->set_timeout(timeout);
     if (exchange(*socket, request_bytes, method, result)) return result;
-    // If the server closed the idle connection meanwhile, the failure says nothing about the
-    // request, which is repeated. If the server did not respond within the timeout, it is not.
-    // Every request of this program is safe to repeat: it is conditional, has a name, or only
-    // reads.
+    // The server may have closed the idle connection meanwhile. A quick failure is therefore no
+    // statement about the request, and the request is repeated. A server that stays silent is a
+    // real failure. Every request of this program is safe to repeat: it is conditional, has a name,
+    // or only reads.
     if (std::chrono::steady_clock::now() - start > timeout / 2) return result;
   }
   error_code ec;
