--- a/src/wire/connection_limiter_test.cpp
+++ b/src/wire/connection_limiter_test.cpp
@@ -15,8 +15,9 @@
 
 ClientKind kind_of(int i) { return static_cast<ClientKind>(i % 4); }
 
-// Guards against one kind of client that floods a server and shuts out the others: their reserved
-// connections stay open, and no connection is closed while a request on it is being answered.
+// Guards against one kind of client that floods a server and shuts out the two others: their
+// reserved connections stay open, and no connection is closed while a request on it is being
+// answered.
 RC_GTEST_PROP(ConnectionLimiter, NoKindOfClientShutsOutAnother, ()) {
   std::vector<ConnectionStatus> connections;
   for (int i = 0, size = *rc::gen::inRange(1, 60); i < size; ++i) {
