--- a/src/leadership/leader_election.h
+++ b/src/leadership/leader_election.h
@@ -120,8 +120,9 @@
   std::uint64_t lease_id_ = 0;        // 0: none
   std::uint64_t watch_revision_ = 0;  // to watch from; 0: the key must be read first
   bool leaderless_ = false;           // the key was observed to be absent
-  bool has_deferred_ = false;         // once in this vacancy, so that it does not wait for ever
-  // A process of this node led last: a node that has been running since then goes first.
+  bool has_deferred_ = false;         // since the key is absent: this node defers only once
+  // The last leader was an earlier process of this node: other nodes, which have kept running, may
+  // claim the key first.
   bool defers_to_others_ = false;
 };
 
--- a/src/leadership/read_freshness.h
+++ b/src/leadership/read_freshness.h
@@ -8,7 +8,7 @@
 // Cancellations are known until the latest moment of which it is certain that every cancellation
 // confirmed to any user before it is in the leader's state. Two proofs advance it: a read of all
 // jobs from the key-value store, as of when it was asked for; and the cancellation digests of all
-// members, each for what it has confirmed itself. docs/design/meetings.md.
+// members, each of which covers what that member has confirmed. See docs/design/meetings.md.
 //
 // Not stored: a new leader reads all jobs, which is the first proof. Times are seconds of this
 // process's steady clock; clocks of different machines drift apart by up to kMaxClockDrift.
@@ -45,9 +45,8 @@
   std::vector<std::string> cancelled;  // jobs confirmed as cancelled within the window
 };
 
-// Keeps, for one leader, the moment until which it knows all cancellations: for each member and in
-// all.
-// Belongs to the thread that runs the leader; no function blocks or throws.
+// Keeps, for one leader, the moment until which it knows all cancellations: for each member, and
+// for all together. Used only on the thread that runs the leader; no function blocks or throws.
 class ReadFreshness {
  public:
   // `members`: how many nodes can confirm cancellations, this one among them. `known_until`: when
@@ -71,7 +70,7 @@
   // Whether members should be asked now, because the key-value store has not answered for a while.
   // Assumes that the caller then asks them: returns false until the next poll is due.
   bool should_poll_members(double now);
-  // How many seconds back each member's digest has to reach, if it is asked now.
+  // Returns how many seconds back each member's digest has to reach if the member is asked now.
   std::vector<double> query_windows(double now) const;
 
  private:
--- a/src/schema/schema.h
+++ b/src/schema/schema.h
@@ -46,7 +46,7 @@
 inline bool has_level(const StoredSchema& stored, std::uint32_t level) {
   return stored.written_level >= level;
 }
-// Why a process with these supported versions must not serve anybody; empty if it may.
+// Returns why a process that supports these levels must not serve requests; empty if it may.
 std::string incompatibility(const StoredSchema& stored, const SupportedLevels& supported);
 
 // A change of the record `level`, or the reason for which a requested one is rejected.
@@ -59,7 +59,8 @@
   std::optional<std::string> rejection_reason{};
 };
 
-// What the leader should commit now, if anything; `nodes` are all that its settings name.
+// Returns the change that the leader should commit now, none if there is none; `nodes` are all
+// nodes that its settings name.
 //  - Upgrade: one level, when all nodes have a claim that supports it and none holds it back, and
 //    the previous migration is settled.
 //  - Downgrade: one level, when the claim of any node holds the schema below what is written. Nodes
--- a/src/schema/schema_records.h
+++ b/src/schema/schema_records.h
@@ -2,7 +2,7 @@
 // stored records and outlives all processes. `claim/<node>` holds which levels the live process on
 // a node supports; it is attached to a lease, so that it ends with the process.
 //
-// Pure functions on values, for any thread. Field names of the records stand here alone.
+// Pure functions on values, for any thread. No other module uses the field names of the records.
 #pragma once
 
 #include <cstdint>
@@ -42,17 +42,19 @@
 
 // The schema level of what is stored.
 struct StoredSchema {
-  std::uint32_t level = kCompact;  // what a reader must support
-  std::uint32_t written_level =
-      kCompact;         // the form that writers use; below `level` during a downgrade
-  bool settled = true;  // no record of another level remains
+  // The level that a reader must support.
+  std::uint32_t level = kCompact;
+  // The level in whose form records are written; one below `level` during a downgrade.
+  std::uint32_t written_level = kCompact;
+  // No record in the form of another level remains.
+  bool settled = true;
   bool operator==(const StoredSchema&) const = default;
 };
 
 // The key of the claim of `node`.
 std::string claim_key(const std::string& node);
 
-// The value of the record of a claim, without its node and revision.
+// Returns the value of the record of a claim, which holds neither its node nor its revision.
 kv::Json encode_claim(const Claim& claim);
 // Throws wire::BadMessage for a record that is not a well-formed claim. Unknown fields are ignored:
 // later versions may add some.
@@ -63,9 +65,9 @@
 
 // The value of the record `level`.
 kv::Json encode_stored(const StoredSchema& stored);
-// Without a record the schema is one of the levels that member/ alone distinguishes, and the
-// default is returned. Throws wire::BadMessage for a malformed record: nothing may be written while
-// the level is unknown.
+// Returns the default if there is no record: the level is then 1 or 2, which the records
+// member/<node> distinguish (peers/members.h). Throws wire::BadMessage for a malformed record:
+// nothing may be written while the level is unknown.
 StoredSchema decode_stored(const std::optional<kv::Json>& value);
 
 }  // namespace reachramp::schema
