--- a/src/kv/revision_clock_test.cpp
+++ b/src/kv/revision_clock_test.cpp
@@ -1,4 +1,4 @@
-// Ages of records from the samples of the store revision, with the store's true history beside.
+// Compares the estimated ages of records with the true history of an emulated store.
 #include "kv/revision_clock.h"
 
 #include <gtest/gtest.h>
@@ -9,8 +9,8 @@
 namespace reachramp::kv {
 namespace {
 
-// A store whose revision moves at times that no node observes exactly, and when each revision was
-// truly assigned.
+// A store whose revision changes at times that no node observes exactly. Records when each revision
+// was assigned.
 struct StoreHistory {
   double now = 1000;
   std::uint64_t store_revision = 5;
@@ -22,15 +22,15 @@
   }
 };
 
-// The record as a leader wrote it, and the revision that the write got.
+// A record `timeline` as a leader wrote it, and the revision of that write.
 struct StoredRecord {
   wire::Json value;
   std::uint64_t revision = 0;
 };
 
-// Guards against taking something for younger than it is: the bound is never later than the
+// Guards against an age that is underestimated: the bound is never later than the time at which the
 // revision was assigned, and there is none for a revision from before this process's first sample,
-// whatever an earlier leader wrote of it.
+// whatever an earlier leader wrote about it.
 RC_GTEST_PROP(RevisionClock, EarliestTimeIsNeverLaterThanTheRevisionWasAssigned, ()) {
   StoreHistory store;
   for (int i = 0; i < 20; ++i) {
@@ -59,10 +59,10 @@
   }
 }
 
-// Guards against ages lost in failovers. Through any number of leaders, each of which observed
-// nothing before it led and restores what the last one wrote: no revision seems older than it is by
-// more than the samples' spacing, and none loses more than the time without a leader and the last
-// few seconds before it.
+// Guards against ages that are lost in failovers. Several leaders follow one another; each of them
+// observed nothing before it led, and restores what the last one wrote. No revision seems older
+// than it is by more than the spacing of samples, and none seems younger by more than the time
+// without a leader and the few seconds between the last record and the leader's end.
 RC_GTEST_PROP(RevisionClock, AgesSurviveFailoversToNodesWithoutSamples, ()) {
   StoreHistory store;
   double lost = 0;
--- a/src/leadership/leader_election.h
+++ b/src/leadership/leader_election.h
@@ -1,6 +1,6 @@
 // Leader election: the leader is the node named under a key that is attached to a lease of the
-// key-value store. The key's revision is the leader's fencing token, so tokens only ever grow.
-// docs/design.md, docs/design/meetings.md.
+// key-value store. The key's revision is the leader's fencing token, so tokens only ever grow. See
+// docs/design.md and docs/design/meetings.md.
 #pragma once
 
 #include <condition_variable>
@@ -52,6 +52,7 @@
   // Campaigns, renews the lease and watches the leader's key, on the calling thread. Never returns.
   void run();
 
+  // Returns what this node knows of the leadership now.
   LeadershipStatus status();
   // Whether leadership with that fencing token is beyond doubt: its last renewal was asked for less
   // than the lease's duration ago. A process that was suspended may have been replaced, and learns
@@ -119,8 +120,9 @@
   std::uint64_t lease_id_ = 0;        // 0: none
   std::uint64_t watch_revision_ = 0;  // to watch from; 0: the key must be read first
   bool leaderless_ = false;           // the key was observed to be absent
-  bool has_deferred_ = false;         // once in this vacancy, so that it does not wait for ever
-  // A process of this node led last: a node that has been running since then goes first.
+  bool has_deferred_ = false;         // since the key is absent: this node defers only once
+  // The last leader was an earlier process of this node: other nodes, which have kept running, may
+  // claim the key first.
   bool defers_to_others_ = false;
 };
 
