--- a/src/drains/budget_tracker.h
+++ b/src/drains/budget_tracker.h
@@ -1,12 +1,13 @@
-// How much of each team is down, and what its budget of disruption leaves. Whatever is down for
-// reasons that nobody chose (a machine died, a notice, a lost zone) counts first, so that a bad
-// night ends all voluntary stops by itself.
+// Tracks how much of each team's work is disrupted and checks planned stops against the team's
+// disruption budget. Involuntary disruptions (a machine died, the cloud reclaims a spot machine, a
+// zone is lost) use up the budget first, so a large outage by itself blocks all voluntary stops.
 //
-// Kept across leaders in `drains/used`, written every 10 s while it changes: core seconds lost in
-// the last hour, stops of jobs that live. Forgotten at a change: up to 10 s of that, and which
-// tasks of arrays were down. Harmless, since a new leader stops nothing before it has heard 99 of
-// 100 machines, by when what was lost has mostly been placed again; gangs and services that have
-// run and do not count as down.
+// The leader stores the core seconds that each team lost in the last hour, and the number of stops
+// of each live job, in the record `drains/used`, which it writes every 10 s while it changes. A new
+// leader does not know the last 10 s of that, nor which tasks of arrays were down. This is
+// harmless: a new leader stops nothing until it has heard from 99 of 100 machines, and by then most
+// of the lost tasks have been placed again. Gangs and services that ran before and do not run now
+// count as down.
 #pragma once
 
 #include <map>
@@ -22,13 +23,14 @@
 using placement::Index;
 using placement::Job;
 
-// Cores of a team's work that has begun.
+// Cores of one team's started tasks, by what happens to them.
 struct DisruptedCores {
-  double running = 0;      // and is not being stopped
-  double voluntary = 0;    // stopped, or being stopped, by choice
-  double involuntary = 0;  // down for any other reason
+  double running = 0;      // of running tasks that are not being stopped
+  double voluntary = 0;    // of tasks that the scheduler chose to stop, until they run again
+  double involuntary = 0;  // of tasks that are down for any other reason
 };
 
+// The limit that a planned stop would break.
 enum class BudgetRejection {
   none,
   too_much_down,
@@ -38,34 +40,40 @@
   within_guarantee,
   would_miss_deadline
 };
-const char* name_of(BudgetRejection refusal);
+// The reason in words, for logs.
+const char* name_of(BudgetRejection rejection);
 
-// What is to be stopped of one job, all or part of its tasks.
+// A stop of some or all tasks of one job, with its estimated cost.
 struct PlannedStop {
   Index job = placement::kNone;
   std::uint32_t task_count = 0;
-  double lost_core_s = 0;       // work that will be done again
-  double delay_s = 0;           // by how much later the job ends
-  bool has_next_place = false;  // its next place is at hand
+  double lost_core_s = 0;       // work that has to be repeated
+  double delay_s = 0;           // how much later the job is expected to end
+  bool has_next_place = false;  // there is room elsewhere for the stopped tasks
 };
 
+// Usage of the disruption budgets of all teams. Used by the leader only.
 class BudgetTracker {
  public:
-  // Of the moment; by team.
+  // Returns the current disruption, indexed by team.
   std::vector<DisruptedCores> disruption_by_team(const Cluster& cluster) const;
-  // Whether all of these may be stopped together, and if not, why; `tolls` are those of the moment.
-  BudgetRejection check(const DrainPolicy& rules, const Cluster& cluster,
-                        std::vector<DisruptedCores> tolls, const std::vector<PlannedStop>& stops,
-                        double now) const;
-  // They are stopped.
-  void charge(const DrainPolicy& rules, const Cluster& cluster, std::vector<DisruptedCores>& tolls,
-              const PlannedStop& stop, double now);
+  // Returns why the stops must not be made together, or `none` if they may. `disruption` is the
+  // current result of disruption_by_team().
+  BudgetRejection check(const DrainPolicy& policy, const Cluster& cluster,
+                        std::vector<DisruptedCores> disruption,
+                        const std::vector<PlannedStop>& stops, double now) const;
+  // Charges a stop that is being made to the budgets and moves its cores in `disruption`.
+  void charge(const DrainPolicy& policy, const Cluster& cluster,
+              std::vector<DisruptedCores>& disruption, const PlannedStop& stop, double now);
 
-  double lost_core_s(const DrainPolicy& rules, const std::string& team, double now) const;
+  // Core seconds of work that voluntary stops cost the team and that have not expired yet.
+  double lost_core_s(const DrainPolicy& policy, const std::string& team, double now) const;
+  // Number of tasks of the team that were stopped voluntarily so far.
   std::uint32_t stopped_tasks(const std::string& team) const;
 
-  wire::Json encode(const DrainPolicy& rules, const Cluster& cluster, double now) const;
-  // Throws wire::BadMessage and is as it was.
+  // The content of `teams` and `jobs` in the record `drains/used`.
+  wire::Json encode(const DrainPolicy& policy, const Cluster& cluster, double now) const;
+  // Replaces the usage by a stored record. Throws wire::BadMessage and then changes nothing.
   void restore(const wire::Json& record, double now);
 
  private:
@@ -74,12 +82,12 @@
     double updated_at = 0;
     std::uint32_t stopped_tasks = 0;
   };
-  std::map<std::string, TeamUsage> usage_by_team_;     // by team
-  std::map<std::string, std::uint32_t> stops_by_job_;  // how often each was stopped
+  std::map<std::string, TeamUsage> usage_by_team_;     // by team name
+  std::map<std::string, std::uint32_t> stops_by_job_;  // by job id
 };
 
-// What stopping the tasks costs: what they have done and do not save.
+// Estimates the cost of stopping the tasks: the work since their start that is not saved.
 PlannedStop estimate_stop(const Cluster& cluster, Index job,
-                          const std::vector<std::uint32_t>& tasks, bool placed, double now);
+                          const std::vector<std::uint32_t>& tasks, bool has_next_place, double now);
 
 }  // namespace reachramp::drains
--- a/src/drains/drains.h
+++ b/src/drains/drains.h
@@ -1,11 +1,13 @@
-// Emptying machines by the operators' rules, within each team's budget of disruption, and replacing
-// them in steps. Every voluntary stop of running work is decided here, or asked of the budgets that
-// stand here; notices, cancellations and broken gangs never wait, and are counted.
+// Drains machines as the operators' policy says, within each team's disruption budget, and replaces
+// machines in steps. Every voluntary stop of running tasks is decided here or approved by the
+// budgets that are held here. Reclaim notices, cancellations and broken gangs never wait for a
+// budget, but count as disruption.
 //
-// What the rules say of a machine follows from its age, name and pool, so a new leader marks the
-// same machines. It forgets which of them the last step had begun to empty (it begins with the
-// emptiest, which are these) and for how long a machine has been emptying (attrition begins anew:
-// less is stopped). Sizes of steps and halts are kept in `drains/used` beside the budgets.
+// Whether a rule selects a machine depends only on the machine's age, name and pool, so a new
+// leader marks the same machines. A new leader does not know which machines the last step had begun
+// to drain, but it starts with the emptiest ones, which are the same. It does not know for how long
+// a machine has been draining either, so the grace period starts again and fewer tasks are stopped.
+// Step sizes and failed steps are stored in `drains/used` beside the usage of the budgets.
 #pragma once
 
 #include <functional>
@@ -23,74 +25,86 @@
 using placement::Host;
 using placement::Pool;
 
-// How the fleet stands, as far as it bears on what is voluntary.
+// The state of the fleet, as far as it decides whether machines may be drained and replaced.
 struct FleetConditions {
-  bool upgrade_in_progress = false;  // controllers are being changed, or their levels are
-  std::function<bool(const Pool&)> recently_refused;  // the cloud has none there of late
-  std::function<double(const Pool&)> price_per_hour;  // of a machine
+  // The controllers or their schema level are being upgraded.
+  bool upgrade_in_progress = false;
+  // Whether the cloud recently refused to rent in the pool.
+  std::function<bool(const Pool&)> recently_refused;
+  // The price of one machine of the pool.
+  std::function<double(const Pool&)> price_per_hour;
 };
 
+// What the leader has to do after a pass.
 struct DrainActions {
-  std::vector<Index> hosts_to_return;  // machines to be returned
-  std::vector<Index>
-      hosts_to_notify;  // machines to be told of stops at once: a gang's must come together
+  std::vector<Index> hosts_to_return;  // drained machines, to be returned to the cloud
+  // Machines to be told of stops at once, because all tasks of a gang must stop together.
+  std::vector<Index> hosts_to_notify;
 };
 
+// Executes the drain policy on the cluster. Used by the leader only.
 class Drains {
  public:
-  // Takes over what is in force, and when serials were accepted, by the leader's clock.
-  void apply_policy(DrainPolicy rules, std::map<std::uint64_t, double> accepted, double now);
+  // Replaces the policy in force. `accepted_at` says when each serial was accepted, by the leader's
+  // clock.
+  void apply_policy(DrainPolicy policy, std::map<std::uint64_t, double> accepted_at, double now);
+  // Ends all drains and drops the policy; machines that are not returned yet accept tasks again.
   void cancel_all(Cluster& cluster);
   bool has_policy() const { return policy_.serial > 0; }
   std::uint64_t policy_serial() const { return policy_.serial; }
 
-  // Before each plan. Returns how many tasks were placed.
+  // Places the tasks of moves whose old attempts have ended; called before each placement pass.
+  // Returns the number of tasks placed.
   int advance_moves(Cluster& cluster, double now) { return moves_.advance(cluster, now); }
-  // Marks machines, stops what may be stopped, takes steps on; twice a second.
+  // Marks machines, stops the tasks that may be stopped and advances the rolling replacement.
+  // Called twice a second.
   DrainActions advance(Cluster& cluster, const FleetConditions& conditions, double now);
-  // Whether these jobs may be stopped for other work's sake; they are then.
+  // Returns whether the budgets allow preempting all these jobs; if so, charges the stops to them.
   bool approve_preemption(const Cluster& cluster, const std::vector<Index>& jobs, double now);
-  // Pools that are to be left: nothing is rented there.
+  // Pools that are drained as a whole, in which no machine is rented.
   std::set<Pool> closed_pools(const Cluster& cluster) const;
 
+  // The record `drains/used`.
   wire::Json encode(const Cluster& cluster, double now) const;
-  // Throws wire::BadMessage and is as it was.
+  // Restores a stored record. Throws wire::BadMessage and then changes nothing.
   void restore(const wire::Json& record, double now);
-  // Whether encode() would say something new.
+  // Whether encode() may differ from the stored record.
   bool has_unwritten_changes() const { return has_unwritten_changes_; }
   void note_written() { has_unwritten_changes_ = false; }
 
  private:
   enum class Phase { idle, renting, draining, soaking };
-  // Pools of one type and kind: one zone of them at a time.
+  // The rolling replacement of all machines of one type that are spot, or of all that are not. A
+  // step replaces machines in one zone.
   struct Rollout {
     Phase phase = Phase::idle;
     Index zone = placement::kNone;
-    std::set<std::string> old_hosts;   // machines of the step
-    std::set<std::string> new_hosts;   // rented in its pool since it began
-    std::size_t failed_new_hosts = 0;  // of these
-    double phase_since = 0;            // of the phase
-    double step_began_at = 0;          // of the step
+    std::set<std::string> old_hosts;   // machines that the step replaces
+    std::set<std::string> new_hosts;   // machines rented in the step's pool since the step began
+    std::size_t failed_new_hosts = 0;  // of `new_hosts`
+    double phase_since = 0;
+    double step_began_at = 0;
     std::uint32_t step_size = 0;
-    bool was_refused = false;       // the cloud had none in its pool while it went on
-    double no_capacity_since = -1;  // when a step ended of which nothing came back; -1: not so
+    bool was_refused = false;  // the cloud refused to rent in the pool during the step
+    // When a step ended for which the cloud had no new machine; -1 if the last step got one.
+    double no_capacity_since = -1;
     int failed_steps = 0;
     double halted_until = 0;
     double halt_logged_at = -1e9;
   };
-  using RolloutKey = std::pair<Index, bool>;  // type, spot
+  using RolloutKey = std::pair<Index, bool>;  // machine type, whether spot
 
   const DrainRule* matching_rule(const Cluster& cluster, const Host& host, double now) const;
   void mark_hosts(Cluster& cluster, double now);
   void advance_rollouts(Cluster& cluster, const FleetConditions& conditions, double now);
-  bool waits_for_capacity(const Cluster& cluster, const RolloutKey& key, Rollout& line,
+  bool waits_for_capacity(const Cluster& cluster, const RolloutKey& key, Rollout& rollout,
                           double now) const;
-  void begin_step(Cluster& cluster, const RolloutKey& key, Rollout& line, double now);
-  void advance_step(Cluster& cluster, const RolloutKey& key, Rollout& line,
+  void begin_step(Cluster& cluster, const RolloutKey& key, Rollout& rollout, double now);
+  void advance_step(Cluster& cluster, const RolloutKey& key, Rollout& rollout,
                     const FleetConditions& conditions, double now);
-  void drain_host(Cluster& cluster, Index host, DrainActions& wishes, double now);
+  void drain_host(Cluster& cluster, Index host, DrainActions& actions, double now);
   void try_stop_tasks(Cluster& cluster, Index job, const std::vector<std::uint32_t>& tasks,
-                      DrainActions& wishes, double now);
+                      DrainActions& actions, double now);
   double remaining_cost(const Cluster& cluster, const FleetConditions& conditions,
                         double now) const;
   void log_status(const Cluster& cluster, const FleetConditions& conditions, double now);
@@ -101,20 +115,21 @@
   BudgetTracker budget_tracker_;
   TaskMoves moves_;
   std::map<RolloutKey, Rollout> rollouts_;
-  std::map<std::string, std::pair<std::uint32_t, int>>
-      inherited_rollouts_;                                 // size and halts, by line
-  std::map<std::string, double> cordoned_since_;           // machines
-  std::map<std::string, std::size_t> host_count_by_rule_;  // by entry, of late
-  std::map<std::string, std::map<std::string, std::size_t>>
-      refused_stops_;                       // by team, why, of late
-  std::vector<DisruptedCores> disruption_;  // in a pass
-  std::set<std::pair<Index, BudgetRejection>>
-      exhausted_budgets_;        // teams that were refused in this pass, and why
-  int place_searches_left_ = 0;  // for places, left to this pass
+  // Step size and failed steps that an earlier leader stored, by rollout name.
+  std::map<std::string, std::pair<std::uint32_t, int>> inherited_rollouts_;
+  std::map<std::string, double> cordoned_since_;           // by machine name
+  std::map<std::string, std::size_t> host_count_by_rule_;  // by rule text, in the last pass
+  // Stops that were refused in the last pass, by team and reason.
+  std::map<std::string, std::map<std::string, std::size_t>> refused_stops_;
+  std::vector<DisruptedCores> disruption_;  // by team, in this pass
+  // Teams without budget left in this pass, and the exhausted limit.
+  std::set<std::pair<Index, BudgetRejection>> exhausted_budgets_;
+  int place_searches_left_ = 0;  // searches for new places that this pass may still make
   std::size_t replaced_hosts_ = 0;
   bool exceeds_cost_limit_ = false;
   bool stops_allowed_ = false;
-  std::string block_reason_;  // why nothing is stopped, as last logged
+  // Why no task may be stopped, as last logged; empty if stops are allowed.
+  std::string block_reason_;
   bool has_unwritten_changes_ = false;
   double status_logged_at_ = -1e9;
   double team_usage_logged_at_ = -1e9;
--- a/src/shares/usage_accounts.h
+++ b/src/shares/usage_accounts.h
@@ -1,7 +1,8 @@
-// What each team and each class of jobs was served: what came, what was done, what is late and by
-// how much, and what was used of late. For operators' logs, and for whoever decides by it. Kept
-// across a change of leaders by one record at level 5, written twice a minute. Forgotten between
-// two writes: jobs that came and ended there, in both counts, and half a minute of use.
+// Accounts, for each team and each job class, of the jobs submitted, done and late and of the
+// recent use of cores and GPUs, for the operators' logs and for decisions that depend on recent
+// use. A record at schema level 5, written twice a minute, carries the accounts over to the next
+// leader. Lost at a change of leader: the jobs that were submitted and ended since the last write,
+// in both counts, and up to half a minute of use.
 #pragma once
 
 #include <map>
@@ -13,47 +14,58 @@
 namespace reachramp::shares {
 
 inline constexpr const char* kSharesKey = "shares";
-// Whether it is a record of this slice that the level does not have, or has in another form.
+// Whether the key belongs to a record of this directory that the schema level does not have, or has
+// in another format.
 bool is_stale(const std::string& key, const wire::Json& value, std::uint32_t level);
 
+// Stored totals of one team or job class.
 struct UsageAccount {
   std::uint64_t submitted = 0;
   std::uint64_t cancelled = 0;
-  double recent_core_s = 0;  // with a half-life
+  double recent_core_s = 0;  // decays with a half-life
   double recent_gpu_s = 0;
   bool operator==(const UsageAccount&) const = default;
 };
 
-// How one team or class stands.
+// How the jobs of one team or job class are served.
 struct ServiceSummary {
   std::string name;
   std::uint64_t submitted = 0;
   std::uint64_t done = 0;
-  std::uint64_t waiting = 0;  // not begun, although nothing that they need holds them back
-  std::uint64_t late = 0;     // alive, and nothing that is expected of them can be met any more
+  std::uint64_t waiting = 0;  // not begun, although all jobs that they wait for are done
+  // Live jobs that wait for room and can no longer meet any of their start deadlines; a job without
+  // a start deadline is late if it waits for too long.
+  std::uint64_t late = 0;
   double longest_wait_s = 0;
-  double cores_in_use = 0;  // in use now
-  // Of those that are done or late, the part that is done; 1 where there are none.
+  double cores_in_use = 0;
+  // Done jobs as a share of those that are done or late; 1 if there are none.
   double done_share() const;
 };
 
+// The summaries of all teams and all job classes, each sorted by name.
 struct UsageReport {
   std::vector<ServiceSummary> teams;
   std::vector<ServiceSummary> classes;
 };
 
+// Accounts of all teams and job classes. Used by the leader only.
 class UsageAccounts {
  public:
+  // Counts a submitted job.
   void note_submitted(const placement::Job& job);
+  // Counts a job that was cancelled.
   void note_cancelled(const placement::Job& job);
-  // Lets time pass; use is that of the moment.
+  // Adds the use since the last call, as if it had been that of now all the time, and decays
+  // earlier use.
   void advance(const placement::Cluster& cluster, double now);
 
   UsageReport report(const placement::Cluster& cluster, double now) const;
 
+  // The record `shares`.
   wire::Json encode() const;
-  // Takes over what an earlier leader wrote. Throws wire::BadMessage and is as it was.
+  // Restores the record of an earlier leader. Throws wire::BadMessage and then changes nothing.
   void restore(const wire::Json& record);
+  // Core seconds that the team used recently, decayed.
   double recent_core_s(const std::string& team) const;
 
  private:
@@ -61,7 +73,7 @@
   double advanced_at_ = -1;
 };
 
-// One line: each team and class, the worst of all last.
+// One line for the log: each team and job class, then the one with the lowest share of done jobs.
 std::string describe(const UsageReport& report);
 
 }  // namespace reachramp::shares
