--- a/src/drains/budget_tracker.cpp
+++ b/src/drains/budget_tracker.cpp
@@ -12,7 +12,8 @@
 
 constexpr double kBudgetWindow_s = 3600;
 constexpr double kBudgetTolerance = 1e-6;
-constexpr std::size_t kMaxRecordEntries = 60;  // jobs and teams in the record
+// Limit for the teams, and for the jobs, in the record.
+constexpr std::size_t kMaxRecordEntries = 60;
 
 bool is_running(const Attempt& attempt) {
   return attempt.observed_state == ObservedState::running ||
@@ -24,7 +25,8 @@
   team_disruption.voluntary += cores;
 }
 
-// Gangs and services that have run under an earlier leader and do not now.
+// Whether the job is a gang or service that ran under an earlier leader. This leader has seen none
+// of its interruptions, so any task that does not run now counts as down.
 bool is_down_since_previous_leader(const Job& job) {
   return job.spec.shape != jobs::Shape::array && job.last_attempt > 0 && job.interruptions.empty();
 }
@@ -84,22 +86,22 @@
 BudgetRejection BudgetTracker::check(const DrainPolicy& policy, const Cluster& cluster,
                                      std::vector<DisruptedCores> disruption,
                                      const std::vector<PlannedStop>& stops, double now) const {
-  std::map<Index, double> lost;  // by team, by these stops
+  std::map<Index, double> added_loss;  // core seconds, by team, of the stops checked so far
   for (const PlannedStop& stop : stops) {
     const Job& job = *cluster.jobs[stop.job];
     const DisruptionBudget& budget = policy.budget_of(job.spec.team);
     const double cores = job.resources_per_task.cpus * stop.task_count;
     DisruptedCores& team_disruption = disruption[job.team];
     const double down = team_disruption.voluntary + team_disruption.involuntary;
-    // One gang or task may always go while nothing else of the team is down, or a team whose gang
-    // is all it runs could never be moved.
+    // While nothing of the team is down, one gang or task may be stopped even if it is larger than
+    // the budget. Otherwise the only gang of a team could never be moved.
     const bool nothing_down = down <= kBudgetTolerance && budget.max_down_share > 0;
     if (!nothing_down &&
         down + cores > budget.max_down_share * (team_disruption.running + down) + kBudgetTolerance)
       return BudgetRejection::too_much_down;
     move_to_voluntary(team_disruption, cores);
-    lost[job.team] += stop.lost_core_s;
-    if (lost_core_s(policy, job.spec.team, now) + lost[job.team] >
+    added_loss[job.team] += stop.lost_core_s;
+    if (lost_core_s(policy, job.spec.team, now) + added_loss[job.team] >
         budget.max_lost_core_s_per_hour + kBudgetTolerance) {
       return BudgetRejection::too_much_lost_work;
     }
@@ -107,12 +109,13 @@
     if ((past_stops == stops_by_job_.end() ? 0 : past_stops->second) >= budget.max_stops_per_job)
       return BudgetRejection::too_many_stops;
     if (job.spec.shape == jobs::Shape::service) {
-      const auto up = std::count_if(job.attempts.begin(), job.attempts.end(), [](const auto& one) {
-        return one.second.observed_state == ObservedState::running && !one.second.stopping;
-      });
+      const auto running_replicas =
+          std::count_if(job.attempts.begin(), job.attempts.end(), [](const auto& one) {
+            return one.second.observed_state == ObservedState::running && !one.second.stopping;
+          });
       const double min_replicas =
           std::ceil(job.spec.tasks * budget.min_replicas_up_share - kBudgetTolerance);
-      if (static_cast<double>(up) - stop.task_count < min_replicas)
+      if (static_cast<double>(running_replicas) - stop.task_count < min_replicas)
         return BudgetRejection::too_few_replicas;
     }
     const settings::Team& team = cluster.platform.teams[job.team];
@@ -140,14 +143,14 @@
   const Job& job = *cluster.jobs[stop.job];
   move_to_voluntary(disruption[job.team], job.resources_per_task.cpus * stop.task_count);
   const double already_lost_core_s = lost_core_s(policy, job.spec.team, now);
-  TeamUsage& used = usage_by_team_[job.spec.team];
-  used.lost_core_s = already_lost_core_s + stop.lost_core_s;
-  used.updated_at = now;
-  used.stopped_tasks += stop.task_count;
+  TeamUsage& usage = usage_by_team_[job.spec.team];
+  usage.lost_core_s = already_lost_core_s + stop.lost_core_s;
+  usage.updated_at = now;
+  usage.stopped_tasks += stop.task_count;
   ++stops_by_job_[job.spec.id];
 }
 
-// What is used is forgiven evenly over an hour.
+// Lost work expires at a constant rate: the whole budget expires within an hour.
 double BudgetTracker::lost_core_s(const DrainPolicy& policy, const std::string& team,
                                   double now) const {
   const auto at = usage_by_team_.find(team);
@@ -165,40 +168,41 @@
 wire::Json BudgetTracker::encode(const DrainPolicy& policy, const Cluster& cluster,
                                  double now) const {
   wire::Json teams = wire::Json::array();
-  for (const auto& [team, used] : usage_by_team_) {
+  for (const auto& [team, usage] : usage_by_team_) {
     if (teams.size() == kMaxRecordEntries) break;
     teams.push_back({{"name", team},
                      {"core_s", std::round(lost_core_s(policy, team, now))},
-                     {"stops", used.stopped_tasks}});
+                     {"stops", usage.stopped_tasks}});
   }
-  // Those that were stopped most often first: the others have something left in any case.
+  // If there are too many jobs for the record, those with the fewest stops are left out, because
+  // they are the furthest from their limit.
   std::vector<std::pair<std::uint32_t, std::string>> stops_of_live_jobs;
-  for (const auto& [id, move_to_voluntary] : stops_by_job_) {
-    if (cluster.job_index.contains(id)) stops_of_live_jobs.emplace_back(move_to_voluntary, id);
+  for (const auto& [id, stop_count] : stops_by_job_) {
+    if (cluster.job_index.contains(id)) stops_of_live_jobs.emplace_back(stop_count, id);
   }
   std::sort(stops_of_live_jobs.rbegin(), stops_of_live_jobs.rend());
   if (stops_of_live_jobs.size() > kMaxRecordEntries) stops_of_live_jobs.resize(kMaxRecordEntries);
   wire::Json jobs = wire::Json::array();
-  for (const auto& [move_to_voluntary, id] : stops_of_live_jobs)
-    jobs.push_back({{"name", id}, {"stops", move_to_voluntary}});
+  for (const auto& [stop_count, id] : stops_of_live_jobs)
+    jobs.push_back({{"name", id}, {"stops", stop_count}});
   return {{"teams", std::move(teams)}, {"jobs", std::move(jobs)}};
 }
 
 void BudgetTracker::restore(const wire::Json& record, double now) {
   if (!record.is_object()) throw wire::BadMessage("drains/used: not a map");
-  std::map<std::string, TeamUsage> used;
+  std::map<std::string, TeamUsage> usage;
   for (const wire::Json& item : wire::list(record, "teams")) {
-    used[wire::text(item, "name")] = {
+    usage[wire::text(item, "name")] = {
         wire::amount(item, "core_s"), now,
         static_cast<std::uint32_t>(wire::count(item, "stops", 0xffffffffu))};
   }
-  std::map<std::string, std::uint32_t> stops;
+  std::map<std::string, std::uint32_t> stops_by_job;
   for (const wire::Json& item : wire::list(record, "jobs")) {
-    stops[wire::text(item, "name")] =
+    stops_by_job[wire::text(item, "name")] =
         static_cast<std::uint32_t>(wire::count(item, "stops", 0xffffffffu));
   }
-  usage_by_team_ = std::move(used);
-  stops_by_job_ = std::move(stops);
+  usage_by_team_ = std::move(usage);
+  stops_by_job_ = std::move(stops_by_job);
 }
 
 PlannedStop estimate_stop(const Cluster& cluster, Index index,
--- a/src/drains/drain_policy.cpp
+++ b/src/drains/drain_policy.cpp
@@ -26,7 +26,8 @@
   return word == "yes";
 }
 
-// Each (name value) below the list's own name; a word where a list should be is refused.
+// Calls `read` for each field (name value) of the list. Throws if an item is not a list or a field
+// is given twice.
 template <class Read>
 void for_each_field(const SExpression& list, const std::string& path, Read read) {
   std::set<std::string> seen_fields;
@@ -178,7 +179,8 @@
                          "a serial that is yet to come: " + entry.source_text);
     }
   }
-  // What a team's own budget does not say is as for all.
+  // Fields that are not given in a team's own budget take the value of the default budget, so that
+  // is parsed first.
   std::vector<std::pair<const SExpression*, std::string>> team_lists;
   bool has_default = false;
   for (const SExpression* list : budgets) {
--- a/src/drains/drains.cpp
+++ b/src/drains/drains.cpp
@@ -21,14 +21,16 @@
 constexpr double kMinBilledTime_s = 60;
 constexpr double kStatusLogInterval_s = 60;
 constexpr double kTeamLogInterval_s = 3600;
-// The new machines of a step are waited for so many boot times; what comes later is used, too.
+// A step waits this many boot times for its new machines. Machines that come later are used as
+// well.
 constexpr double kBootTimeoutInBootTimes = 3;
-// A step looks for new machines from when renting has seen that the old ones count no more.
+// A step expects new machines only after this time: the autoscaler first has to see that the old
+// machines no longer count as capacity.
 constexpr double kRentingDelay_s = 3;
-// Work is stopped only while so much of the fleet is heard.
+// No task is stopped voluntarily unless at least this share of the machines sends heartbeats.
 constexpr double kMinHeardShare = 0.99;
 constexpr int kMaxFailedSteps = 2;
-constexpr int kMaxPlaceSearchesPerPass = 8;  // for places, a pass: each looks at all machines
+constexpr int kMaxPlaceSearchesPerPass = 8;  // each search visits all machines
 
 bool matches(const HostSelector& selector, const Cluster& cluster, const Host& host,
              const std::map<std::uint64_t, double>& accepted_at, double now) {
@@ -40,7 +42,7 @@
   if (selector.spot && host.spot != *selector.spot) return false;
   if (selector.older_than_s && now - host.rented_at < *selector.older_than_s) return false;
   if (selector.rented_before_serial) {
-    // A serial may have been skipped: the first that was accepted after it counts.
+    // If the serial itself was never accepted, the next higher one that was accepted counts.
     const auto at = accepted_at.lower_bound(*selector.rented_before_serial);
     if (at == accepted_at.end() || host.rented_at >= at->second) return false;
   }
@@ -53,17 +55,18 @@
                           double now) {
   accepted_at_ = std::move(accepted_at);
   if (policy == policy_) return;
-  spdlog::info("drains: serial {} is in force, {} entries", policy.serial, policy.rules.size());
+  spdlog::info("drains: policy with serial {} is in force, {} rules", policy.serial,
+               policy.rules.size());
   policy_ = std::move(policy);
-  for (auto& [key, line] : rollouts_)
-    line.failed_steps = 0;  // whoever writes anew has looked into it
+  for (auto& [key, rollout] : rollouts_)
+    // The operator who changed the policy is expected to have dealt with the failures.
+    rollout.failed_steps = 0;
   status_logged_at_ = now - kStatusLogInterval_s + 5;
 }
 
-// Machines that are not empty yet serve again.
 void Drains::cancel_all(Cluster& cluster) {
   if (!has_policy()) return;
-  spdlog::info("drains: none is in force any more");
+  spdlog::info("drains: no policy is in force any more");
   for (const auto& host : cluster.hosts) {
     if (host) host->cordoned = host->to_be_replaced = false;
   }
@@ -75,23 +78,23 @@
 
 const DrainRule* Drains::matching_rule(const Cluster& cluster, const Host& host, double now) const {
   const auto at =
-      std::find_if(policy_.rules.begin(), policy_.rules.end(), [&](const DrainRule& entry) {
-        return matches(entry.selector, cluster, host, accepted_at_, now);
+      std::find_if(policy_.rules.begin(), policy_.rules.end(), [&](const DrainRule& rule) {
+        return matches(rule.selector, cluster, host, accepted_at_, now);
       });
   return at == policy_.rules.end() ? nullptr : &*at;
 }
 
 std::set<Pool> Drains::closed_pools(const Cluster& cluster) const {
   std::set<Pool> pools;
-  for (const DrainRule& entry : policy_.rules) {
-    if (entry.is_rolling || !entry.selector.selects_whole_pools()) continue;
+  for (const DrainRule& rule : policy_.rules) {
+    if (rule.is_rolling || !rule.selector.selects_whole_pools()) continue;
     for (Index type = 0; type < cluster.types.size(); ++type) {
       for (Index zone = 0; zone < cluster.zones.size(); ++zone) {
         for (const bool spot : {false, true}) {
-          const HostSelector& match = entry.selector;
-          if ((!match.type || *match.type == cluster.types[type]) &&
-              (!match.zone || *match.zone == cluster.zones[zone]) &&
-              (!match.spot || *match.spot == spot)) {
+          const HostSelector& selector = rule.selector;
+          if ((!selector.type || *selector.type == cluster.types[type]) &&
+              (!selector.zone || *selector.zone == cluster.zones[zone]) &&
+              (!selector.spot || *selector.spot == spot)) {
             pools.insert({type, zone, spot});
           }
         }
@@ -101,21 +104,22 @@
   return pools;
 }
 
-// Which machines go is decided anew each time, so that an entry that is taken out ends at once.
+// Decides for each machine, on every pass, whether it is drained or about to be replaced, so that a
+// drain ends as soon as its rule is removed from the policy.
 void Drains::mark_hosts(Cluster& cluster, double now) {
-  std::map<std::string, std::size_t> matched;
+  std::map<std::string, std::size_t> host_counts;
   for (const auto& host : cluster.hosts) {
     if (!host || host->phase == HostPhase::terminating) continue;
-    const DrainRule* entry = matching_rule(cluster, *host, now);
-    if (entry != nullptr) ++matched[entry->source_text];
-    const Rollout* line = nullptr;
-    if (entry != nullptr && entry->is_rolling) {
+    const DrainRule* rule = matching_rule(cluster, *host, now);
+    if (rule != nullptr) ++host_counts[rule->source_text];
+    const Rollout* rollout = nullptr;
+    if (rule != nullptr && rule->is_rolling) {
       const auto at = rollouts_.find({host->type, host->spot});
-      if (at != rollouts_.end() && at->second.old_hosts.contains(host->name)) line = &at->second;
+      if (at != rollouts_.end() && at->second.old_hosts.contains(host->name)) rollout = &at->second;
     }
-    host->to_be_replaced = line != nullptr && line->phase == Phase::renting;
-    host->cordoned = entry != nullptr &&
-                     (!entry->is_rolling || (line != nullptr && line->phase == Phase::draining));
+    host->to_be_replaced = rollout != nullptr && rollout->phase == Phase::renting;
+    host->cordoned = rule != nullptr && (!rule->is_rolling ||
+                                         (rollout != nullptr && rollout->phase == Phase::draining));
     if (host->cordoned) {
       cordoned_since_.try_emplace(host->name, now);
     } else {
@@ -124,22 +128,23 @@
   }
   std::erase_if(cordoned_since_,
                 [&](const auto& one) { return !cluster.host_index.contains(one.first); });
-  for (const auto& [text, count] : matched) {
+  for (const auto& [text, count] : host_counts) {
     if (!host_count_by_rule_.contains(text))
-      spdlog::info("drain begins: {}: {} machines", text, count);
+      spdlog::info("drain started: {}: {} machines", text, count);
   }
   for (const auto& [text, count] : host_count_by_rule_) {
-    if (!matched.contains(text)) spdlog::info("drain ends: {}: no machine is left", text);
+    if (!host_counts.contains(text))
+      spdlog::info("drain ended: {}: no machine matches any more", text);
   }
-  host_count_by_rule_ = std::move(matched);
+  host_count_by_rule_ = std::move(host_counts);
 }
 
 std::string Drains::rollout_name(const Cluster& cluster, const RolloutKey& key) const {
   return std::string(key.second ? "spot " : "ordinary ") + cluster.types[key.first];
 }
 
-// The zone with the most to replace; there those that would go back anyway, then those with the
-// least work on them.
+// Chooses the zone with the most machines to replace. In it, idle machines come first, which would
+// be returned anyway, then those with the fewest tasks.
 void Drains::begin_step(Cluster& cluster, const RolloutKey& key, Rollout& rollout, double now) {
   std::map<Index, std::vector<const Host*>> candidates;
   std::size_t pool_size = 0;
@@ -147,9 +152,9 @@
     if (!host || host->phase != HostPhase::up || RolloutKey{host->type, host->spot} != key)
       continue;
     ++pool_size;
-    const DrainRule* entry = host->draining ? nullptr : matching_rule(cluster, *host, now);
-    // Its first minute is paid for in any case.
-    if (entry != nullptr && entry->is_rolling && now - host->rented_at >= kMinBilledTime_s) {
+    const DrainRule* rule = host->draining ? nullptr : matching_rule(cluster, *host, now);
+    // The cloud bills this minimum in any case, so replacing the machine earlier saves nothing.
+    if (rule != nullptr && rule->is_rolling && now - host->rented_at >= kMinBilledTime_s) {
       candidates[host->zone].push_back(host.get());
     }
   }
@@ -180,12 +185,12 @@
   for (const Host* host : hosts) rollout.old_hosts.insert(host->name);
   rollout.phase = policy_.rollout.surge ? Phase::renting : Phase::draining;
   rollout.step_began_at = rollout.phase_since = now;
-  spdlog::info("drains: a step of {} {} machines in {}", hosts.size(), rollout_name(cluster, key),
-               cluster.zones[rollout.zone]);
+  spdlog::info("drains: step started: {} {} machines in zone {}", hosts.size(),
+               rollout_name(cluster, key), cluster.zones[rollout.zone]);
 }
 
-// The cloud had nothing for what the last step gave back: the next one waits until it has, or the
-// fleet would be taken apart step by step.
+// Whether the next step has to wait, because the cloud had no machine to replace those that the
+// last step returned. Without this wait the fleet would shrink with each step.
 bool Drains::waits_for_capacity(const Cluster& cluster, const RolloutKey& key, Rollout& rollout,
                                 double now) const {
   if (rollout.no_capacity_since < 0) return false;
@@ -216,7 +221,7 @@
     any_booting = any_booting || (host->phase == HostPhase::booting &&
                                   now - host->rented_at < kBootTimeoutInBootTimes * boot_s);
   }
-  const auto next = [&](Phase phase) {
+  const auto enter_phase = [&](Phase phase) {
     rollout.phase = phase;
     rollout.phase_since = now;
   };
@@ -224,11 +229,11 @@
     case Phase::idle:
       return;
     case Phase::renting:
-      // Where the cloud has no room the old ones are emptied first.
+      // If the cloud has no capacity, the old machines are drained first.
       if (conditions.recently_refused(pool) ||
           now - rollout.phase_since > kBootTimeoutInBootTimes * boot_s + kRentingDelay_s ||
           (now - rollout.phase_since > kRentingDelay_s && !any_booting)) {
-        next(Phase::draining);
+        enter_phase(Phase::draining);
       }
       return;
     case Phase::draining:
@@ -238,22 +243,24 @@
           ++replaced_hosts_;
           return true;
         }
-        // One that no entry names any more is not of the step.
+        // A machine that no rule matches any more leaves the step.
         const Host& host = *cluster.hosts[at->second];
         return host.phase != HostPhase::terminating && matching_rule(cluster, host, now) == nullptr;
       });
-      if (rollout.old_hosts.empty()) next(Phase::soaking);
+      if (rollout.old_hosts.empty()) enter_phase(Phase::soaking);
       return;
     case Phase::soaking:
       break;
   }
-  // In a night that is bad for all nothing can be said of the new ones.
+  // While stops are blocked, for instance during an outage, failures say nothing about the new
+  // machines, so the soak time starts again.
   if (!stops_allowed_) rollout.phase_since = now;
   if (any_booting || now - rollout.phase_since < policy_.rollout.soak_s) return;
   rollout.failed_new_hosts = 0;
   for (const std::string& name : rollout.new_hosts) {
     const auto at = cluster.host_index.find(name);
-    if (at == cluster.host_index.end()) continue;  // it has done its work, or was taken back
+    if (at == cluster.host_index.end())
+      continue;  // returned after its work was done, or reclaimed by the cloud
     const Host& host = *cluster.hosts[at->second];
     const bool faulty =
         quarantine::fault_evidence(cluster, at->second) > 0 && host.reclaim_at == placement::kNever;
@@ -266,22 +273,23 @@
     rollout.halted_until = now + policy_.rollout.retry_after_s;
     rollout.step_size = policy_.rollout.first_step_size;
     ++rollout.failed_steps;
-    spdlog::error("drains: {} of {} new {} machines in {} failed: {}", rollout.failed_new_hosts,
-                  rollout.new_hosts.size(), rollout_name(cluster, key), cluster.zones[rollout.zone],
-                  rollout.failed_steps < kMaxFailedSteps
-                      ? "the step is tried once more later"
-                      : "no more steps until the rules are written anew");
+    spdlog::error(
+        "drains: {} of {} new {} machines in zone {} failed: {}", rollout.failed_new_hosts,
+        rollout.new_hosts.size(), rollout_name(cluster, key), cluster.zones[rollout.zone],
+        rollout.failed_steps < kMaxFailedSteps ? "the step is retried once later"
+                                               : "no more steps until the policy changes");
     return;
   }
   rollout.failed_steps = 0;
   if (rollout.was_refused && rollout.new_hosts.empty()) {
     rollout.no_capacity_since = now;
     rollout.step_size = policy_.rollout.first_step_size;
-    spdlog::info("drains: the cloud has no {} machines in {}: no step before it has",
-                 rollout_name(cluster, key), cluster.zones[rollout.zone]);
+    spdlog::info(
+        "drains: the cloud has no {} machines in zone {}: the next step waits for capacity",
+        rollout_name(cluster, key), cluster.zones[rollout.zone]);
     return;
   }
-  spdlog::info("drains: a step of {} in {} is over after {:.0f} s", rollout_name(cluster, key),
+  spdlog::info("drains: step of {} in zone {} finished after {:.0f} s", rollout_name(cluster, key),
                cluster.zones[rollout.zone], now - rollout.step_began_at);
   rollout.step_size = std::min(rollout.step_size * 2, 100000u);
 }
@@ -290,32 +298,31 @@
   for (const auto& host : cluster.hosts) {
     if (host && host->type != kNone) rollouts_.try_emplace({host->type, host->spot});
   }
-  const bool has_rolling_rule =
-      std::any_of(policy_.rules.begin(), policy_.rules.end(),
-                  [](const DrainRule& entry) { return entry.is_rolling; });
+  const bool has_rolling_rule = std::any_of(policy_.rules.begin(), policy_.rules.end(),
+                                            [](const DrainRule& rule) { return rule.is_rolling; });
   const bool exceeds_cost_limit =
       policy_.rollout.max_remaining_cost < 1e12 &&
       remaining_cost(cluster, conditions, now) > policy_.rollout.max_remaining_cost;
   if (exceeds_cost_limit != std::exchange(exceeds_cost_limit_, exceeds_cost_limit)) {
-    spdlog::info("drains: what is left to replace costs {} than most-price",
+    spdlog::info("drains: the remaining replacement costs {} than most-price",
                  exceeds_cost_limit ? "more" : "less");
   }
-  for (auto& [key, line] : rollouts_) {
-    if (line.phase != Phase::idle) {
-      advance_step(cluster, key, line, conditions, now);
+  for (auto& [key, rollout] : rollouts_) {
+    if (rollout.phase != Phase::idle) {
+      advance_step(cluster, key, rollout, conditions, now);
       continue;
     }
-    if (!has_rolling_rule || !stops_allowed_ || exceeds_cost_limit || now < line.halted_until)
+    if (!has_rolling_rule || !stops_allowed_ || exceeds_cost_limit || now < rollout.halted_until)
       continue;
-    if (line.failed_steps >= kMaxFailedSteps) {
-      if (now - line.halt_logged_at >= kTeamLogInterval_s) {
-        line.halt_logged_at = now;
-        spdlog::error("drains: {} is halted: its new machines failed twice",
+    if (rollout.failed_steps >= kMaxFailedSteps) {
+      if (now - rollout.halt_logged_at >= kTeamLogInterval_s) {
+        rollout.halt_logged_at = now;
+        spdlog::error("drains: replacement of {} is halted: its new machines failed twice",
                       rollout_name(cluster, key));
       }
       continue;
     }
-    if (!waits_for_capacity(cluster, key, line, now)) begin_step(cluster, key, line, now);
+    if (!waits_for_capacity(cluster, key, rollout, now)) begin_step(cluster, key, rollout, now);
   }
 }
 
@@ -323,21 +330,22 @@
                             DrainActions& actions, double now) {
   const Job& job = *cluster.jobs[index];
   if (moves_.is_moving(job.spec.id)) return;
-  const bool saves = job.spec.checkpoint_interval_s > 0;
-  const bool restarts_from_scratch = job.spec.shape == jobs::Shape::array && !saves;
-  const auto refuse = [&](const char* why) { ++refused_stops_[job.spec.team][why]; };
-  // As if a place were at hand, for which one has to search; what starts anew one by one needs none
-  // but within its team's guarantee.
+  const bool has_checkpoints = job.spec.checkpoint_interval_s > 0;
+  const bool restarts_from_scratch = job.spec.shape == jobs::Shape::array && !has_checkpoints;
+  const auto refuse = [&](const char* reason) { ++refused_stops_[job.spec.team][reason]; };
+  // First checks the budgets as if there were room elsewhere, because a search for room is
+  // expensive. Tasks of arrays without checkpoints can restart anywhere one by one and need no
+  // search, unless their team is within its guarantee.
   for (const BudgetRejection exhausted :
        {BudgetRejection::too_much_down, BudgetRejection::too_much_lost_work}) {
     if (exhausted_budgets_.contains({job.team, exhausted}))
       return refuse(drains::name_of(exhausted));
   }
   PlannedStop planned = estimate_stop(cluster, index, tasks, true, now);
-  BudgetRejection refusal = budget_tracker_.check(policy_, cluster, disruption_, {planned}, now);
-  if (refusal != BudgetRejection::none) {
-    exhausted_budgets_.insert({job.team, refusal});
-    return refuse(drains::name_of(refusal));
+  BudgetRejection rejection = budget_tracker_.check(policy_, cluster, disruption_, {planned}, now);
+  if (rejection != BudgetRejection::none) {
+    exhausted_budgets_.insert({job.team, rejection});
+    return refuse(drains::name_of(rejection));
   }
   planned.has_next_place = false;
   std::map<std::uint32_t, Index> places;
@@ -354,24 +362,28 @@
   std::set<Index> hosts;
   for (const std::uint32_t task : tasks) {
     hosts.insert(job.attempts.at(task).host);
-    cluster.request_stop(index, task, saves ? job.spec.checkpoint_duration_s + 1 : 0, true);
+    cluster.request_stop(index, task, has_checkpoints ? job.spec.checkpoint_duration_s + 1 : 0,
+                         true);
   }
   if (hosts.size() > 1)
     actions.hosts_to_notify.insert(actions.hosts_to_notify.end(), hosts.begin(), hosts.end());
-  spdlog::info("job {}: {} tasks leave their machines", job.spec.id, tasks.size());
+  spdlog::info("job {}: stopping {} tasks on drained machines", job.spec.id, tasks.size());
 }
 
-// What ends soon is left to end; what saves goes on elsewhere, gangs whole; tasks that save nothing
-// are left for a while, then the youngest go first.
+// Stops the tasks on a cordoned machine as far as the budgets allow. Tasks that are about to end,
+// and tasks without checkpoints, may run on during the grace period. Tasks with checkpoints and
+// services move to other machines, gangs as a whole. The tasks that ran for the shortest time are
+// stopped first.
 void Drains::drain_host(Cluster& cluster, Index index, DrainActions& actions, double now) {
   Host& host = *cluster.hosts[index];
   const double cordoned_since = cordoned_since_.at(host.name);
   const std::set<TaskRef> refs = host.attempts;
-  std::vector<std::pair<double, TaskRef>> running;  // by how long
+  // Running tasks, with the time in seconds that each has run.
+  std::vector<std::pair<double, TaskRef>> running;
   for (const TaskRef& ref : refs) {
     const auto& attempts = cluster.jobs[ref.job]->attempts;
     const auto at = attempts.find(ref.task);
-    if (at == attempts.end()) continue;  // released with another one of its job
+    if (at == attempts.end()) continue;  // ended together with another task of its job
     const Attempt& attempt = at->second;
     if (!attempt.start_sent && !attempt.from_previous_leader &&
         attempt.observed_state == ObservedState::unobserved) {
@@ -386,17 +398,18 @@
     const Job& job = *cluster.jobs[ref.job];
     const auto at = job.attempts.find(ref.task);
     if (at == job.attempts.end() || at->second.stopping || job.cancelled) continue;
-    const bool service = job.spec.shape == jobs::Shape::service;
-    const double left_s = job.spec.estimated_duration_s - ran_s;
-    const bool ends_soon = !service && left_s > 0 && left_s <= policy_.ending_soon_s;
+    const bool is_service = job.spec.shape == jobs::Shape::service;
+    const double remaining_s = job.spec.estimated_duration_s - ran_s;
+    const bool ends_soon = !is_service && remaining_s > 0 && remaining_s <= policy_.ending_soon_s;
     const bool within_grace_period = now - cordoned_since < policy_.grace_period_s;
-    if ((ends_soon || (job.spec.checkpoint_interval_s <= 0 && !service)) && within_grace_period)
+    if ((ends_soon || (job.spec.checkpoint_interval_s <= 0 && !is_service)) && within_grace_period)
       continue;
     if (job.spec.shape != jobs::Shape::gang) {
       try_stop_tasks(cluster, ref.job, {ref.task}, actions, now);
       continue;
     }
-    // Whole, and only while all of it runs: one that gathers will run, or be incomplete.
+    // A gang is stopped only as a whole and while all its tasks run. A gang that is still starting
+    // will either run completely or be stopped as incomplete.
     std::vector<std::uint32_t> tasks;
     for (const auto& [task, attempt] : job.attempts) {
       if (attempt.observed_state == ObservedState::running && !attempt.stopping)
@@ -423,8 +436,9 @@
           : "";
   if (block_reason != block_reason_) {
     block_reason_ = block_reason;
-    spdlog::info("drains: {}", block_reason_.empty() ? "work may be stopped"
-                                                     : "nothing is stopped: " + block_reason_);
+    spdlog::info("drains: {}", block_reason_.empty()
+                                   ? "voluntary stops are allowed"
+                                   : "voluntary stops are blocked: " + block_reason_);
   }
   stops_allowed_ = block_reason_.empty();
   mark_hosts(cluster, now);
@@ -466,28 +480,29 @@
   return true;
 }
 
-// Of the new machines of what is yet to be replaced, while the old ones are charged as well.
+// The cost of replacing the remaining machines: each new machine is billed beside the old one until
+// it has booted.
 double Drains::remaining_cost(const Cluster& cluster, const FleetConditions& conditions,
                               double now) const {
-  double price = 0;
+  double cost = 0;
   for (const auto& host : cluster.hosts) {
     const auto* type = host ? cluster.type_of(*host) : nullptr;
     if (type == nullptr || host->phase == HostPhase::terminating) continue;
-    const DrainRule* entry = matching_rule(cluster, *host, now);
-    if (entry == nullptr || !entry->is_rolling) continue;
+    const DrainRule* rule = matching_rule(cluster, *host, now);
+    if (rule == nullptr || !rule->is_rolling) continue;
     const Pool pool{host->type, host->zone, host->spot};
-    price += conditions.price_per_hour(pool) * std::max(type->boot_s, kMinBilledTime_s) / 3600;
+    cost += conditions.price_per_hour(pool) * std::max(type->boot_s, kMinBilledTime_s) / 3600;
   }
-  return price;
+  return cost;
 }
 
 void Drains::log_status(const Cluster& cluster, const FleetConditions& conditions, double now) {
   if (now - status_logged_at_ >= kStatusLogInterval_s) {
     status_logged_at_ = now;
-    std::size_t to_drain = 0, emptying = 0;
+    std::size_t to_drain = 0, draining = 0;
     for (const auto& [text, count] : host_count_by_rule_) to_drain += count;
     for (const auto& host : cluster.hosts) {
-      if (host && host->phase != HostPhase::terminating) emptying += host->cordoned ? 1 : 0;
+      if (host && host->phase != HostPhase::terminating) draining += host->cordoned ? 1 : 0;
     }
     std::string details;
     for (Index team = 0; team < disruption_.size(); ++team) {
@@ -498,14 +513,15 @@
                              team_disruption.involuntary, team_disruption.running);
     }
     for (const auto& [team, reasons] : refused_stops_) {
-      for (const auto& [why, count] : reasons) {
-        details += fmt::format("; {} waits: {} ({})", team, why, count);
+      for (const auto& [reason, count] : reasons) {
+        details += fmt::format("; {} waits: {} ({})", team, reason, count);
       }
     }
     spdlog::info(
-        "drains: {} to go, {} emptying, {} gone in steps, {} jobs on their way, replacing what is "
-        "left costs {:.2f} more{}",
-        to_drain, emptying, replaced_hosts_, moves_.size(),
+        "drains: {} machines to drain, {} draining, {} replaced in steps, {} jobs moving, "
+        "remaining "
+        "replacement costs {:.2f}{}",
+        to_drain, draining, replaced_hosts_, moves_.size(),
         remaining_cost(cluster, conditions, now), details);
   }
   if (now - team_usage_logged_at_ < kTeamLogInterval_s) return;
--- a/src/drains/policy_file_watcher.cpp
+++ b/src/drains/policy_file_watcher.cpp
@@ -15,8 +15,9 @@
 using kv::Outcome;
 
 constexpr double kFileCheckInterval_s = 1;
-constexpr int kFileChecksPerRecordCheck =
-    30;  // looks; the record may have gone with a step back of the levels
+// Checks that a published record is still there this often, because a downgrade of the schema
+// level removes it.
+constexpr int kFileChecksPerRecordCheck = 30;
 
 }  // namespace
 
@@ -49,7 +50,7 @@
   return std::exchange(last_mtime_and_size_, mtime_and_size) != mtime_and_size;
 }
 
-// A file that is wrong is refused whole; what was read before goes on.
+// If the file is invalid, none of it is used and the section that was read before stays in use.
 void PolicyFileWatcher::load_file() {
   try {
     const settings::Policy policy = settings::load_policy(path_);
@@ -104,7 +105,7 @@
   transaction.preconditions = {{kPolicyKey, revision}, {schema::kLevelKey, view->revision}};
   transaction.writes.push_back({kPolicyKey, value, std::nullopt});
   if (store_.commit(transaction).outcome != Outcome::ok) {
-    version_tracker_.read_revision();  // the level may have changed behind our back
+    version_tracker_.read_revision();  // another process may have changed the schema level
     return false;
   }
   log_once(fmt::format("serial {} is accepted", serial_), false);
--- a/src/drains/task_moves.cpp
+++ b/src/drains/task_moves.cpp
@@ -15,12 +15,13 @@
 using placement::Host;
 using placement::Resources;
 
-// Saving, a report and a start; longer than that the room is better used by others.
+// Enough for a checkpoint, a heartbeat and a start. After this time, other jobs make better use of
+// the room.
 constexpr double kReservationTimeout_s = 45;
 
 struct CandidateHost {
   Index host = placement::kNone;
-  std::uint32_t moving_tasks = 0;  // of the tasks are there now
+  std::uint32_t moving_tasks = 0;  // tasks of this move that run on the machine now
   bool has_image = false;
   std::uint32_t task_capacity = 0;
 };
@@ -39,11 +40,12 @@
     if (failed != job.failed_on.end() && now < failed->second) continue;
     const auto at = tasks_by_host.find(i);
     const std::uint32_t moving_tasks = at == tasks_by_host.end() ? 0 : at->second;
-    Resources room = host->free;
-    room += job.resources_per_task.scaled(moving_tasks);
-    const std::uint32_t copies = room.capacity_for(job.resources_per_task);
-    if (copies > 0)
-      candidates.push_back({i, moving_tasks, host->cached_images.contains(job.spec.image), copies});
+    Resources available = host->free;
+    available += job.resources_per_task.scaled(moving_tasks);
+    const std::uint32_t task_capacity = available.capacity_for(job.resources_per_task);
+    if (task_capacity > 0)
+      candidates.push_back(
+          {i, moving_tasks, host->cached_images.contains(job.spec.image), task_capacity});
   }
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const CandidateHost& a, const CandidateHost& b) {
@@ -61,7 +63,7 @@
   const Job& job = *cluster.jobs[index];
   const std::set<std::uint32_t> moving(tasks.begin(), tasks.end());
   std::map<Index, std::uint32_t> tasks_by_host;
-  std::map<Index, std::uint32_t> remaining_by_zone;  // by zone, of the tasks that stay
+  std::map<Index, std::uint32_t> remaining_by_zone;  // number of tasks that do not move
   for (const auto& [task, attempt] : job.attempts) {
     if (moving.contains(task)) {
       ++tasks_by_host[attempt.host];
@@ -73,21 +75,24 @@
   }
   const std::vector<CandidateHost> candidates = find_candidates(cluster, job, tasks_by_host, now);
   std::set<Index> zones;
-  for (const CandidateHost& room : candidates) zones.insert(cluster.hosts[room.host]->zone);
-  // A job that must share a zone goes to one that holds all of it; else any machine will do.
+  for (const CandidateHost& candidate : candidates)
+    zones.insert(cluster.hosts[candidate.host]->zone);
+  // A job that must run in one zone needs a zone that holds all its tasks. For other jobs `kNone`
+  // stands for all zones.
   std::vector<Index> zone_choices(zones.begin(), zones.end());
   if (!job.spec.single_zone) zone_choices = {placement::kNone};
   for (const Index zone : zone_choices) {
     placement::ZoneRules zone_rules(job, remaining_by_zone);
     std::map<std::uint32_t, Index> places;
     auto task = moving.begin();
-    for (const CandidateHost& room : candidates) {
-      const Index host_zone = cluster.hosts[room.host]->zone;
+    for (const CandidateHost& candidate : candidates) {
+      const Index host_zone = cluster.hosts[candidate.host]->zone;
       if (zone != placement::kNone && host_zone != zone) continue;
       for (std::uint32_t i = 0;
-           i < room.task_capacity && task != moving.end() && zone_rules.allows(host_zone); ++i) {
+           i < candidate.task_capacity && task != moving.end() && zone_rules.allows(host_zone);
+           ++i) {
         zone_rules.add_task(host_zone);
-        places[*task++] = room.host;
+        places[*task++] = candidate.host;
       }
     }
     if (task == moving.end()) return places;
@@ -123,7 +128,7 @@
   moves_[job.spec.id] = std::move(move);
 }
 
-// Each of its places can still be had.
+// Whether the job still needs the move and all its new machines are still usable.
 bool TaskMoves::is_still_possible(const Cluster& cluster, const Job& job, const Move& move,
                                   double now) const {
   if (job.cancelled || job.is_complete() || now - move.began_at > kReservationTimeout_s)
@@ -134,12 +139,13 @@
   });
 }
 
-// Nothing yet: its old attempts are not all over, or have not given up all of its room.
+// Places the tasks once all old attempts have ended and all room is reserved. Returns the number of
+// tasks placed, or nothing if the move has to wait.
 std::optional<int> TaskMoves::try_place(Cluster& cluster, Index index, Move& move, double now) {
   Job& job = *cluster.jobs[index];
   bool ready = now >= job.retry_not_before;
   for (auto& [task, place] : move.places) {
-    // What they give up is kept before anybody else sees it.
+    // Room that an old attempt has freed is reserved before the next placement pass can use it.
     if (!place.is_reserved) try_reserve(cluster, move, place);
     ready = ready && place.is_reserved && !job.attempts.contains(task);
   }
@@ -152,14 +158,14 @@
       std::all_of(move.places.begin(), move.places.end(), [&](const auto& one) {
         return cluster.record_has_room(index, one.first, attempt, host_of(one.second));
       });
-  if (!has_room) return 0;  // it waits like others
+  if (!has_room) return 0;  // the job waits for placement like any other
   int placed = 0;
   for (const auto& [task, place] : move.places) {
     if (job.done[task]) continue;
     cluster.place(index, task, attempt, host_of(place), now);
     ++placed;
   }
-  spdlog::info("job {}: {} tasks go on elsewhere after {:.1f} s", job.spec.id, placed,
+  spdlog::info("job {}: {} tasks placed on other machines after {:.1f} s", job.spec.id, placed,
                now - move.began_at);
   return placed;
 }
@@ -169,15 +175,15 @@
   for (auto at = moves_.begin(); at != moves_.end();) {
     Move& move = at->second;
     const auto job = cluster.job_index.find(at->first);
-    std::optional<int> arrived = 0;
+    std::optional<int> move_placed = 0;
     if (job != cluster.job_index.end() &&
         is_still_possible(cluster, *cluster.jobs[job->second], move, now)) {
-      arrived = try_place(cluster, job->second, move, now);
+      move_placed = try_place(cluster, job->second, move, now);
     } else {
       release(cluster, move);
     }
-    placed += arrived.value_or(0);
-    at = arrived ? moves_.erase(at) : std::next(at);
+    placed += move_placed.value_or(0);
+    at = move_placed ? moves_.erase(at) : std::next(at);
   }
   return placed;
 }
--- a/src/shares/usage_accounts.cpp
+++ b/src/shares/usage_accounts.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr double kUsageHalfLife_s = 600;
-// Where no time is expected of a job's class, one that has not begun for so long is late.
+// A job without start deadlines is late if it has waited this long without beginning.
 constexpr double kLateAfterWaiting_s = 60;
-// Teams and classes that a record can name.
+// Limit for the teams, and for the classes, in a record that is read.
 constexpr std::size_t kMaxNamesInRecord = 1000;
 
 bool has_begun(const Job& job) { return job.done_count > 0 || !job.attempts.empty(); }
@@ -25,7 +25,7 @@
   if (job.is_blocked()) return false;
   if (job.latest_starts.empty())
     return !has_begun(job) && now - job.unblocked_at > kLateAfterWaiting_s;
-  // All of it runs: whether it ends in time is no longer a matter of shares.
+  // Once all tasks are placed, no further share of the cluster would make the job end earlier.
   const bool placed = job.attempts.size() + job.done_count >= job.spec.tasks;
   return !placed && job.next_latest_start(now) == placement::kNever;
 }
@@ -48,7 +48,8 @@
   summary.longest_wait_s = std::max(summary.longest_wait_s, now - job.unblocked_at);
 }
 
-// `live` counts jobs that are not cancelled: the rest of those that came is done.
+// Adds the stored totals. `uncancelled_jobs` counts live jobs that are not cancelled; all other
+// submitted jobs are either cancelled or done.
 std::vector<ServiceSummary> add_account_counts(
     std::vector<ServiceSummary> summaries, const std::map<std::string, UsageAccount>& accounts,
     const std::map<std::string, std::uint64_t>& uncancelled_jobs) {
@@ -162,19 +163,19 @@
   std::string line;
   const ServiceSummary* worst = nullptr;
   const char* worst_kind = "";
-  const auto tell = [&](const char* kind, const std::vector<ServiceSummary>& standings) {
-    for (const ServiceSummary& one : standings) {
+  const auto append = [&](const char* kind, const std::vector<ServiceSummary>& summaries) {
+    for (const ServiceSummary& summary : summaries) {
       line += fmt::format(
           "{} {} {:.2f} ({} came, {} done, {} wait up to {:.0f} s, {} late, {:.0f} cores); ", kind,
-          one.name, one.done_share(), one.submitted, one.done, one.waiting, one.longest_wait_s,
-          one.late, one.cores_in_use);
-      if (worst != nullptr && one.done_share() >= worst->done_share()) continue;
-      worst = &one;
+          summary.name, summary.done_share(), summary.submitted, summary.done, summary.waiting,
+          summary.longest_wait_s, summary.late, summary.cores_in_use);
+      if (worst != nullptr && summary.done_share() >= worst->done_share()) continue;
+      worst = &summary;
       worst_kind = kind;
     }
   };
-  tell("team", report.teams);
-  tell("class", report.classes);
+  append("team", report.teams);
+  append("class", report.classes);
   if (worst != nullptr)
     line += fmt::format("worst: {} {} {:.2f}", worst_kind, worst->name, worst->done_share());
   return line;
--- a/src/zones/zone_monitor.cpp
+++ b/src/zones/zone_monitor.cpp
@@ -18,40 +18,48 @@
 using placement::HostPhase;
 using placement::kNone;
 
-// Reports lie up to a quarter more than their period apart, and a worker whose node is dead waits 4
-// s for it and a second before the next: no zone is doubted for its one node.
+// Heartbeats lie up to a quarter more than their interval apart. A worker whose controller node is
+// dead waits 4 s for an answer and 1 s more before it tries the next node. These limits allow for
+// that, so a zone is not suspected because one node died.
 constexpr double kOverdueReportPeriods = 2;
 constexpr double kReportRetryTime_s = 6;
-// Machines that die or hang by themselves do so in every zone alike.
+// Machines that die or hang independently do so at a similar rate in every zone, so only a large
+// share in one zone is suspicious.
 constexpr double kMinOverdueShareToSuspect = 0.6;
+// A zone recovers when less than this share of its machines is not heard.
 constexpr double kMaxUnheardShareToRecover = 0.4;
-constexpr double kMaxOverdueShareElsewhere =
-    0.3;  // more than that is silent everywhere: it is not the zone
-// Five of eight machines hung by chance while one in seven did elsewhere, and the zone was lost.
+// If more than this share of the other zones' machines is overdue, the cause is not this zone.
+constexpr double kMaxOverdueShareElsewhere = 0.3;
+// A zone is suspected only if its number of overdue machines is this unlikely to be chance. Before
+// this limit, a zone was declared lost when five of its eight machines hung by chance, while one in
+// seven hung elsewhere.
 constexpr double kMaxChanceProbability = 1e-5;
-constexpr double kMinOverdueProbability = 0.05;  // that is overdue anywhere
+// Assumed probability that a machine is overdue, if fewer are overdue elsewhere.
+constexpr double kMinOverdueProbability = 0.05;
 constexpr std::size_t kMinMachinesToJudge = 4;
-constexpr std::size_t kMaxZonesInRecord = 200;       // in the record
-constexpr double kSuspectAfterReportPeriods = 0.75;  // reports' periods
-// What is silent for longer than its lease has killed its tasks, but for what a leader inside kept.
-constexpr double kDeadAfterLeases = 1.1;  // leases
-// Times that. Where there is no room for its work it is the first room there will be when the zone
-// is back; not for ever.
+constexpr std::size_t kMaxZonesInRecord = 200;
+constexpr double kSuspectAfterReportPeriods = 0.75;  // in heartbeat intervals
+// A worker that has been silent for longer than its lease has killed its tasks, unless a leader
+// inside the lost zone still renews its lease.
+constexpr double kDeadAfterLeases = 1.1;
+// In multiples of the time above. A machine whose tasks fit nowhere else is kept, because it offers
+// the first free room when the zone recovers, but it is returned after this time in any case.
 constexpr double kReturnAnywayAfterDeadTimes = 12;
-constexpr double kRecoveryTime_s = 10;  // of one that is heard again; doubled with each flap
+constexpr double kRecoveryTime_s = 10;  // time in `recovering`, doubled with each flap
 constexpr int kMaxFlaps = 4;
 constexpr double kFlapResetTime_s = 300;
-constexpr double kRetryEmptyZoneAfter_s = 60;        // then it is tried by renting
-constexpr double kMaxReturnedSharePerSecond = 0.05;  // of the machines of other zones
-constexpr double kMinBilledTime_s =
-    60;  // renting anew costs as much as keeping an idle one so long
+constexpr double kRetryEmptyZoneAfter_s = 60;        // then renting there is tried again
+constexpr double kMaxReturnedSharePerSecond = 0.05;  // of the usable machines
+// Keeping an idle machine for this time costs as much as renting a new one.
+constexpr double kMinBilledTime_s = 60;
 
 double overdue_after_s(const Cluster& cluster) {
   return kOverdueReportPeriods * cluster.platform.worker_timings.report_interval_s +
          kReportRetryTime_s;
 }
 
-// How likely as many would be overdue if each were with that chance.
+// The probability that at least as many machines are overdue, if each is overdue independently with
+// the given probability.
 double chance_probability(const ZoneObservation& observation, double overdue_probability) {
   if (observation.overdue == 0) return 1;
   const boost::math::binomial_distribution<double> overdue(
@@ -95,8 +103,9 @@
   return observations;
 }
 
-// Since this leader began, or since the zone was lost under an earlier one, once we have listened
-// for as long as reports may take.
+// Time since the last heartbeat. Without a heartbeat to this leader, counts from the start of its
+// term, or, once it has listened for as long as heartbeats may take, from the time at which an
+// earlier leader recorded the zone as suspected or lost.
 double ZoneMonitor::silence_s(const Cluster& cluster, const Host& host, double listening_since,
                               double now) const {
   const auto at = zones_.find(host.zone);
@@ -143,7 +152,8 @@
       overdue_share(others) < kMaxOverdueShareElsewhere &&
       chance_probability(observation, std::max(overdue_share(others), kMinOverdueProbability)) <
           kMaxChanceProbability;
-  // When all are silent, or heard again, no two zones are so at the same moment.
+  // When all zones become silent or reachable together, they do not do so at exactly the same
+  // moment, so the condition has to hold for some time.
   if (!silent_alone) zone.silent_alone_since = now;
   const bool long_silent_alone =
       silent_alone &&
@@ -192,15 +202,15 @@
 void ZoneMonitor::advance(Cluster& cluster, double listening_since, double now) {
   const std::vector<ZoneObservation> observations = observe(cluster, listening_since, now);
   ZoneObservation all;
-  for (const ZoneObservation& sight : observations) {
-    all.machines += sight.machines;
-    all.overdue += sight.overdue;
+  for (const ZoneObservation& observation : observations) {
+    all.machines += observation.machines;
+    all.overdue += observation.overdue;
   }
   for (Index zone = 0; zone < observations.size(); ++zone) {
-    const ZoneObservation& sight = observations[zone];
-    update_state(cluster, zone, sight,
-                 {all.machines - sight.machines, all.overdue - sight.overdue, 0}, listening_since,
-                 now);
+    const ZoneObservation& observation = observations[zone];
+    update_state(cluster, zone, observation,
+                 {all.machines - observation.machines, all.overdue - observation.overdue, 0},
+                 listening_since, now);
   }
   const double overdue_s = overdue_after_s(cluster);
   std::vector<placement::TaskRef> unsent;
@@ -215,7 +225,8 @@
       unsent.insert(unsent.end(), host->attempts.begin(), host->attempts.end());
     }
   }
-  // What was placed there and never sent needs no proof to go elsewhere.
+  // A task that was placed in the zone but whose start was never sent cannot run there, so it may
+  // be placed elsewhere at once.
   for (const placement::TaskRef& ref : unsent) {
     const auto& attempts = cluster.jobs[ref.job]->attempts;
     const auto at = attempts.find(ref.task);
@@ -254,7 +265,7 @@
   for (const auto& [name, zone] : found) {
     zones_[cluster.zones.add(name)] = zone;
     if (zone.state != ZoneState::healthy) {
-      spdlog::info("zone {}: {}: as an earlier leader found", name, zones::name_of(zone.state));
+      spdlog::info("zone {}: {}: as found by an earlier leader", name, zones::name_of(zone.state));
     }
   }
 }
@@ -296,15 +307,15 @@
   const placement::ServiceOrder service = placement::service_order(cluster, now);
   std::vector<std::size_t> rank(cluster.jobs.size(), service.jobs.size());
   std::size_t first_waiting = service.jobs.size();
-  double waiting_cores = 0;  // cores, of all that is not placed
+  double waiting_cores = 0;  // cores that the tasks without a place need
   for (std::size_t i = 0; i < service.jobs.size(); ++i) {
     const placement::Job& job = *cluster.jobs[service.jobs[i]];
     rank[service.jobs[i]] = i;
-    const double left = static_cast<double>(job.spec.tasks - job.done_count) -
-                        static_cast<double>(job.attempts.size());
-    if (left <= 0 || !cluster.within_team_limit(job, 1)) continue;
+    const double unplaced_tasks = static_cast<double>(job.spec.tasks - job.done_count) -
+                                  static_cast<double>(job.attempts.size());
+    if (unplaced_tasks <= 0 || !cluster.within_team_limit(job, 1)) continue;
     first_waiting = std::min(first_waiting, i);
-    waiting_cores += left * job.resources_per_task.cpus;
+    waiting_cores += unplaced_tasks * job.resources_per_task.cpus;
   }
   struct Candidate {
     std::size_t rank = 0;
@@ -325,29 +336,32 @@
   });
   double spare_cores = free_cores - waiting_cores;
   std::vector<Index> found;
-  for (const Candidate& one : candidates) {
+  for (const Candidate& candidate : candidates) {
     if (return_allowance_ < 1) break;
-    const Host& host = *cluster.hosts[one.host];
+    const Host& host = *cluster.hosts[candidate.host];
     const double host_silence_s = silence_s(cluster, host, listening_since, now);
-    const bool idle = host.attempts.empty();
-    if (host_silence_s <=
-        dead_after_s) {  // its turn is to come; the room is not for those behind it
-      spare_cores -= one.cores;
+    const bool is_idle = host.attempts.empty();
+    // It is too early to return this machine. The room that its tasks will need is not given to
+    // less urgent machines.
+    if (host_silence_s <= dead_after_s) {
+      spare_cores -= candidate.cores;
       continue;
     }
-    // An idle one is kept as long as renting it anew would cost. Work goes where there is room for
-    // it, or where it would be served before all that waits; a gang needs all of its machines back.
-    const bool urgent = one.rank < first_waiting && first_waiting < service.jobs.size();
+    // An idle machine is kept for as long as renting a new one would cost. A machine with
+    // tasks is returned if there is room for them elsewhere, or if they would be placed before all
+    // waiting jobs. The tasks of a gang can move only when all its machines are returned.
+    const bool urgent = candidate.rank < first_waiting && first_waiting < service.jobs.size();
     const bool belongs_to_waiting_gang =
-        one.rank == first_waiting && one.rank < service.jobs.size() &&
-        cluster.jobs[service.jobs[one.rank]]->spec.shape == jobs::Shape::gang;
-    const bool return_now = host_silence_s > kReturnAnywayAfterDeadTimes * dead_after_s ||
-                            (idle ? host_silence_s > kMinBilledTime_s
-                                  : urgent || belongs_to_waiting_gang || one.cores <= spare_cores);
+        candidate.rank == first_waiting && candidate.rank < service.jobs.size() &&
+        cluster.jobs[service.jobs[candidate.rank]]->spec.shape == jobs::Shape::gang;
+    const bool return_now =
+        host_silence_s > kReturnAnywayAfterDeadTimes * dead_after_s ||
+        (is_idle ? host_silence_s > kMinBilledTime_s
+                 : urgent || belongs_to_waiting_gang || candidate.cores <= spare_cores);
     if (!return_now) continue;
-    spare_cores -= one.cores;
+    spare_cores -= candidate.cores;
     --return_allowance_;
-    found.push_back(one.host);
+    found.push_back(candidate.host);
   }
   return found;
 }
