--- a/src/drains/drain_policy_bytes_test.cpp
+++ b/src/drains/drain_policy_bytes_test.cpp
@@ -1,4 +1,4 @@
-// The literal form of the record `drains` and of the policy's section of that name.
+// Keeps the stored form of the record `drains`, and the syntax of the policy section, unchanged.
 #include "bytes.h"
 #include "drains/drain_policy.h"
 #include "settings/settings.h"
@@ -21,7 +21,7 @@
 TEST(DrainsPolicyText, EveryFieldIsReadFromLiteral) {
   settings::Platform platform;
   platform.teams = {{"red", 0, 0, 0, 0}};
-  const DrainPolicy rules = parse_drain_policy(
+  const DrainPolicy policy = parse_drain_policy(
       settings::parse_s_expression(
           "(drains (serial 7)"
           " (budget (down 0.2) (lost-core-s-an-hour 7200) (replicas-up 0.5) (stops-a-job 4))"
@@ -54,14 +54,14 @@
   expected.rollout = {2, 0.25, false, 45, 300, 0.5, 99.5};
   expected.ending_soon_s = 15;
   expected.grace_period_s = 240;
-  EXPECT_TRUE(rules == expected);
-  EXPECT_EQ(rules.default_budget.max_down_share, 0.2);
-  EXPECT_EQ(rules.default_budget.max_lost_core_s_per_hour, 7200);
-  EXPECT_EQ(rules.default_budget.min_replicas_up_share, 0.5);
-  EXPECT_EQ(rules.default_budget.max_stops_per_job, 4u);
-  EXPECT_EQ(rules.rules.size(), 2u);
-  EXPECT_EQ(rules.rollout.first_step_size, 2u);
-  EXPECT_EQ(rules.rollout.retry_after_s, 300);
+  EXPECT_TRUE(policy == expected);
+  EXPECT_EQ(policy.default_budget.max_down_share, 0.2);
+  EXPECT_EQ(policy.default_budget.max_lost_core_s_per_hour, 7200);
+  EXPECT_EQ(policy.default_budget.min_replicas_up_share, 0.5);
+  EXPECT_EQ(policy.default_budget.max_stops_per_job, 4u);
+  EXPECT_EQ(policy.rules.size(), 2u);
+  EXPECT_EQ(policy.rollout.first_step_size, 2u);
+  EXPECT_EQ(policy.rollout.retry_after_s, 300);
 }
 
 }  // namespace
--- a/src/drains/drain_policy_test.cpp
+++ b/src/drains/drain_policy_test.cpp
@@ -16,7 +16,7 @@
   return parse_drain_policy(settings::parse_s_expression(text, "p.sexp"), platform(), "p.sexp");
 }
 
-std::string complaint(const std::string& text) {
+std::string error_of(const std::string& text) {
   try {
     read(text);
   } catch (const settings::BadSettings& error) {
@@ -25,8 +25,8 @@
   return "";
 }
 
-TEST(Rules, DefaultsAndValues) {
-  const DrainPolicy rules = read(R"((drains (serial 7)
+TEST(DrainPolicyTest, DefaultsAndValues) {
+  const DrainPolicy policy = read(R"((drains (serial 7)
     (budget (down 0.2) (stops-a-job 1))
     (budget (team red) (down 0))
     (machines (names n-1 n-2))
@@ -34,21 +34,22 @@
     (replace (older-than-s 3600) (type g8))
     (replace (before 6))
     (steps (first 2) (most 0.25) (surge no))))");
-  EXPECT_EQ(rules.serial, 7u);
-  EXPECT_EQ(rules.budget_of("blue").max_down_share, 0.2);
-  EXPECT_EQ(rules.budget_of("red").max_down_share, 0);
-  EXPECT_EQ(rules.budget_of("red").max_stops_per_job, 1u) << "what it does not say is as for all";
-  ASSERT_EQ(rules.rules.size(), 4u);
-  EXPECT_FALSE(rules.rules[0].is_rolling);
-  EXPECT_TRUE(rules.rules[1].selector.selects_whole_pools());
-  EXPECT_EQ(rules.rules[2].selector.older_than_s, 3600);
-  EXPECT_EQ(rules.rules[3].selector.rented_before_serial, 6u);
-  EXPECT_EQ(rules.rollout.first_step_size, 2u);
-  EXPECT_FALSE(rules.rollout.surge);
+  EXPECT_EQ(policy.serial, 7u);
+  EXPECT_EQ(policy.budget_of("blue").max_down_share, 0.2);
+  EXPECT_EQ(policy.budget_of("red").max_down_share, 0);
+  EXPECT_EQ(policy.budget_of("red").max_stops_per_job, 1u)
+      << "a missing field is taken from the default budget";
+  ASSERT_EQ(policy.rules.size(), 4u);
+  EXPECT_FALSE(policy.rules[0].is_rolling);
+  EXPECT_TRUE(policy.rules[1].selector.selects_whole_pools());
+  EXPECT_EQ(policy.rules[2].selector.older_than_s, 3600);
+  EXPECT_EQ(policy.rules[3].selector.rented_before_serial, 6u);
+  EXPECT_EQ(policy.rollout.first_step_size, 2u);
+  EXPECT_FALSE(policy.rollout.surge);
   EXPECT_EQ(read("(drains (serial 1))").default_budget, DisruptionBudget{});
 }
 
-TEST(Rules, WhatIsWrongIsNamedByLineFieldAndReason) {
+TEST(DrainPolicyTest, ErrorsNameLineFieldAndReason) {
   const std::pair<const char*, const char*> cases[] = {
       {"(drains)", "line 1: serial: missing, or 0"},
       {"(drains (serial 0))", "line 1: serial: missing, or 0"},
@@ -69,38 +70,38 @@
       {"(drains (serial 1)\nzone)", "drains: expected (name value)"},
       {"(drains (serial 1) (soon-s 1)\n(soon-s 2))", "line 2: soon-s: given twice"},
   };
-  for (const auto& [text, said] : cases) {
-    const std::string found = complaint(text);
+  for (const auto& [text, expected] : cases) {
+    const std::string found = error_of(text);
     EXPECT_EQ(found.find("p.sexp: line "), 0u) << text << ": " << found;
-    EXPECT_NE(found.find(said), std::string::npos) << text << ": " << found;
+    EXPECT_NE(found.find(expected), std::string::npos) << text << ": " << found;
   }
   EXPECT_EQ(find_unknown_names(read("(drains (serial 1) (machines (type g9)) (machines (zone a)))"),
                                {"g8"}, {"a"}),
             std::vector<std::string>{"(machines (type g9)): no such type"});
 }
 
-RC_GTEST_PROP(Rules, NoTextMakesThemFailInAnotherWay, ()) {
-  static const char* const kWords[] = {
+RC_GTEST_PROP(DrainPolicyTest, RandomTextThrowsOnlyBadSettings, ()) {
+  static const char* const kTokens[] = {
       "(",     ")",    "drains",   "serial", "1",      "budget",       "team",      "red", "down",
       "0.1",   "x",    "\"",       "names",  "before", "older-than-s", "replace",   "-1",  "\n",
       "steps", "most", "machines", "1e999",  ";",      "spot",         "(serial 3)"};
   std::string text = "(drains ";
   for (const auto i : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 25))) {
-    text += std::string(kWords[i]) + " ";
+    text += std::string(kTokens[i]) + " ";
   }
   try {
-    const DrainPolicy rules = read(text + ")");
-    RC_ASSERT(rules.serial > 0);
+    const DrainPolicy policy = read(text + ")");
+    RC_ASSERT(policy.serial > 0);
   } catch (const settings::BadSettings&) {
   }
 }
 
-TEST(Accepted, TheNewestSerialStandsAndEarlierOnesKeepTheirRevisions) {
+TEST(AcceptedPolicyTest, HighestSerialWinsAndEarlierRevisionsAreKept) {
   const auto first = next_accepted_policy(std::nullopt, 0, 3, "(drains (serial 3))");
   ASSERT_TRUE(first);
   EXPECT_TRUE(first->earlier_revisions.empty());
   EXPECT_FALSE(next_accepted_policy(first, 40, 3, "(drains (serial 3) (soon-s 1))"))
-      << "not under the same number";
+      << "the same serial is not accepted again";
   EXPECT_FALSE(next_accepted_policy(first, 40, 2, "(drains (serial 2))"));
   auto next = next_accepted_policy(first, 40, 5, "(drains (serial 5))");
   ASSERT_TRUE(next);
--- a/src/drains/drains_bytes_test.cpp
+++ b/src/drains/drains_bytes_test.cpp
@@ -1,4 +1,4 @@
-// The literal form of the record `drains/used`.
+// Keeps the stored form of the record `drains/used` unchanged, so that other versions can read it.
 #include "bytes.h"
 #include "drains/drains.h"
 #include "machines.h"
@@ -32,8 +32,8 @@
   EXPECT_TRUE(test::is_written_as(budgets.encode({}, cluster, 10), kRecord));
 }
 
-// A step takes its size over from the record, so what is written once it has begun is what was
-// read.
+// A step starts with the size in the restored record, so the record that is written after the start
+// of the step equals the one that was read.
 TEST(DrainsUsedRecordBytes, RecordWithStepsIsReadAndWrittenAsLiteral) {
   constexpr const char* kRecord =
       R"({"teams":[{"name":"red","core_s":60.0,"stops":2}],"jobs":[],
--- a/src/shares/usage_accounts_bytes_test.cpp
+++ b/src/shares/usage_accounts_bytes_test.cpp
@@ -1,4 +1,4 @@
-// The literal form of the record `shares`.
+// Keeps the stored form of the record `shares` unchanged, so that other versions can read it.
 #include "bytes.h"
 #include "shares/usage_accounts.h"
 
@@ -32,7 +32,7 @@
           "classes":[{"name":"train","came":2,"cancelled":1,"core_s":0.0,"gpu_s":0.0}]})"));
 }
 
-// Version 0.4.0 writes the same.
+// Version 0.4.0 writes the same record.
 TEST(SharesRecordBytes, RecordIsReadAndWrittenAsLiteral) {
   constexpr const char* kRecord =
       R"({"teams":[{"name":"blue","came":7,"cancelled":2,"core_s":120.0,"gpu_s":30.0},
--- a/src/zones/zone_loss_estimate_test.cpp
+++ b/src/zones/zone_loss_estimate_test.cpp
@@ -10,9 +10,9 @@
 
 using placement::Index;
 
-class WhatIf : public ::testing::Test {
+class ZoneLossEstimateTest : public ::testing::Test {
  protected:
-  WhatIf() : cluster_(platform_, 1, jobs::TaskRecordFormat::compact) {
+  ZoneLossEstimateTest() : cluster_(platform_, 1, jobs::TaskRecordFormat::compact) {
     cluster_.set_catalog({{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a", "b"}}});
   }
 
@@ -27,7 +27,7 @@
     return header_.spec;
   }
   void add() { cluster_.add_job(header_, cluster_.jobs.size() + 1, 0); }
-  ZoneLossEstimate of(const std::string& zone) {
+  ZoneLossEstimate estimate_for(const std::string& zone) {
     for (const ZoneLossEstimate& loss :
          estimate_zone_loss(cluster_, placement::service_order(cluster_, 1), 1)) {
       if (cluster_.zones[loss.zone] == zone) return loss;
@@ -44,11 +44,11 @@
   jobs::Header header_;
 };
 
-// Three jobs stand in zone a, the first within its team's guarantee, the second bound to the zone;
-// two cores are free in zone b.
-TEST_F(WhatIf, TellsWhoWouldWait) {
+// Three jobs run in zone a; the first is within its team's guarantee, the second may run only
+// there. Two cores are free in zone b.
+TEST_F(ZoneLossEstimateTest, CountsJobsThatWouldWait) {
   for (int i = 0; i < 3; ++i) test::add_machine(cluster_, "small", "a", true);
-  job(2);  // within the guarantee
+  job(2);  // within its team's guarantee
   add();
   job(4).zone = "a";
   add();
@@ -57,19 +57,19 @@
   EXPECT_EQ(placement::plan(cluster_, 1), 10);
   test::add_machine(cluster_, "small", "b", true);
   cluster_.hosts.back()->free.cpus = 2;
-  const ZoneLossEstimate loss = of("a");
+  const ZoneLossEstimate loss = estimate_for("a");
   EXPECT_EQ(loss.machines, 3u);
   EXPECT_DOUBLE_EQ(loss.cores_in_use, 10);
   EXPECT_DOUBLE_EQ(loss.free_cores_elsewhere, 2);
   EXPECT_EQ(loss.affected_jobs, 3u);
-  EXPECT_EQ(loss.waiting_jobs, 2u) << "the first fits";
+  EXPECT_EQ(loss.waiting_jobs, 2u) << "the first job fits into zone b";
   EXPECT_EQ(loss.waiting_guaranteed_jobs, 0u);
   EXPECT_EQ(loss.waiting_zone_bound_jobs, 1u);
-  EXPECT_EQ(of("b").affected_jobs, 0u);
+  EXPECT_EQ(estimate_for("b").affected_jobs, 0u);
 }
 
-// What must share a zone finds room in one zone, or none.
-TEST_F(WhatIf, AGangNeedsRoomInOneZone) {
+// A gang that must run in one zone cannot use free room that is spread over two zones.
+TEST_F(ZoneLossEstimateTest, AGangNeedsRoomInOneZone) {
   test::add_machine(cluster_, "small", "a", true);
   jobs::Spec& gang = job(4);
   gang.shape = jobs::Shape::gang;
@@ -79,20 +79,20 @@
   test::add_machine(cluster_, "small", "b", true);
   test::add_machine(cluster_, "small", "c", true);
   for (const Index i : {1, 2}) cluster_.hosts[i]->free.cpus = 2;
-  EXPECT_EQ(of("a").waiting_jobs, 1u);
-  EXPECT_EQ(of("a").waiting_guaranteed_jobs, 1u);
+  EXPECT_EQ(estimate_for("a").waiting_jobs, 1u);
+  EXPECT_EQ(estimate_for("a").waiting_guaranteed_jobs, 1u);
   cluster_.hosts[1]->free.cpus = 4;
-  EXPECT_EQ(of("a").waiting_jobs, 0u);
+  EXPECT_EQ(estimate_for("a").waiting_jobs, 0u);
 }
 
-// Half of a service, rounded up, is placed in one zone where there is room in another; where there
-// is none it stands whole, and that is told.
-TEST_F(WhatIf, ServicesOutliveAZone) {
+// If two zones have room, at most half of a service's replicas, rounded up, is placed in one zone.
+// If only one zone has room, all replicas are placed there, and the estimate reports the service.
+TEST_F(ZoneLossEstimateTest, ServicesAreSpreadOverZones) {
   for (int i = 0; i < 2; ++i) test::add_machine(cluster_, "small", "a", true);
   job(5).shape = jobs::Shape::service;
   add();
   EXPECT_EQ(placement::plan(cluster_, 1), 5) << "there is no other zone";
-  EXPECT_EQ(of("a").services_losing_majority, 1u);
+  EXPECT_EQ(estimate_for("a").services_losing_majority, 1u);
   test::add_machine(cluster_, "small", "b", true);
   job(5).shape = jobs::Shape::service;
   add();
@@ -103,7 +103,7 @@
   }
   EXPECT_EQ(by_zone[cluster_.zones.find("a")], 3);
   EXPECT_EQ(by_zone[cluster_.zones.find("b")], 2);
-  EXPECT_EQ(of("a").services_losing_majority, 2u) << "three of five are more than half";
+  EXPECT_EQ(estimate_for("a").services_losing_majority, 2u) << "three of five are more than half";
 }
 
 }  // namespace
--- a/src/zones/zone_monitor_bytes_test.cpp
+++ b/src/zones/zone_monitor_bytes_test.cpp
@@ -1,4 +1,4 @@
-// The literal form of the record `zones`.
+// Keeps the stored form of the record `zones` unchanged, so that other versions can read it.
 #include "bytes.h"
 #include "zones/zone_monitor.h"
 
