--- a/src/jobs/job_reader.h
+++ b/src/jobs/job_reader.h
@@ -1,9 +1,12 @@
-// What the key-value store holds of a job, by strong reads that users who ask at the same time
-// share. Each question is answered by a read that was sent after it came, so no answer is older
-// than any that a node has given. Ended and cancelled jobs stay so: known once, they need no read.
+// Looks jobs up in the key-value store with strong reads that concurrent status queries share. Each
+// query is answered by a request that was sent after the query arrived, so no answer is older than
+// one that any node has given before. Ended and cancelled jobs never change back: once they are
+// cached they need no request.
 //
-// Each request goes to the job that has had no answer for longest. If its header is known, one
-// comparison serves all others that are; if it is known to differ, or not known, it is read.
+// Each request serves the job that has been without an answer for longest. If that job's header is
+// cached, one transaction without writes compares its revision, and those of other queried jobs
+// with cached headers, with the store. If its header is not cached, or known to have changed, it is
+// read.
 #pragma once
 
 #include <deque>
@@ -19,49 +22,59 @@
 
 namespace reachramp::jobs {
 
+// Reads jobs, batches status queries within a request rate, and caches what was read. Thread-safe.
 class JobReader {
  public:
-  // Questions may take so many requests a second, and a request so many conditions.
-  // `cancelled_is_final`: a header that says cancelled is not looked at again; else only the job's
-  // end is final.
+  // `rps`: requests per second that status queries may use. `max_preconditions`: the store's limit
+  // per transaction. `cancelled_is_final`: whether a cached header that is cancelled answers
+  // queries without a request, as a stored final state always does.
   JobReader(kv::Client& store, double rps, std::size_t max_preconditions,
             bool cancelled_is_final = true);
 
-  // Reads now, alone.
+  // Reads the job at once, outside the rate for status queries.
   Lookup read(const std::string& id);
-  // Shares its read with whoever waits. Within about a second: unsure if there was no chance.
+  // Answers a status query, with a request that it may share with other waiting queries. Blocks for
+  // up to about a second; undetermined if no request answered it in that time.
   Lookup read_batched(const std::string& id);
-  // The header is stored under the revision: the next question takes a comparison, no read.
+  // Caches a header that was just stored with this revision, so that the next query about the job
+  // needs a comparison only.
   void cache_header(const std::string& id, const Header& header, std::uint64_t revision);
 
  private:
   using QueryPtr = StatusQueryQueue::QueryPtr;
   struct CachedLookup {
     Lookup lookup;
-    // A comparison has told that the header is another by now: only a read helps.
+    // A comparison has shown that the header in the store is newer: the job must be read.
     bool changed_in_store = false;
   };
+  // A query with the cached lookup whose revision is compared with the store.
   struct Comparison {
     QueryPtr query;
     Lookup cached;
   };
 
-  // Without a lock: one request, or two, for questions taken from the queue.
+  // The next three are called without the lock, for queries taken from the queue. Each sends one
+  // request, a read up to two.
   void execute_batch(const std::vector<QueryPtr>& batch);
   void answer_by_read(const QueryPtr& query);
-  // Answers all if their headers still stand as they are known.
+  // Answers all queries of the batch if their cached headers are still current.
   void answer_by_comparison(const std::vector<QueryPtr>& batch);
 
-  // Under the lock.
+  // The functions down to wake_front are called under the lock.
   std::vector<QueryPtr> take_batch();
   bool can_be_compared(const StatusQuery& query) const;
   void handle_conflict(const std::vector<Comparison>& comparisons,
                        const std::vector<std::string>& conflicting_keys);
+  // Ends the query with an answer and counts it once per waiter under `counter`.
   void complete(StatusQuery& query, Lookup lookup, std::uint64_t StatusQueryCounts::*counter);
+  // Ends the query without an answer because the store gave none.
   void complete_unanswered(StatusQuery& query);
+  // Wakes the first query's waiters, one of which sends the next request.
   void wake_front();
 
+  // Caches the lookup unless a newer or a final one is cached.
   void cache(const std::string& id, const Lookup& lookup);
+  // Whether the answer to status queries about the job can no longer change.
   bool is_final(const Lookup& lookup) const;
 
   kv::Client& store_;
@@ -71,9 +84,9 @@
   kv::TokenBucket token_bucket_;
   StatusQueryLog query_log_;
   StatusQueryQueue queue_;
-  int active_requests_ = 0;  // threads
+  int active_requests_ = 0;  // requests under way, each by a thread of its own
   std::unordered_map<std::string, CachedLookup> cache_;
-  std::deque<std::string> cache_order_;  // the oldest first
+  std::deque<std::string> cache_order_;  // order of insertion, the oldest first
 };
 
 }  // namespace reachramp::jobs
--- a/src/jobs/job_service.cpp
+++ b/src/jobs/job_service.cpp
@@ -20,7 +20,7 @@
 constexpr double kStatusQueryRateShare = 0.5;
 
 wire::Response temporarily_unavailable() { return {503, {{"error", "cannot tell now"}}, 1}; }
-wire::Response error_reply(int status, const std::string& reason) {
+wire::Response error_response(int status, const std::string& reason) {
   return {status, {{"error", reason}}};
 }
 wire::Response job_not_found() { return {404, {{"error", "no such job"}}}; }
@@ -63,7 +63,7 @@
   return store_.commit(transaction);
 }
 
-wire::Response JobService::job_reply(int status, const std::string& id, std::string_view phase,
+wire::Response JobService::job_response(int status, const std::string& id, std::string_view phase,
                                      std::uint32_t done, std::uint32_t running) {
   if (phase == kCancelledPhase && recent_cancellations_.record(id, kv::steady_now())) {
     spdlog::info("job {} cancelled: so a user is told", id);
@@ -72,21 +72,21 @@
 }
 
 // Not by an older state: a node of an earlier version may have told the user of the cancellation.
-wire::Response JobService::cancelled_reply(const std::string& id, std::uint32_t done) {
-  return confirms_cancellation_immediately_ ? job_reply(200, id, kCancelledPhase, done)
+wire::Response JobService::cancelled_response(const std::string& id, std::uint32_t done) {
+  return confirms_cancellation_immediately_ ? job_response(200, id, kCancelledPhase, done)
                                             : temporarily_unavailable();
 }
 
-wire::Response JobService::state_reply(const std::string& id, const Lookup& lookup) {
+wire::Response JobService::state_response(const std::string& id, const Lookup& lookup) {
   switch (lookup.state) {
     case JobState::live: {
       const Header& header = lookup.header;
-      if (header.cancelled) return cancelled_reply(id, header.done);
-      return job_reply(200, id, header.running > 0 ? "running" : "pending", header.done,
+      if (header.cancelled) return cancelled_response(id, header.done);
+      return job_response(200, id, header.running > 0 ? "running" : "pending", header.done,
                        header.running);
     }
     case JobState::ended:
-      return job_reply(200, id, lookup.final_state.cancelled ? kCancelledPhase : "done",
+      return job_response(200, id, lookup.final_state.cancelled ? kCancelledPhase : "done",
                        lookup.final_state.done);
     case JobState::absent:
       return job_not_found();
@@ -97,10 +97,10 @@
 }
 
 // Machine types come and go, and so do limits: what was accepted once is never refused afterwards.
-wire::Response JobService::stored_state_reply_or(const std::string& id,
-                                                 const wire::Response& otherwise) {
+wire::Response JobService::stored_state_response_or(const std::string& id,
+                                                 const wire::Response& fallback) {
   const Lookup known = job_reader_.read(id);
-  return known.state == JobState::absent ? otherwise : state_reply(id, known);
+  return known.state == JobState::absent ? fallback : state_response(id, known);
 }
 
 // No leader of an old version may come upon the job: it would start it at once. Whatever becomes of
@@ -113,7 +113,7 @@
     switch (found.state) {
       case JobState::live:
         if (found.header.spec.shape == Shape::service) {
-          return error_reply(422, "waits_on: " + dependency + " is a service and is never done");
+          return error_response(422, "waits_on: " + dependency + " is a service and is never done");
         }
         dependency_cancelled = dependency_cancelled || found.header.cancelled;
         break;
@@ -121,7 +121,7 @@
         dependency_cancelled = dependency_cancelled || found.final_state.cancelled;
         break;
       case JobState::absent:
-        return error_reply(422, "waits_on: " + dependency + " was never accepted");
+        return error_response(422, "waits_on: " + dependency + " was never accepted");
       case JobState::undetermined:
         return temporarily_unavailable();
     }
@@ -135,18 +135,18 @@
   const std::string& id = header.spec.id;
   if (!kv::fits(encode_header(header), platform_.strictest_store_limits().value_kb,
                 kCountGrowthBytes)) {
-    return stored_state_reply_or(
-        id, error_reply(400, "body: longer than a job may be, with its waits_on"));
+    return stored_state_response_or(
+        id, error_response(400, "body: longer than a job may be, with its waits_on"));
   }
   const auto catalog = catalog_();
-  if (!catalog) return stored_state_reply_or(id, temporarily_unavailable());
+  if (!catalog) return stored_state_response_or(id, temporarily_unavailable());
   if (const auto reason = unsatisfiable_reason(header.spec, *catalog, platform_.teams)) {
-    return stored_state_reply_or(id, error_reply(422, *reason));
+    return stored_state_response_or(id, error_response(422, *reason));
   }
   if (!header.spec.depends_on.empty()) {
     const auto dependency_check = check_dependencies(header.spec);
     if (const auto* refusal = std::get_if<wire::Response>(&dependency_check))
-      return stored_state_reply_or(id, *refusal);
+      return stored_state_response_or(id, *refusal);
     header.cancelled = std::get<bool>(dependency_check);
   }
   kv::Transaction acceptance;
@@ -157,24 +157,24 @@
     spdlog::info("job {} accepted: class {} team {} tasks {}", id, header.spec.job_class,
                  header.spec.team, header.spec.tasks);
     job_reader_.cache_header(id, header, committed.store_revision);
-    return job_reply(
+    return job_response(
         201, id,
         header.cancelled && confirms_cancellation_immediately_ ? kCancelledPhase : "pending");
   }
   if (committed.outcome != Outcome::conflict) return temporarily_unavailable();
-  return stored_state_reply_or(id, temporarily_unavailable());
+  return stored_state_response_or(id, temporarily_unavailable());
 }
 
 wire::Response JobService::query(const std::string& id) {
   if (!is_job_id(id)) return job_not_found();
-  return state_reply(id, job_reader_.read_batched(id));
+  return state_response(id, job_reader_.read_batched(id));
 }
 
 wire::Response JobService::cancel(const std::string& id) {
   if (!is_job_id(id)) return job_not_found();
   for (int attempt = 0; attempt < 4; ++attempt) {
     Lookup known = job_reader_.read(id);
-    if (known.state != JobState::live || known.header.cancelled) return state_reply(id, known);
+    if (known.state != JobState::live || known.header.cancelled) return state_response(id, known);
     // Conditional on the header's revision: a job that has just ended keeps its end.
     kv::Transaction cancellation;
     cancellation.preconditions = {{job_key(id), known.header_revision}};
@@ -189,7 +189,7 @@
     const kv::CommitResult committed = commit(cancellation);
     if (committed.outcome == Outcome::ok) {
       job_reader_.cache_header(id, known.header, committed.store_revision);
-      return state_reply(id, known);
+      return state_response(id, known);
     }
     if (committed.outcome != Outcome::conflict) return temporarily_unavailable();
   }
--- a/src/jobs/job_service.h
+++ b/src/jobs/job_service.h
@@ -1,4 +1,5 @@
-// The users' door: any node accepts, answers and withdraws, straight from the key-value store.
+// The API for users: submitting, querying and cancelling jobs. Any node serves it directly from the
+// key-value store, whether or not it leads.
 #pragma once
 
 #include <functional>
@@ -17,37 +18,48 @@
 
 namespace reachramp::jobs {
 
+// Handles users' requests. Thread-safe; each call blocks for the requests to the store that it
+// needs.
 class JobService {
  public:
+  // Returns the newest catalog of machine types, null if none is known yet.
   using CatalogSource = std::function<std::shared_ptr<const cloud::Catalog>()>;
 
   JobService(kv::Client& store, const settings::Platform& platform, peers::Members& members,
              schema::SchemaVersionTracker& version_tracker,
              peers::RecentCancellations& recent_cancellations, CatalogSource catalog);
 
+  // Accepts the job that the body describes (MessagePack); a job that was accepted before is
+  // answered with its state. Throws wire::BadMessage if the body is malformed.
   wire::Response submit(const std::string& body);
+  // The job's state.
   wire::Response query(const std::string& id);
+  // Cancels the job unless it has ended, and answers with its state.
   wire::Response cancel(const std::string& id);
 
  private:
-  // A job that is known already is answered by its state, whatever else there is to say.
-  wire::Response stored_state_reply_or(const std::string& id, const wire::Response& otherwise);
-  // What the jobs that it needs say of it: whether one of them is cancelled, or a refusal.
+  // The job's state if it has been accepted before, else `fallback`.
+  wire::Response stored_state_response_or(const std::string& id, const wire::Response& fallback);
+  // Whether one of the jobs that the spec depends on is cancelled; or the response if the job must
+  // be refused because of them or their state is undetermined.
   std::variant<bool, wire::Response> check_dependencies(const Spec& spec);
-  wire::Response state_reply(const std::string& id, const Lookup& lookup);
-  // Of a job whose header says so, and whose end is not stored yet.
-  wire::Response cancelled_reply(const std::string& id, std::uint32_t done);
-  // The one way in which a user is told of a job. That it is cancelled is noted before.
-  wire::Response job_reply(int status, const std::string& id, std::string_view phase,
-                           std::uint32_t done = 0, std::uint32_t running = 0);
-  // Commits on condition that the stored state is at the level that we take it to be at: a node
-  // that stood still across a step writes nothing of the old form.
+  // The response for a job in the state that was looked up.
+  wire::Response state_response(const std::string& id, const Lookup& lookup);
+  // The response for a job whose header is cancelled and whose final state is not stored yet.
+  wire::Response cancelled_response(const std::string& id, std::uint32_t done);
+  // Forms every response that shows a job's state. A cancellation is recorded in
+  // `recent_cancellations_` before its user sees it, so that leaders can ask for it.
+  wire::Response job_response(int status, const std::string& id, std::string_view phase,
+                              std::uint32_t done = 0, std::uint32_t running = 0);
+  // Commits on the additional condition that the stored schema level has not changed, so that a
+  // node that was suspended during an upgrade writes no records in an old format.
   kv::CommitResult commit(kv::Transaction transaction);
 
   kv::Client& store_;
-  // Whether users are told of a cancellation before its tasks are proven to be over. Not where a
-  // lease may outlast cancel_s: there no bound on the leader's answers could keep the promise
-  // (leadership/read_freshness.h), and they are told once the job's end is stored.
+  // Whether users see a job as cancelled before its tasks are proven to have ended. False where a
+  // worker's lease may outlast cancel_s: there no bound on how long the leader answers workers
+  // could end the tasks in time (leadership/read_freshness.h), so users see the cancellation only
+  // once the job's final state is stored.
   const bool confirms_cancellation_immediately_;
   JobReader job_reader_;
   const settings::Platform& platform_;
--- a/src/jobs/status_query_queue.h
+++ b/src/jobs/status_query_queue.h
@@ -1,6 +1,6 @@
-// Users' questions that wait for a request to the store: the job that has had no answer for longest
-// comes first. Who gets no answer in time asks again some seconds later; in the order of arrival it
-// would have to begin at the back each time.
+// Queue of users' status queries that wait for a request to the store. The job that has been
+// without an answer for longest comes first: a user whose query times out asks again some seconds
+// later, and in order of arrival that query would start at the back each time.
 #pragma once
 
 #include <condition_variable>
@@ -16,19 +16,22 @@
 
 namespace reachramp::jobs {
 
-// About one job; whoever asks at the same time shares it. Guarded by the owner of the queue.
+// A status query about one job, shared by all users who ask about the job at the same time. Guarded
+// by the mutex of the queue's owner.
 struct StatusQuery {
   std::string id;
-  double unanswered_since = 0;
-  std::uint64_t arrival_number = 0;  // in the order of arrival
-  int waiters = 0;
-  bool queued = true;  // else a request is under way, or it is answered
-  bool completed = false;
+  double unanswered_since = 0;       // since when users have asked about the job without an answer
+  std::uint64_t arrival_number = 0;  // ascending in order of arrival
+  int waiters = 0;                   // threads that wait for the result
+  bool queued = true;                // false: a request is under way, or the query is completed
+  bool completed = false;            // `result` is final; undetermined if the request failed
   Lookup result;
-  std::condition_variable changed;  // its own: waking all for each answer cost the node its share
+  // One per query: a single one for all would wake every waiting thread for each answer, which used
+  // up much of the node's processor time.
+  std::condition_variable changed;
 };
 
-// Not safe to share between threads.
+// Owns the queries until they are taken for a request. Not thread-safe.
 class StatusQueryQueue {
  public:
   using QueryPtr = std::shared_ptr<StatusQuery>;
@@ -36,17 +39,19 @@
   bool empty() const { return queued_.empty(); }
   const QueryPtr& front() const { return *queued_.begin(); }
 
-  // The question about the job that waits, or a new one; with one waiter more.
+  // Adds a waiter to the queued query about the job, which is created if there is none.
   QueryPtr join(const std::string& id, double unanswered_since);
-  // One waiter less; without any it waits no longer.
+  // Removes a waiter; a query without waiters leaves the queue.
   void leave(const QueryPtr& query);
 
-  // Takes the first out. Whoever asks from now on is not with it: its request may be under way.
+  // Removes and returns the first query. Users can no longer join it, since its request may already
+  // have been executed: their answer could then be older than their question.
   QueryPtr take_front();
-  // Takes out the first ones, up to `most`, that the filter lets pass.
+  // Removes and returns the first queries that pass the filter, at most `max_count`.
   std::vector<QueryPtr> take(std::size_t max_count,
                              const std::function<bool(const StatusQuery&)>& filter);
-  // Its request told nothing: it waits again, at its place, if anybody waits for it.
+  // Returns a query whose request gave no answer to its place in the queue, unless it has no
+  // waiters.
   void requeue(const QueryPtr& query);
 
  private:
@@ -56,10 +61,11 @@
              std::pair(right->unanswered_since, right->arrival_number);
     }
   };
+  // Takes the query out of the queue; nobody can join it any more.
   void remove(const QueryPtr& query);
 
   std::set<QueryPtr, LongestUnansweredFirst> queued_;
-  std::unordered_map<std::string, QueryPtr> joinable_by_id_;  // the one that can be joined
+  std::unordered_map<std::string, QueryPtr> joinable_by_id_;  // by job; queued ones only
   std::uint64_t last_arrival_number_ = 0;
 };
 
--- a/src/peers/readiness.h
+++ b/src/peers/readiness.h
@@ -1,5 +1,5 @@
-// Whether users should be sent here: not while the key-value store refuses this node alone, or does
-// not answer it.
+// Health of this node: whether users should be sent to it (not while the key-value store serves
+// other nodes but refuses or does not answer this one), and whether it is isolated as a leader.
 #pragma once
 
 #include <functional>
@@ -15,17 +15,21 @@
 
 namespace reachramp::peers {
 
+// The path with which nodes ask each other whether the key-value store serves them.
 inline constexpr const char* kServedPath = "/served";
 
-// For how long the key-value store has not served a node, in seconds: it has refused all for so
-// long, or not answered for longer than a node is ever quiet. 0: it serves.
+// For how many seconds the key-value store has not served this node: all its responses have been
+// refusals for that long, or none has arrived for longer than the node's requests ever pause. 0: it
+// serves the node.
 double unserved_duration_s(double refused_s, double since_served_s);
 
-// With hysteresis, since each change costs users their connections.
+// Decides whether the node is ready for users. Has hysteresis, since each change makes users
+// reconnect.
 class Readiness {
  public:
-  // `others_served` is asked only when it matters: in an outage no node is served, and users are no
-  // better off elsewhere.
+  // Returns whether the node is ready now. `peers_served` is called only if the result depends on
+  // it: in an outage of the store no node is served, and users gain nothing by moving to another
+  // one.
   bool update(double unserved_s, const std::function<bool()>& peers_served, double now);
 
  private:
@@ -33,49 +37,58 @@
   double last_unserved_at_ = 0;
 };
 
-// Why a leader that the key-value store does not answer may have to let its workers go: it can no
-// longer be the leader, but they would stay with it, and whoever leads now would not hear them.
+// The evidence on which a leader that the key-value store does not answer decides whether to step
+// down. If it has been replaced, its workers must move to other nodes: while they stay connected to
+// it, the new leader does not receive their heartbeats.
 struct IsolationEvidence {
-  double since_lease_renewal_s = 0;  // since its lease was last renewed
-  bool store_refuses = false;        // the key-value store answers, with refusals
-  std::size_t peers_asked = 0;       // that were asked
-  std::size_t peers_answered = 0;    // of them
-  bool successor_seen = false;       // one of them has seen a later leader's key
+  double since_lease_renewal_s = 0;  // age of the last renewal of the leader's lease
+  bool store_refuses = false;        // the key-value store responds, but only with refusals
+  std::size_t peers_asked = 0;       // number of other nodes that were asked
+  std::size_t peers_answered = 0;    // how many of them responded
+  bool successor_seen = false;       // one of them has seen the key of a later leader
 };
-// It lets go where another certainly leads, or where all is silent: in an outage the key-value
-// store refuses. Else it may be an outage, in which workers that are sent away lose their leases;
-// it answers them for as long as its staleness allows.
+// Whether the leader must step down: if another node certainly leads, or if neither the store nor
+// any other node responds. In an outage the store responds with refusals. In all other cases this
+// may be an outage, in which workers that are sent away would lose their leases; the leader then
+// goes on answering them for as long as its staleness bound allows.
 bool must_step_down(const IsolationEvidence& evidence, double lease_duration_s);
 
-// The answer to `kServedPath`, of a member that was asked for what it told within `window_s`; the
-// times are the caller's. Nothing of it counts if any of it makes no sense.
+// The list of recently confirmed cancellations in the response to kServedPath. Decoding returns
+// none if the response has no such list or any part of it is invalid; the caller sets `window_s`
+// and the times.
 wire::Json encode_recent_cancellations(const RecentCancellations::Confirmed& confirmed);
 std::optional<leadership::CancellationDigest> decode_cancellation_digest(
     const wire::CallResult& answer);
 
-// Asks the other nodes.
+// Combines what this node sees of the key-value store with what the other nodes respond.
+// Thread-safe; functions that ask other nodes block for their responses.
 class NodeHealth {
  public:
   NodeHealth(const kv::Client& store, const settings::Platform& platform,
              RecentCancellations& recent_cancellations);
 
+  // Whether users should be sent to this node. Asks other nodes if the store does not serve this
+  // one.
   bool ready();
-  // Whether the leader here, whose lease of so many seconds was last renewed so long ago, must let
-  // its workers go. Asks the others where that matters.
+  // Whether this node, as the leader with this fencing token, must step down (must_step_down). Asks
+  // the other nodes once its lease is certain to have expired.
   bool leader_must_step_down(double since_lease_renewal_s, double lease_duration_s,
                              std::uint64_t fencing_token);
-  // What each member has told as cancelled, asked one after another; this node is the last. One
-  // window for each.
+  // The cancellations that each member has confirmed to users within its window, from the members
+  // that respond. Asks one after another; the last window is this node's own.
   std::vector<leadership::CancellationDigest> poll_cancellations(
       const std::vector<double>& windows);
-  // What other nodes are told. `leader_stamp`: of the newest leader's key that this node has seen.
+  // Answers another node's request to kServedPath. `leader_revision`: the highest revision of a
+  // leader's key that this node has seen.
   wire::Response handle_served(const std::string& body, std::uint64_t leader_revision);
 
  private:
+  // For how many seconds the store has not served this node; 0: it serves it.
   double unserved_s(double now) const;
 
   using ResponsePredicate = std::function<bool(const wire::Json&)>;
-  // How many of those asked answered, and whether the answer of one, who is the last, is the sign.
+  // Asks up to `max_peers` other nodes, until a response matches. Returns how many responded, and
+  // whether one matched.
   std::pair<std::size_t, bool> poll_peers(std::size_t max_peers, const ResponsePredicate& matches);
 
   const kv::Client& store_;
--- a/src/peers/recent_cancellations.h
+++ b/src/peers/recent_cancellations.h
@@ -1,5 +1,6 @@
-// Which jobs this process has told users are cancelled. A leader that the key-value store does not
-// answer asks all nodes for it, and takes those jobs as cancelled (leadership/read_freshness.h).
+// The jobs that this process has recently confirmed to users as cancelled. A leader that the
+// key-value store does not answer asks all nodes for these and treats the jobs as cancelled
+// (leadership/read_freshness.h).
 #pragma once
 
 #include <deque>
@@ -10,20 +11,23 @@
 
 namespace reachramp::peers {
 
+// A bounded list of confirmed cancellations. Thread-safe. Times are seconds of the steady clock.
 class RecentCancellations {
  public:
+  // The jobs confirmed as cancelled within a window.
   struct Confirmed {
-    double covered_s = 0;  // so far back all that was told is known
+    double covered_s = 0;  // the list is complete for this many seconds back
     std::vector<std::string> jobs;
   };
 
-  // Nobody is told anything before `now` (steady seconds). Kept for `keep_s`: whoever asks for more
-  // may answer no worker any longer.
+  // `now`: before any cancellation is confirmed. Entries are dropped after `retention_s`: a leader
+  // that needs older ones may not answer workers any more in any case.
   RecentCancellations(double retention_s, double now);
 
-  // Before the user is answered. Whether it is the first time that this process says so.
+  // To be called before the response to the user is sent. Returns whether the job is new in the
+  // list.
   bool record(const std::string& job, double now);
-  // What was told within so many seconds, and how far back that is complete.
+  // The jobs confirmed within the last `window_s` seconds.
   Confirmed confirmed_within(double window_s, double now);
 
  private:
@@ -32,15 +36,16 @@
     double confirmed_at = 0;
   };
 
+  // Drops entries that are older than the retention time or exceed the maximum number.
   void drop_expired(double now);
 
-  static constexpr std::size_t kMaxRecentCancellations =
-      2000;  // 128 KB at the most; an answer stays within its limit
+  // 128 KB at most, so that a response that lists all of them stays within the size limit.
+  static constexpr std::size_t kMaxRecentCancellations = 2000;
 
   const double retention_s_;
   std::mutex mutex_;
-  double covered_since_;
-  double last_read_at_;        // when anybody was told last what is in the list
+  double covered_since_;       // no entry after this time has been dropped
+  double last_read_at_;        // when the list was last returned to a caller
   std::deque<Entry> entries_;  // the oldest first
   std::unordered_set<std::string> jobs_;
 };
--- a/src/pipelines/dependencies.h
+++ b/src/pipelines/dependencies.h
@@ -1,4 +1,5 @@
-// Jobs that need others: who may begin, who falls with whom, and how urgent the early ones are.
+// Dependencies between jobs: which waiting jobs may start, which are cancelled because a job they
+// depend on is, and which priority and start times jobs inherit from those that depend on them.
 #pragma once
 
 #include <string>
@@ -12,22 +13,25 @@
 using placement::DependencyState;
 using placement::Index;
 
-// A job has come: what is known of those that it needs, and what it means for those that need it.
+// To be called for each job that is added to the cluster: sets the states of its dependencies,
+// cancels it if one of them is cancelled, and updates the jobs that depend on it.
 void track_dependencies(Cluster& cluster, Index job, double now);
 
-// What has become of a job, for those that need it. Done and cancelled must be durable: its user
-// may be told the one until the other is. A cancelled job takes all with it that need it, directly
-// or through others; none of them can have begun.
+// Sets the state of a job for the jobs that depend on it. Done and cancelled must be stored
+// already: until one of them is, the user may still be told the other. Cancels all jobs that depend
+// on a cancelled job, directly or indirectly; none of them can have started.
 void resolve_dependents(Cluster& cluster, const std::string& id, DependencyState state, double now);
 
-// Jobs that live ones need and of which nothing is known here: their ends are to be read.
+// The ids of jobs that live jobs depend on and whose state is not known to the cluster. The caller
+// reads their final states from the key-value store.
 std::vector<std::string> unresolved_dependencies(const Cluster& cluster);
 
-// A job is as important as the most important one that needs it, and must start early enough for
-// all that comes after it. To be called when jobs have come, gone or been freed.
+// Gives each job the highest priority among itself and the jobs that depend on it, and start times
+// early enough for the deadlines of those. To be called whenever jobs were added, removed or
+// unblocked.
 void propagate_priorities(Cluster& cluster);
 
-// When waiting jobs can be expected to be freed.
+// Updates Job::expected_unblocked_at of the jobs that wait for others.
 void estimate_unblock_times(Cluster& cluster, double now);
 
 }  // namespace reachramp::pipelines
