--- a/src/jobs/job_reader.cpp
+++ b/src/jobs/job_reader.cpp
@@ -14,8 +14,8 @@
 using kv::Outcome;
 using kv::steady_now;
 
-constexpr double kBatchedReadTimeout_s = 1.2;  // users wait 2 s
-constexpr int kMaxConcurrentRequests = 3;      // requests at once
+constexpr double kBatchedReadTimeout_s = 1.2;  // users' requests time out after 2 s
+constexpr int kMaxConcurrentRequests = 3;
 constexpr std::size_t kMaxCachedJobs = 2000;
 constexpr double kMinRate_rps = 4;
 
@@ -33,8 +33,8 @@
          (cancelled_is_final_ && lookup.state == JobState::live && lookup.header.cancelled);
 }
 
-// A job moves once, from job/ to end/, in one transaction. Reading in that order, "absent" twice
-// means that it was not accepted when the question was asked.
+// A job's record moves once, from job/ to end/, in one transaction. Since job/ is read first,
+// finding neither record proves that the job was not accepted when the read began.
 Lookup JobReader::read(const std::string& id) {
   Lookup lookup;
   try {
@@ -53,7 +53,7 @@
       }
     }
   } catch (const std::exception& error) {
-    spdlog::error("record of {}: {}", id, error.what());
+    spdlog::error("job {}: malformed record: {}", id, error.what());
     lookup.state = JobState::undetermined;
   }
   cache(id, lookup);
@@ -71,13 +71,14 @@
 void JobReader::cache(const std::string& id, const Lookup& lookup) {
   if (lookup.state != JobState::live && lookup.state != JobState::ended) return;
   std::lock_guard lock(mutex_);
-  const auto [at, fresh] = cache_.try_emplace(id, CachedLookup{lookup});
-  if (!fresh) {
-    CachedLookup& known = at->second;
-    // Reads overtake each other; what is final stays.
-    if (is_final(known.lookup)) return;
-    if (lookup.state == JobState::ended || lookup.header_revision >= known.lookup.header_revision) {
-      known = {lookup};
+  const auto [at, inserted] = cache_.try_emplace(id, CachedLookup{lookup});
+  if (!inserted) {
+    CachedLookup& cached = at->second;
+    // Reads may overtake each other: an older result must not replace a newer one.
+    if (is_final(cached.lookup)) return;
+    if (lookup.state == JobState::ended ||
+        lookup.header_revision >= cached.lookup.header_revision) {
+      cached = {lookup};
     }
     return;
   }
@@ -92,12 +93,12 @@
   const double deadline = asked_at + kBatchedReadTimeout_s;
   std::unique_lock lock(mutex_);
   query_log_.log_if_due(asked_at);
-  const auto final_answer = cache_.find(id);
-  if (final_answer != cache_.end() && is_final(final_answer->second.lookup)) {
+  const auto cached = cache_.find(id);
+  if (cached != cache_.end() && is_final(cached->second.lookup)) {
     query_log_.record_answered(id);
     ++query_log_.counts.received;
     ++query_log_.counts.answered_from_cache;
-    return final_answer->second.lookup;
+    return cached->second.lookup;
   }
   query_log_.record_query(id, asked_at);
   const QueryPtr query = queue_.join(id, query_log_.unanswered_since(id, asked_at));
@@ -122,7 +123,7 @@
         wake_front();
         continue;
       }
-      // Whoever is first in line takes the others along.
+      // The first query's thread sends the request for the whole batch.
       if (query == queue_.front()) wait = std::min(wait, token_wait_s);
     }
     query->changed.wait_for(lock, std::chrono::duration<double>(wait));
@@ -143,7 +144,7 @@
 std::vector<JobReader::QueryPtr> JobReader::take_batch() {
   if (!can_be_compared(*queue_.front())) return {queue_.take_front()};
   return queue_.take(max_batch_size_,
-                     [this](const StatusQuery& question) { return can_be_compared(question); });
+                     [this](const StatusQuery& query) { return can_be_compared(query); });
 }
 
 void JobReader::execute_batch(const std::vector<QueryPtr>& batch) {
@@ -170,15 +171,14 @@
   std::vector<Comparison> comparisons;
   {
     std::lock_guard lock(mutex_);
-    for (const QueryPtr& question : batch) {
-      const auto at = cache_.find(question->id);
+    for (const QueryPtr& query : batch) {
+      const auto at = cache_.find(query->id);
       if (at == cache_.end()) {
-        queue_.requeue(question);  // forgotten since it was taken
+        queue_.requeue(query);  // it has been evicted from the cache since it was taken
         continue;
       }
-      comparisons.push_back({question, at->second.lookup});
-      transaction.preconditions.emplace_back(job_key(question->id),
-                                             at->second.lookup.header_revision);
+      comparisons.push_back({query, at->second.lookup});
+      transaction.preconditions.emplace_back(job_key(query->id), at->second.lookup.header_revision);
     }
   }
   if (comparisons.empty()) return;
@@ -198,21 +198,21 @@
   }
 }
 
-// Those that differ are read next. The store need not name all of them, so the others are compared
-// again. All keep their places in the line.
+// Jobs whose headers have changed are read next. The store need not name all of them, so the others
+// are compared again. All queries keep their places in the queue.
 void JobReader::handle_conflict(const std::vector<Comparison>& comparisons,
                                 const std::vector<std::string>& conflicting_keys) {
   ++query_log_.counts.conflicts;
   query_log_.counts.conflicting_keys += conflicting_keys.size();
-  for (const auto& [question, held] : comparisons) {
+  for (const auto& [query, cached] : comparisons) {
     const bool named = std::find(conflicting_keys.begin(), conflicting_keys.end(),
-                                 job_key(question->id)) != conflicting_keys.end();
-    const auto known = cache_.find(question->id);
+                                 job_key(query->id)) != conflicting_keys.end();
+    const auto known = cache_.find(query->id);
     if (named && known != cache_.end() &&
-        known->second.lookup.header_revision == held.header_revision) {
+        known->second.lookup.header_revision == cached.header_revision) {
       known->second.changed_in_store = true;
     }
-    queue_.requeue(question);
+    queue_.requeue(query);
   }
 }
 
@@ -221,7 +221,7 @@
   query.result = std::move(lookup);
   query.completed = true;
   query.changed.notify_all();
-  if (query.waiters == 0) return;  // it came too late
+  if (query.waiters == 0) return;  // all of them have timed out
   query_log_.counts.*counter += static_cast<std::uint64_t>(query.waiters);
   query_log_.record_answered(query.id);
 }
--- a/src/jobs/job_service.cpp
+++ b/src/jobs/job_service.cpp
@@ -13,10 +13,10 @@
 
 using kv::Outcome;
 
-// The counts of a header grow after it was accepted.
+// Space kept free in an accepted header, whose counts of tasks grow later.
 constexpr std::size_t kCountGrowthBytes = 64;
-// Of the requests that the key-value store takes of all nodes together: users' questions may have
-// so many. Permits, watches, submissions and the leader's records have the rest.
+// The share of the key-value store's request rate that status queries on all nodes may use
+// together. Leases, watches, submissions and the leader's records need the rest.
 constexpr double kStatusQueryRateShare = 0.5;
 
 wire::Response temporarily_unavailable() { return {503, {{"error", "cannot tell now"}}, 1}; }
@@ -47,10 +47,10 @@
       catalog_(std::move(catalog)) {}
 
 kv::CommitResult JobService::commit(kv::Transaction transaction) {
-  kv::CommitResult refused;
-  refused.outcome = Outcome::refused;
+  kv::CommitResult not_sent;
+  not_sent.outcome = Outcome::refused;
   auto level = version_tracker_.revision();
-  if (!level) return refused;
+  if (!level) return not_sent;
   transaction.preconditions.emplace_back(schema::kLevelKey, *level);
   kv::CommitResult committed = store_.commit(transaction);
   const bool level_changed = committed.outcome == Outcome::conflict &&
@@ -58,20 +58,21 @@
                                        schema::kLevelKey) != committed.failed_keys.end();
   if (!level_changed) return committed;
   level = version_tracker_.read_revision();
-  if (!level) return refused;
+  if (!level) return not_sent;
   transaction.preconditions.back().second = *level;
   return store_.commit(transaction);
 }
 
 wire::Response JobService::job_response(int status, const std::string& id, std::string_view phase,
-                                     std::uint32_t done, std::uint32_t running) {
+                                        std::uint32_t done, std::uint32_t running) {
   if (phase == kCancelledPhase && recent_cancellations_.record(id, kv::steady_now())) {
-    spdlog::info("job {} cancelled: so a user is told", id);
+    spdlog::info("job {} cancelled: confirmed to a user", id);
   }
   return {status, {{"ref", id}, {"phase", phase}, {"done", done}, {"running", running}}};
 }
 
-// Not by an older state: a node of an earlier version may have told the user of the cancellation.
+// While the cancellation can't be confirmed, no earlier state is shown either: a node of an older
+// version may already have confirmed the cancellation to the user.
 wire::Response JobService::cancelled_response(const std::string& id, std::uint32_t done) {
   return confirms_cancellation_immediately_ ? job_response(200, id, kCancelledPhase, done)
                                             : temporarily_unavailable();
@@ -83,11 +84,11 @@
       const Header& header = lookup.header;
       if (header.cancelled) return cancelled_response(id, header.done);
       return job_response(200, id, header.running > 0 ? "running" : "pending", header.done,
-                       header.running);
+                          header.running);
     }
     case JobState::ended:
       return job_response(200, id, lookup.final_state.cancelled ? kCancelledPhase : "done",
-                       lookup.final_state.done);
+                          lookup.final_state.done);
     case JobState::absent:
       return job_not_found();
     case JobState::undetermined:
@@ -96,15 +97,16 @@
   return temporarily_unavailable();
 }
 
-// Machine types come and go, and so do limits: what was accepted once is never refused afterwards.
+// The catalog and the teams' limits change over time; a job that was accepted once must not be
+// refused when its submission is repeated.
 wire::Response JobService::stored_state_response_or(const std::string& id,
-                                                 const wire::Response& fallback) {
+                                                    const wire::Response& fallback) {
   const Lookup known = job_reader_.read(id);
   return known.state == JobState::absent ? fallback : state_response(id, known);
 }
 
-// No leader of an old version may come upon the job: it would start it at once. Whatever becomes of
-// the jobs it needs after this look is the leader's to follow.
+// Requires that all nodes have been upgraded: a leader of version 0.2.0 would ignore the
+// dependencies and start the job at once. The leader follows later changes of the dependencies.
 std::variant<bool, wire::Response> JobService::check_dependencies(const Spec& spec) {
   if (members_.check_all_upgraded() != true) return temporarily_unavailable();
   bool dependency_cancelled = false;
@@ -175,13 +177,15 @@
   for (int attempt = 0; attempt < 4; ++attempt) {
     Lookup known = job_reader_.read(id);
     if (known.state != JobState::live || known.header.cancelled) return state_response(id, known);
-    // Conditional on the header's revision: a job that has just ended keeps its end.
+    // Conditional on the header's revision, so that a job that has just ended keeps its final
+    // state.
     kv::Transaction cancellation;
     cancellation.preconditions = {{job_key(id), known.header_revision}};
     known.header.cancelled = true;
     if (known.header.accepted_revision == 0) known.header.accepted_revision = known.header_revision;
     Json record = encode_header(known.header);
-    // Accepted when values could be longer: what is left out is only needed to place tasks.
+    // The header may have been accepted under a higher limit on the length of values. The fields
+    // that are left out are needed to place tasks only.
     if (!kv::fits(record, platform_.strictest_store_limits().value_kb)) {
       record = encode_cancelled_header(known.header);
     }
--- a/src/jobs/spec.cpp
+++ b/src/jobs/spec.cpp
@@ -23,12 +23,13 @@
                                                                {Priority::normal, "normal"},
                                                                {Priority::low, "best_effort"}};
 
+// The value whose name the field holds. Throws wire::BadMessage if there is none.
 template <class Value, std::size_t n>
 Value parse_enum(const std::pair<Value, const char*> (&names)[n], const Json& body,
                  const char* field) {
-  const std::string given = wire::text(body, field);
+  const std::string text = wire::text(body, field);
   for (const auto& [value, name] : names) {
-    if (given == name) return value;
+    if (text == name) return value;
   }
   throw wire::BadMessage(std::string(field) + ": unknown value");
 }
@@ -147,10 +148,10 @@
     return "a task fits no allowed machine type";
   }
   const double tasks = spec.shape == Shape::array ? 1 : spec.tasks;
-  const auto over = [&](double need, double most) {
-    return most > 0 && need * tasks > most * (1 + 1e-9);
+  const auto exceeds = [&](double per_task, double limit) {
+    return limit > 0 && per_task * tasks > limit * (1 + 1e-9);
   };
-  if (over(spec.cpus, team->max_cpus) || over(spec.gpus, team->max_gpus)) {
+  if (exceeds(spec.cpus, team->max_cpus) || exceeds(spec.gpus, team->max_gpus)) {
     return "needs more than the team's limit";
   }
   return std::nullopt;
@@ -220,18 +221,19 @@
 
 namespace {
 
-// Done tasks are hexadecimal digits of four tasks each, lowest bit first.
-std::string encode_done(const TaskRangeRecord& chunk) {
+// Encodes done tasks as hexadecimal digits, one for four tasks, the lowest bit first.
+std::string encode_done(const TaskRangeRecord& range) {
   std::string done;
-  for (const std::uint32_t task : chunk.done) {
-    const std::size_t digit = (task - chunk.first) / 4;
+  for (const std::uint32_t task : range.done) {
+    const std::size_t digit = (task - range.first) / 4;
     if (done.size() <= digit) done.resize(digit + 1, '0');
     const std::size_t value = std::string_view(kHexDigits).find(done[digit]);
-    done[digit] = kHexDigits[value | (1u << ((task - chunk.first) % 4))];
+    done[digit] = kHexDigits[value | (1u << ((task - range.first) % 4))];
   }
   return done;
 }
 
+// Like wire::text, which refuses an empty text.
 const std::string& possibly_empty_text(const Json& record, const char* field) {
   const Json& value = wire::require(record, field);
   if (!value.is_string()) throw wire::BadMessage(std::string(field) + ": not text");
@@ -252,7 +254,8 @@
   return tasks;
 }
 
-// A list of a machine, then task and attempt for each of its tasks, per machine.
+// Legacy format: one list per machine, which holds the machine's name and then the number and the
+// attempt of each of its tasks.
 std::vector<Placement> decode_legacy_placements(const Json& list) {
   std::vector<Placement> placements;
   for (const Json& item : list) {
@@ -265,8 +268,8 @@
   return placements;
 }
 
-// One list: what follows the common letters in a machine's name, an attempt, its tasks there
-// counted from the first of the record, the next machine.
+// Compact format: a single list. For each pair of machine and attempt it holds the machine's name
+// without the common prefix, the attempt, and the tasks, counted from the first task of the range.
 std::vector<Placement> decode_compact_placements(const Json& record, std::uint32_t first) {
   const std::string& common_prefix = possibly_empty_text(record, "m");
   std::vector<Placement> placements;
@@ -297,11 +300,11 @@
 
 }  // namespace
 
-// Records are small and writes few: written task by task, with a machine's name for each, an array
-// of 2,000 tasks took thirty records.
-Json encode_legacy_task_range(const TaskRangeRecord& chunk) {
+// Tasks are grouped by machine since values in the store must be short and writes are rate-limited:
+// with the machine's name repeated for each task, an array of 2,000 tasks took thirty records.
+Json encode_legacy_task_range(const TaskRangeRecord& range) {
   std::map<std::string, Json> by_machine;
-  for (const Placement& placement : chunk.placements) {
+  for (const Placement& placement : range.placements) {
     Json& list =
         by_machine.try_emplace(placement.host, Json::array({placement.host})).first->second;
     list.push_back(placement.task);
@@ -309,19 +312,19 @@
   }
   Json placements = Json::array();
   for (auto& [machine, list] : by_machine) placements.push_back(std::move(list));
-  return {{"f", chunk.first},
-          {"d", encode_done(chunk)},
-          {"t", chunk.last_attempt},
+  return {{"f", range.first},
+          {"d", encode_done(range)},
+          {"t", range.last_attempt},
           {"p", std::move(placements)}};
 }
 
-Json encode_compact_task_range(const TaskRangeRecord& chunk) {
+Json encode_compact_task_range(const TaskRangeRecord& range) {
   std::map<std::pair<std::string_view, std::uint64_t>, std::vector<std::uint32_t>> groups;
-  for (const Placement& placement : chunk.placements) {
-    groups[{placement.host, placement.attempt}].push_back(placement.task - chunk.first);
+  for (const Placement& placement : range.placements) {
+    groups[{placement.host, placement.attempt}].push_back(placement.task - range.first);
   }
   std::string_view common_prefix;
-  if (!groups.empty()) {  // sorted by name: what the first and the last share, all share
+  if (!groups.empty()) {  // sorted by name: a common prefix of the first and last is one of all
     const std::string_view low = groups.begin()->first.first;
     const std::string_view high = groups.rbegin()->first.first;
     const auto differ = std::mismatch(low.begin(), low.end(), high.begin(), high.end()).first;
@@ -333,22 +336,22 @@
     placements.push_back(machine.second);
     for (const std::uint32_t task : tasks) placements.push_back(task);
   }
-  return {{"d", encode_done(chunk)},
-          {"t", chunk.last_attempt},
+  return {{"d", encode_done(range)},
+          {"t", range.last_attempt},
           {"m", common_prefix},
           {"p", std::move(placements)}};
 }
 
 TaskRangeRecord decode_task_range(const TaskRangeKey& key, const Json& record) {
   const bool is_legacy = key.format == TaskRecordFormat::legacy;
-  TaskRangeRecord chunk;
-  chunk.first =
+  TaskRangeRecord range;
+  range.first =
       is_legacy ? static_cast<std::uint32_t>(wire::count(record, "f", kMaxTasksPerJob)) : key.first;
-  chunk.done = decode_done(record, chunk.first);
-  chunk.last_attempt = wire::count(record, "t");
-  chunk.placements = is_legacy ? decode_legacy_placements(wire::list(record, "p"))
-                               : decode_compact_placements(record, chunk.first);
-  return chunk;
+  range.done = decode_done(record, range.first);
+  range.last_attempt = wire::count(record, "t");
+  range.placements = is_legacy ? decode_legacy_placements(wire::list(record, "p"))
+                               : decode_compact_placements(record, range.first);
+  return range;
 }
 
 std::string job_key(const std::string& id) { return "job/" + id; }
@@ -370,8 +373,8 @@
   const auto [stop, error] = std::from_chars(key.data() + slash + 1, end, found.first);
   if (error != std::errc()) return std::nullopt;
   if (stop == end) return found;
-  const auto [last, wrong] = std::from_chars(stop + 1, end, found.end);
-  if (*stop != '-' || wrong != std::errc() || last != end || found.end <= found.first ||
+  const auto [last, end_error] = std::from_chars(stop + 1, end, found.end);
+  if (*stop != '-' || end_error != std::errc() || last != end || found.end <= found.first ||
       found.end > kMaxTasksPerJob) {
     return std::nullopt;
   }
@@ -380,8 +383,8 @@
 }
 
 bool is_stale(const std::string& key, const wire::Json&, std::uint32_t level) {
-  const auto chunk = level >= schema::kTimeline ? parse_task_range_key(key) : std::nullopt;
-  return chunk && chunk->format == TaskRecordFormat::legacy;
+  const auto range = level >= schema::kTimeline ? parse_task_range_key(key) : std::nullopt;
+  return range && range->format == TaskRecordFormat::legacy;
 }
 
 }  // namespace reachramp::jobs
--- a/src/jobs/status_query_log.cpp
+++ b/src/jobs/status_query_log.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kStatusQueryLogInterval_s = 5;
-// Users poll about every 5 s. Who has not asked for so long is not waiting any more.
+// Users poll about every 5 s: a job that nobody has asked about for this long has no waiting users.
 constexpr double kInactiveJobAfter_s = 30;
 constexpr std::size_t kMaxUnansweredJobs = 20'000;
 
@@ -61,13 +61,13 @@
   if (now - last_logged_at_ < kStatusQueryLogInterval_s) return;
   drop_inactive_jobs(now);
   const StatusQueryCounts& before = last_logged_counts_;
-  const std::uint64_t unsure =
+  const std::uint64_t unanswered_queries =
       counts.timed_out + counts.store_unavailable - before.timed_out - before.store_unavailable;
-  if (unsure > 0) {
+  if (unanswered_queries > 0) {
     spdlog::info(
-        "questions: {} asked; answered: {} from memory, {} by comparison, {} by read; without an "
-        "answer: {} not in time, {} refused; {} comparisons, {} conflicts that named "
-        "{}, {} reads; {} jobs wait, the longest for {:.1f} s",
+        "status queries: {} received; answered: {} from the cache, {} by comparison, {} by read; "
+        "unanswered: {} timed out, {} store unavailable; {} comparisons, {} conflicts with {} "
+        "changed headers, {} reads; {} jobs wait, the longest for {:.1f} s",
         counts.received - before.received, counts.answered_from_cache - before.answered_from_cache,
         counts.answered_by_comparison - before.answered_by_comparison,
         counts.answered_by_read - before.answered_by_read, counts.timed_out - before.timed_out,
--- a/src/jobs/status_query_queue.cpp
+++ b/src/jobs/status_query_queue.cpp
@@ -3,16 +3,16 @@
 namespace reachramp::jobs {
 
 StatusQueryQueue::QueryPtr StatusQueryQueue::join(const std::string& id, double unanswered_since) {
-  QueryPtr& slot = joinable_by_id_[id];
-  if (!slot) {
-    slot = std::make_shared<StatusQuery>();
-    slot->id = id;
-    slot->unanswered_since = unanswered_since;
-    slot->arrival_number = ++last_arrival_number_;
-    queued_.insert(slot);
+  QueryPtr& query = joinable_by_id_[id];
+  if (!query) {
+    query = std::make_shared<StatusQuery>();
+    query->id = id;
+    query->unanswered_since = unanswered_since;
+    query->arrival_number = ++last_arrival_number_;
+    queued_.insert(query);
   }
-  ++slot->waiters;
-  return slot;
+  ++query->waiters;
+  return query;
 }
 
 void StatusQueryQueue::remove(const QueryPtr& query) {
@@ -36,11 +36,11 @@
 std::vector<StatusQueryQueue::QueryPtr> StatusQueryQueue::take(
     std::size_t max_count, const std::function<bool(const StatusQuery&)>& filter) {
   std::vector<QueryPtr> taken;
-  for (const QueryPtr& question : queued_) {
+  for (const QueryPtr& query : queued_) {
     if (taken.size() == max_count) break;
-    if (filter(*question)) taken.push_back(question);
+    if (filter(*query)) taken.push_back(query);
   }
-  for (const QueryPtr& question : taken) remove(question);
+  for (const QueryPtr& query : taken) remove(query);
   return taken;
 }
 
