--- a/src/peers/heartbeat_forwarder.cpp
+++ b/src/peers/heartbeat_forwarder.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-// The leader answers within a second or so. A detour tells at once, or the third node has no way
-// either.
+// The leader responds within about a second. An intermediate node responds faster, unless it can't
+// reach the leader either.
 constexpr double kLeaderTimeout_s = 1.5;
 constexpr double kIntermediateNodeTimeout_s = 0.7;
 constexpr double kUnreachableFor_s = 4;
-// A change of leaders sets all workers' reports going at once. Without a descriptor for it, one
-// would take the leader for cut off; and all nodes together must leave the leader half of the
-// connections that it can serve.
-constexpr double kForwardDescriptorShare = 0.2;  // of descriptors
-constexpr double kPooledConnectionShare = 0.1;   // of descriptors
+// After a change of leaders all workers send heartbeats at once. Without a file descriptor for
+// forwarding one, a node would take the leader for unreachable, so two shares of its descriptors
+// are set aside. All nodes together must also leave at least half of the connections that the
+// leader can serve to others.
+constexpr double kForwardDescriptorShare = 0.2;
+constexpr double kPooledConnectionShare = 0.1;
 constexpr std::size_t kMinForwardSlots = 8;
 constexpr auto kSlotTimeout = std::chrono::milliseconds(300);
 
@@ -66,9 +67,10 @@
   return at != unreachable_until_.end() && now < at->second;
 }
 
-// Cuts hang: whoever has met one does not wait for it again with every report, be it on the way to
-// the leader or on a detour. A machine without power on the detour cost workers their leases: their
-// report had no answer in time, and the node that they tried next was the dead one.
+// Requests to a node behind a network partition time out instead of failing at once. A node that
+// has timed out is therefore skipped for a while, as the leader or as an intermediate node. Without
+// this, an intermediate node that had lost power cost workers their leases: their heartbeats were
+// not answered in time, and the node that they tried next was the dead one.
 std::optional<wire::Response> HeartbeatForwarder::send_to(const std::string& node, const char* path,
                                                           const wire::Json& heartbeat,
                                                           double timeout_s, double deadline) {
--- a/src/peers/members.cpp
+++ b/src/peers/members.cpp
@@ -15,6 +15,7 @@
 
 constexpr double kMemberPollInterval_s = 1;
 
+// Whether the record announces at least the current format.
 bool supports_format(const kv::Json& record) {
   const wire::Json* format = record.is_object() ? wire::find(record, "format") : nullptr;
   return format != nullptr && format->is_number_unsigned() &&
@@ -65,7 +66,7 @@
   }
   if (!all_support_format(node_names_, entries)) return false;
   if (!all_upgraded_.exchange(true))
-    spdlog::info("all nodes read records of form {}", kMemberRecordFormat);
+    spdlog::info("all nodes read record format {}", kMemberRecordFormat);
   return true;
 }
 
--- a/src/peers/readiness.cpp
+++ b/src/peers/readiness.cpp
@@ -15,10 +15,11 @@
 using namespace std::chrono_literals;
 
 constexpr double kNotReadyAfterUnserved_s = 2.5;
-// Watches return every four seconds at the latest, and one that is lost is asked for again.
+// The longest normal pause between the store's responses: watches return every four seconds at the
+// latest, and a lost one is repeated.
 constexpr double kMaxWatchSilence_s = 6;
 constexpr double kReadyAfterServed_s = 3;
-// Probes wait a second for their answer; a few nodes must fit in.
+// Callers of /ready wait one second for the response, in which a few nodes must be asked.
 constexpr auto kPeerQueryTimeout = 250ms;
 constexpr std::size_t kMaxPeersPerReadinessCheck = 3;
 constexpr double kLeaseExpiryMargin_s = 1;
@@ -37,7 +38,7 @@
   } else {
     ready_ = now - last_unserved_at_ > kReadyAfterServed_s || (unserved_s > 0 && !peers_served());
   }
-  if (was_ready != ready_) spdlog::info("ready: {}", ready_);
+  if (was_ready != ready_) spdlog::info("ready for users: {}", ready_);
   return ready_;
 }
 
@@ -50,7 +51,8 @@
 }
 
 bool must_step_down(const IsolationEvidence& evidence, double lease_duration_s) {
-  // A moment more: whoever is refused longer than a lease lasts has lost it, or nobody has.
+  // With the margin, the lease has certainly expired, unless the store is down and no lease
+  // expires.
   if (evidence.since_lease_renewal_s < lease_duration_s + kLeaseExpiryMargin_s ||
       evidence.peers_asked == 0)
     return false;
@@ -67,7 +69,7 @@
     const wire::CallResult& answer) {
   if (answer.status != 200 || !answer.body.is_object()) return std::nullopt;
   try {
-    const wire::Json* confirmed = wire::find(answer.body, "told");  // older versions tell nothing
+    const wire::Json* confirmed = wire::find(answer.body, "told");  // older versions send no list
     if (confirmed == nullptr) return std::nullopt;
     leadership::CancellationDigest digest;
     digest.covered_s = wire::amount(*confirmed, "complete_s");
@@ -79,7 +81,7 @@
     }
     return digest;
   } catch (const std::exception& error) {
-    spdlog::error("a node tells of cancellations: {}", error.what());
+    spdlog::error("invalid list of cancellations from another node: {}", error.what());
     return std::nullopt;
   }
 }
@@ -104,9 +106,10 @@
   evidence.peers_asked = peers_.size();
   if (since_lease_renewal_s < lease_duration_s + kLeaseExpiryMargin_s) return false;
   evidence.store_refuses = store_.refused_duration_s(kv::steady_now()) > 0;
-  // The key's revision only grows, so whoever has seen a larger one has seen a later leader. That
-  // others were served after us showed none: where a refusal of the leader went over into an outage
-  // for all, it let go, and all leases were lost.
+  // The leader key's revision only grows, so a node that has seen a higher one has seen a later
+  // leader. Being served by the store later than this node proves no new leader: when the store
+  // first refused the leader and then everybody, a leader that stepped down for that reason cost
+  // all workers their leases.
   std::tie(evidence.peers_answered, evidence.successor_seen) =
       poll_peers(peers_.size(), [&](const wire::Json& answer) {
         const wire::Json* revision = wire::find(answer, "leader_stamp");
@@ -116,7 +119,7 @@
   return must_step_down(evidence, lease_duration_s);
 }
 
-// One that has just been started has not been left without an answer yet.
+// The time without responses counts from the start of this process at the earliest.
 double NodeHealth::unserved_s(double now) const {
   return unserved_duration_s(store_.refused_duration_s(now),
                              std::min(store_.seconds_since_served(now), now - started_at_));
@@ -165,7 +168,7 @@
   return digests;
 }
 
-// `ago_s` is for versions that know nothing of `leader_stamp`.
+// The field `ago_s` is for older versions, which don't know `leader_stamp`.
 wire::Response NodeHealth::handle_served(const std::string& body, std::uint64_t leader_revision) {
   const double now = kv::steady_now();
   wire::Json answer{{"served", unserved_s(now) == 0},
--- a/src/peers/recent_cancellations.cpp
+++ b/src/peers/recent_cancellations.cpp
@@ -16,8 +16,9 @@
   }
 }
 
-// Told again it keeps its first moment: whoever has heard this process up to then knows of it. A
-// thread that took the time before a look at the list, and comes after it, counts as after it.
+// A job that is confirmed again keeps its first time: callers that have read the list since then
+// know of it. A thread may get the lock after a read of the list with a `now` from before it; its
+// entry is dated to the read, so that the next window, which begins there, includes it.
 bool RecentCancellations::record(const std::string& job, double now) {
   const std::lock_guard lock(mutex_);
   if (!jobs_.insert(job).second) return false;
--- a/src/pipelines/dependencies.cpp
+++ b/src/pipelines/dependencies.cpp
@@ -11,10 +11,11 @@
 
 namespace {
 
-// From the end of one job to the start of the next: a report tells of the one, the answer to
-// another carries the other.
+// Number of heartbeats between the end of a job and the start of the next: one lists the exited
+// task, and the response to another carries the start command.
 constexpr double kHeartbeatsBetweenJobs = 2;
-// Where many paths lead on from a job, the dues along the most pressing ones are kept.
+// Limits the latest start times that a job inherits from the jobs that depend on it; the earliest
+// ones are kept.
 constexpr std::size_t kMaxInheritedDeadlines = 8;
 
 std::vector<Index> dependents(const Cluster& cluster, const std::string& id) {
@@ -23,7 +24,7 @@
   return {at->second.begin(), at->second.end()};
 }
 
-// Jobs in the order in which they were accepted: each comes after all that it needs.
+// All jobs in order of acceptance, in which each job comes after the jobs that it depends on.
 std::vector<Index> jobs_by_acceptance(const Cluster& cluster) {
   std::vector<Index> order;
   for (Index index = 0; index < cluster.jobs.size(); ++index) {
@@ -35,6 +36,7 @@
   return order;
 }
 
+// When the job's last task can be expected to end, if all its tasks take the estimated time.
 double expected_end(const Job& job, double now) {
   if (job.is_blocked()) return job.expected_unblocked_at + job.spec.estimated_duration_s;
   double started_at = now;
@@ -51,7 +53,8 @@
 
 void track_dependencies(Cluster& cluster, Index index, double now) {
   Job& job = *cluster.jobs[index];
-  // Nothing of it was ever placed before all that it needs was done.
+  // No task is placed before all dependencies of its job are done, so a job that has started proves
+  // that they are.
   const bool started = job.done_count > 0 || job.last_attempt > 0 || !job.attempts.empty();
   bool dependency_cancelled = false;
   if (started && !job.dependencies.empty()) {
@@ -77,21 +80,22 @@
                         double now) {
   std::vector<std::pair<std::string, DependencyState>> changes{{id, state}};
   while (!changes.empty()) {
-    const auto [name, became] = std::move(changes.back());
+    const auto [name, new_state] = std::move(changes.back());
     changes.pop_back();
     for (const Index index : dependents(cluster, name)) {
       Job& job = *cluster.jobs[index];
       const bool was_waiting = job.is_blocked();
       for (Dependency& dependency : job.dependencies) {
         if (dependency.id == name && dependency.state != DependencyState::done)
-          dependency.state = became;
+          dependency.state = new_state;
       }
-      if (became == DependencyState::cancelled && was_waiting && !job.cancelled) {
-        spdlog::info("job {} is cancelled with {}", job.spec.id, name);
+      if (new_state == DependencyState::cancelled && was_waiting && !job.cancelled) {
+        spdlog::info("job {} is cancelled because its dependency {} is cancelled", job.spec.id,
+                     name);
         cluster.cancel_job(index, {.latest = now});
         changes.emplace_back(job.spec.id, DependencyState::cancelled);
       } else if (was_waiting && !job.is_blocked()) {
-        spdlog::info("job {} may begin", job.spec.id);
+        spdlog::info("job {} is unblocked: all its dependencies are done", job.spec.id);
         job.unblocked_at = std::max(job.unblocked_at, now);
       }
     }
--- a/src/workers/cancelled_tasks.cpp
+++ b/src/workers/cancelled_tasks.cpp
@@ -12,24 +12,26 @@
 
 namespace {
 
-// Until a machine whose return was decided is gone: the call's turn under the cloud's rate, a call
-// that is under way, and the call itself.
+// Time from the decision to return a machine until it is gone: waiting for the cloud's rate limit
+// and for a call that is already under way, and the call itself.
 constexpr double kMachineReturn_s = 5;
-// The longest time between two reports of a worker, in periods (PROTOCOL, workers).
+// The longest time between two heartbeats of a worker, in heartbeat periods (PROTOCOL, workers).
 constexpr double kMaxHeartbeatPeriods = 1.25;
-// A worker whose node does not answer waits 4 s, and reports to the next one a second later.
+// Extra time when a worker changes nodes: it waits 4 s for a node that does not answer, then sends
+// its heartbeat to the next node a second later.
 constexpr double kNodeFailover_s = 6;
-// Report, answer with the stop, report of the exit.
+// Proving that a task has ended takes two heartbeats: one whose response carries the stop command,
+// and one that lists the task as exited.
 constexpr double kHeartbeatsForTerminationProof = 2;
 
-// By when the proof must be there if the user was told at `told_at`.
+// By when a task's end must be proven if its job's cancellation was confirmed at `confirmed_at`.
 double deadline_for(const settings::WorkerTimings& workers, double confirmed_at,
                     double listening_since) {
   const double listening_period_s = kHeartbeatsForTerminationProof * max_heartbeat_delay_s(workers);
   if (confirmed_at + workers.cancel_s < listening_since)
     return listening_since + listening_period_s;
-  // Where cancel_s is short no machine could have shown its end before; jobs/door confirms nothing
-  // there that is not proven.
+  // If cancel_s is short, no machine can prove the end of a task in time. jobs::JobService then
+  // confirms a cancellation only once the ends of all tasks are proven.
   return confirmed_at + std::max(workers.cancel_s - kMachineReturn_s, listening_period_s);
 }
 
--- a/src/workers/heartbeat.cpp
+++ b/src/workers/heartbeat.cpp
@@ -22,7 +22,7 @@
 
 constexpr std::size_t kMaxTasksPerHeartbeat = 2000;
 constexpr std::size_t kMaxCommandsPerResponse = 400;
-// A worker drops an answer that comes later than this.
+// A worker drops a response that arrives later than this after its heartbeat.
 constexpr double kWorkerResponseTimeout_s = 4;
 
 constexpr std::pair<TaskState, const char*> kTaskStateNames[] = {{TaskState::fetching, "fetching"},
@@ -62,19 +62,20 @@
       known = true;
     }
   }
-  // A phase of a newer version: the task is there, and that is all that is known. Refused, its
-  // worker would go from node to node until its lease ended.
+  // A state that only newer workers have: all that is known is that the task has not ended. If the
+  // heartbeat were refused, its worker would try one node after another until its lease expired.
   if (!known) status.state = TaskState::waiting;
-  if (const auto cause = wire::optional_text(item, "cause")) {
-    // A cause of a newer version is taken for a fault.
+  if (const auto reason = wire::optional_text(item, "cause")) {
+    // An exit reason that only newer workers have counts as a failure of the task.
     status.exit_reason = ExitReason::error;
     for (const auto& [value, text] : kExitReasonNames) {
-      if (*cause == text) status.exit_reason = value;
+      if (*reason == text) status.exit_reason = value;
     }
   }
   return status;
 }
 
+// The state to record for a task that has not exited.
 ObservedState observed_state(TaskState state) {
   switch (state) {
     case TaskState::fetching:
@@ -88,6 +89,7 @@
   }
 }
 
+// Ends the attempt that the heartbeat lists as exited, and records its outcome.
 void apply_exit(Cluster& cluster, Index job_index, Index host_index, const TaskStatus& status,
                 double now) {
   Job& job = *cluster.jobs[job_index];
@@ -95,9 +97,9 @@
   switch (status.exit_reason) {
     case ExitReason::done:
       if (job.spec.shape == jobs::Shape::service) {
-        // a replica that ends is started anew
+        // A service is never done: the ended replica is started again.
       } else if (job.spec.shape == jobs::Shape::gang) {
-        // A gang completes together: if one task is done, all are.
+        // A gang's tasks complete together: if one is done, all are.
         for (std::uint32_t task = 0; task < job.spec.tasks; ++task) {
           cluster.mark_done(job_index, task, now);
         }
@@ -120,24 +122,24 @@
     case ExitReason::incomplete:
       break;
   }
-  spdlog::debug("task {}/{} try {} exited on {}: cause {}", status.job, status.task, status.attempt,
-                host.name, static_cast<int>(status.exit_reason));
+  spdlog::debug("task {}/{} attempt {} exited on machine {}: exit reason {}", status.job,
+                status.task, status.attempt, host.name, static_cast<int>(status.exit_reason));
   cluster.end_attempt(job_index, status.task, now);
 }
 
-// The attempt that the worker lists, if it is one that may be there.
+// The cluster's attempt on this machine that the listed task belongs to; null if there is none.
 const Attempt* find_attempt(const Cluster& cluster, Index host_index, const TaskStatus& status) {
   const auto found = cluster.job_index.find(status.job);
   if (found == cluster.job_index.end()) return nullptr;
   const auto& attempts = cluster.jobs[found->second]->attempts;
   const auto at = attempts.find(status.task);
   if (at == attempts.end()) return nullptr;
-  const bool same = at->second.number == status.attempt && at->second.host == host_index;
-  return same ? &at->second : nullptr;
+  const bool matches = at->second.number == status.attempt && at->second.host == host_index;
+  return matches ? &at->second : nullptr;
 }
 
-// Tasks that the report lists as not yet ended and that no attempt of ours is for. To stop one is
-// harmless however old the report is: no attempt gets its number again.
+// The listed tasks that have not ended and that no attempt in the cluster belongs to. Stopping them
+// is safe even if the heartbeat is old, since attempt numbers are never reused.
 std::vector<ExitedTask> tasks_without_attempt(const Cluster& cluster, Index host_index,
                                               const Heartbeat& heartbeat) {
   std::vector<ExitedTask> tasks;
@@ -156,7 +158,9 @@
   }
 }
 
-// A task runs that we hold no attempt for. It blocks its task until it is gone.
+// Adds an attempt for a task that runs without one, already marked to be stopped. Until it has
+// ended, it keeps the task from being started elsewhere. Returns false if the job has no such task
+// or the task has another attempt.
 bool adopt_running_task(Cluster& cluster, Index job_index, Index host_index,
                         const TaskStatus& status, double now) {
   Job& job = *cluster.jobs[job_index];
@@ -170,6 +174,7 @@
   return true;
 }
 
+// Updates the cluster with one task that the heartbeat lists.
 void apply_task_status(Cluster& cluster, Index host_index, const TaskStatus& status, double now) {
   Host& host = *cluster.hosts[host_index];
   const ExitedTask listed_task{status.job, status.task, status.attempt};
@@ -196,12 +201,13 @@
   const ObservedState observed = observed_state(status.state);
   if (attempt->from_previous_leader || attempt->observed_state != observed)
     cluster.jobs_with_changed_counts.insert(found->second);
-  // Whoever led when it began to run knew; from its record we know when it was placed.
+  // It may have begun to run under an earlier leader. The time of its placement, which was stored,
+  // is then the best estimate of when.
   const bool ran_before =
       attempt->from_previous_leader && attempt->observed_state == ObservedState::unobserved;
   if (attempt->start_sent && !attempt->from_previous_leader &&
       attempt->observed_state == ObservedState::unobserved) {
-    host.ignored_responses = 0;  // it has taken what we told it
+    host.ignored_responses = 0;  // the worker received the response with the start command
   }
   attempt->from_previous_leader = false;
   attempt->start_sent = true;
@@ -216,16 +222,16 @@
     host.cached_images.insert(job->spec.image);
 }
 
-// A machine whose reports arrive, but which our answers do not reach: what is placed there never
-// appears, its fencing token does not move, its sessions run out although we answered. Each report
-// may show one such sign; a start that is taken, a fencing token that moves, or a session that
-// outlasts a lease shows that it does hear us.
+// Detects machines whose heartbeats arrive but which do not receive the responses. Signs of lost
+// responses, at most one per heartbeat: started tasks never appear, the worker's fencing token
+// stays old, or its lease expires although it was answered. A started task that appears, an updated
+// fencing token, or an incarnation that outlasts a lease shows that responses do arrive.
 void update_ignored_responses(Cluster& cluster, Host& host, const Heartbeat& heartbeat,
                               bool new_incarnation, bool had_acknowledged_token, double now) {
   const settings::WorkerTimings& workers = cluster.platform.worker_timings;
   const bool answered_recently = now - host.last_response_at < workers.lease_s;
   if (heartbeat.fencing_token != cluster.fencing_token) {
-    // The first answer may still be on its way.
+    // Without a recent response this is no sign: the first response may still be on its way.
     host.ignored_responses += answered_recently ? 1 : 0;
   } else if (!had_acknowledged_token) {
     host.ignored_responses = 0;
@@ -241,14 +247,15 @@
   if (new_incarnation) host.last_response_at = -1e9;
 }
 
-// What the absence of an attempt from the report proves.
+// Updates an attempt on the machine that the heartbeat does not list: ends it if the absence proves
+// that it is not running, and repeats its start command if that one was lost.
 void apply_task_absence(Cluster& cluster, Index host_index, const TaskRef& ref, Channel channel,
                         bool new_incarnation, double now) {
   Host& host = *cluster.hosts[host_index];
   Attempt& attempt = cluster.jobs[ref.job]->attempts.at(ref.task);
   if (attempt.from_previous_leader) {
-    // Not started here in its stead: the records hold attempts that an earlier leader had given up
-    // to make room for others of the team, and together they may exceed its limit.
+    // The attempt is not started again here: the records also hold attempts that an earlier leader
+    // had stopped to make room for other tasks of the team, and all together may exceed its limit.
     cluster.end_attempt(ref.job, ref.task, now);
     return;
   }
@@ -257,7 +264,7 @@
     if (channel != Channel::heartbeat || host.sequence_number <= attempt.start_sent_sequence_number)
       return;
     if (attempt.observed_state == ObservedState::unobserved && !attempt.stopping) {
-      attempt.start_sent = false;  // the answer that carried the start was dropped: send it again
+      attempt.start_sent = false;  // the response with the start command was lost: send it again
       host.report_missed_start = true;
       return;
     }
@@ -311,7 +318,7 @@
   }
   const bool new_incarnation = host.incarnation != 0 && heartbeat.incarnation > host.incarnation;
   if (new_incarnation)
-    spdlog::info("machine {} lost its lease: session {}", host.name, heartbeat.incarnation);
+    spdlog::info("machine {}: lease expired, new incarnation {}", host.name, heartbeat.incarnation);
   if (heartbeat.incarnation != host.incarnation) host.incarnation_started_at = now;
   host.incarnation = heartbeat.incarnation;
   host.sequence_number = heartbeat.sequence_number;
@@ -335,11 +342,12 @@
   host.exited_tasks.clear();
   host.orphaned_tasks.clear();
   host.report_missed_start = false;
-  // A report without our fencing token may be of any age: held back by a cut since long before we
-  // led, it can list as exited, or lack, what an earlier leader has started again since (a
-  // simulated cluster ran a task twice that way). It shows that the machine lives; the next one,
-  // which carries our fencing token, shows what is on it. What must not run there is stopped at
-  // once: the answer extends its lease.
+  // A heartbeat without this leader's fencing token may be of any age. Delayed by a network
+  // partition since before this leader was elected, it may list a task as exited, or not list it,
+  // although an earlier leader has started the task again since (in a simulated cluster this ran a
+  // task twice). It only shows that the machine is alive; the next heartbeat, with this leader's
+  // token, shows its tasks. Tasks that must not run there are stopped at once, since the response
+  // renews the lease.
   if (heartbeat.fencing_token != cluster.fencing_token) {
     host.orphaned_tasks = tasks_without_attempt(cluster, index, heartbeat);
     if (channel == Channel::heartbeat) {
@@ -394,10 +402,11 @@
 std::vector<Command> commands_for(Cluster& cluster, Index host_index, bool starts_allowed,
                                   double now) {
   Host& host = *cluster.hosts[host_index];
-  // Stops first: of many orders some may have to wait for the next report, but these.
+  // Stop commands come first: if the limit is reached, the others wait for the next heartbeat.
   std::vector<Command> commands = stop_commands_for(cluster, host_index);
   append_stop_commands(host.orphaned_tasks, commands);
-  // What has ended is forgotten by the worker only once its outcome is durable.
+  // The worker lists an exited task until it is told to clear it, which must not happen before the
+  // outcome is stored.
   for (const ExitedTask& exited : host.exited_tasks) {
     if (commands.size() >= kMaxCommandsPerResponse) break;
     const Job* job = cluster.find_job(exited.job);
