--- a/src/jobs/job_service_bytes_test.cpp
+++ b/src/jobs/job_service_bytes_test.cpp
@@ -1,4 +1,4 @@
-// The literal form of the answers that users get, and of what they make the door store.
+// The literal form of the responses that users get, and of the records that JobService stores.
 #include "jobs/job_service.h"
 #include "kv/steady_clock.h"
 #include "recorder.h"
@@ -25,18 +25,18 @@
          "}";
 }
 
-class DoorBytes : public ::testing::Test {
+class JobServiceBytes : public ::testing::Test {
  protected:
-  // Records that the key-value store has; a transaction is answered with `committed`.
+  // The records of the emulated key-value store, and its response to transactions.
   std::map<std::string, std::string> records_;
-  wire::Response committed_{200, received(R"({"epoch":50})"), 0};
+  wire::Response commit_response_{200, received(R"({"epoch":50})"), 0};
 
   wire::Response submit(const std::string& body) {
-    return door_.submit(wire::encode(Json::parse(body)));
+    return service_.submit(wire::encode(Json::parse(body)));
   }
   Json last_transaction() {
     Json last;
-    for (const test::Asked& one : service_.asked()) {
+    for (const test::Asked& one : recorder_.asked()) {
       if (one.line == "POST /multi") last = one.body;
     }
     return last;
@@ -44,7 +44,7 @@
 
  private:
   wire::Response answer(const wire::Request& request) {
-    if (request.path == "/multi") return committed_;
+    if (request.path == "/multi") return commit_response_;
     if (request.path == "/keys") return {200, received(R"({"epoch":9,"entries":[]})"), 0};
     const auto at = records_.find(request.path.substr(std::string("/keys/").size()));
     if (at == records_.end()) return {404, received(R"({"epoch":9})"), 0};
@@ -52,33 +52,34 @@
   }
 
   static settings::Platform platform() {
-    settings::Platform made;
-    made.node_name = "node-0";
-    made.teams = {{"red", 0, 0, 0, 0}};
-    made.worker_timings = {1, 10, 15, 4, 30};
-    made.store_limits = {1000, 100, 4, 8};
-    made.upcoming_store_limits = made.store_limits;
-    return made;
+    settings::Platform platform;
+    platform.node_name = "node-0";
+    platform.teams = {{"red", 0, 0, 0, 0}};
+    platform.worker_timings = {1, 10, 15, 4, 30};
+    platform.store_limits = {1000, 100, 4, 8};
+    platform.upcoming_store_limits = platform.store_limits;
+    return platform;
   }
 
   const settings::Platform platform_ = platform();
-  test::Recorder service_{[this](const wire::Request& request) { return answer(request); }};
-  kv::Client state_{service_.at(), 1000};
-  peers::Members members_{state_, platform_};
-  schema::SchemaVersionTracker book_{state_, platform_, {}};
-  peers::RecentCancellations told_{30, kv::steady_now()};
+  test::Recorder recorder_{[this](const wire::Request& request) { return answer(request); }};
+  kv::Client store_{recorder_.at(), 1000};
+  peers::Members members_{store_, platform_};
+  schema::SchemaVersionTracker version_tracker_{store_, platform_, {}};
+  peers::RecentCancellations recent_cancellations_{30, kv::steady_now()};
 
  protected:
-  JobService door_{state_, platform_, members_, book_, told_, [] {
-                     return std::make_shared<const cloud::Catalog>(
-                         cloud::Catalog{{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a"}}});
-                   }};
+  JobService service_{store_, platform_, members_, version_tracker_, recent_cancellations_, [] {
+                        return std::make_shared<const cloud::Catalog>(
+                            cloud::Catalog{{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 5, {"a"}}});
+                      }};
 };
 
-TEST_F(DoorBytes, AcceptedJobIsStoredAndAnsweredAsLiteral) {
-  const wire::Response reply = submit(kSpec);
-  EXPECT_EQ(reply.status, 201);
-  EXPECT_TRUE(is_written_as(reply.body, R"({"ref":"j-1","phase":"pending","done":0,"running":0})"));
+TEST_F(JobServiceBytes, AcceptedJobIsStoredAndAnsweredAsLiteral) {
+  const wire::Response response = submit(kSpec);
+  EXPECT_EQ(response.status, 201);
+  EXPECT_TRUE(
+      is_written_as(response.body, R"({"ref":"j-1","phase":"pending","done":0,"running":0})"));
   const std::string expected =
       R"({"if":[{"k":"job/j-1","stamp":0},{"k":"end/j-1","stamp":0},{"k":"level","stamp":0}],
           "then":[{"write":"job/j-1","value":)" +
@@ -86,7 +87,7 @@
   EXPECT_TRUE(is_written_as(last_transaction(), expected.c_str()));
 }
 
-TEST_F(DoorBytes, EachPhaseIsAnsweredAsLiteral) {
+TEST_F(JobServiceBytes, EachPhaseIsAnsweredAsLiteral) {
   records_["job/j-1"] = header("false", 1, 0);
   records_["job/j-2"] = header("false", 1, 2);
   records_["job/j-3"] = header("true", 1, 2);
@@ -99,17 +100,18 @@
       {"j-4", R"({"ref":"j-4","phase":"done","done":4,"running":0})"},
       {"j-5", R"({"ref":"j-5","phase":"aborted","done":3,"running":0})"}};
   for (const auto& [id, body] : expected) {
-    const wire::Response reply = door_.query(id);
-    EXPECT_EQ(reply.status, 200);
-    EXPECT_TRUE(is_written_as(reply.body, body));
+    const wire::Response response = service_.query(id);
+    EXPECT_EQ(response.status, 200);
+    EXPECT_TRUE(is_written_as(response.body, body));
   }
 }
 
-TEST_F(DoorBytes, WithdrawnJobIsStoredAndAnsweredAsLiteral) {
+TEST_F(JobServiceBytes, CancelledJobIsStoredAndAnsweredAsLiteral) {
   records_["job/j-1"] = header("false", 1, 2);
-  const wire::Response reply = door_.cancel("j-1");
-  EXPECT_EQ(reply.status, 200);
-  EXPECT_TRUE(is_written_as(reply.body, R"({"ref":"j-1","phase":"aborted","done":1,"running":0})"));
+  const wire::Response response = service_.cancel("j-1");
+  EXPECT_EQ(response.status, 200);
+  EXPECT_TRUE(
+      is_written_as(response.body, R"({"ref":"j-1","phase":"aborted","done":1,"running":0})"));
   const std::string expected =
       R"({"if":[{"k":"job/j-1","stamp":7},{"k":"level","stamp":0}],
           "then":[{"write":"job/j-1","value":{"born":7,"cancelled":true,"done":1,"running":2,
@@ -118,20 +120,20 @@
   EXPECT_TRUE(is_written_as(last_transaction(), expected.c_str()));
 }
 
-TEST_F(DoorBytes, RefusalsAreAnsweredAsLiteral) {
-  wire::Response reply = door_.query("j-9");
-  EXPECT_EQ(reply.status, 404);
-  EXPECT_TRUE(is_written_as(reply.body, R"({"error":"no such job"})"));
-  Json stranger = Json::parse(kSpec);
-  stranger["owner"] = "blue";
-  reply = submit(stranger.dump());
-  EXPECT_EQ(reply.status, 422);
-  EXPECT_TRUE(is_written_as(reply.body, R"({"error":"unknown team"})"));
-  committed_ = {503, Json::object(), 0};
-  reply = submit(kSpec);
-  EXPECT_EQ(reply.status, 503);
-  EXPECT_EQ(reply.retry_after_s, 1);
-  EXPECT_TRUE(is_written_as(reply.body, R"({"error":"cannot tell now"})"));
+TEST_F(JobServiceBytes, RefusalsAreAnsweredAsLiteral) {
+  wire::Response response = service_.query("j-9");
+  EXPECT_EQ(response.status, 404);
+  EXPECT_TRUE(is_written_as(response.body, R"({"error":"no such job"})"));
+  Json unknown_team_job = Json::parse(kSpec);
+  unknown_team_job["owner"] = "blue";
+  response = submit(unknown_team_job.dump());
+  EXPECT_EQ(response.status, 422);
+  EXPECT_TRUE(is_written_as(response.body, R"({"error":"unknown team"})"));
+  commit_response_ = {503, Json::object(), 0};
+  response = submit(kSpec);
+  EXPECT_EQ(response.status, 503);
+  EXPECT_EQ(response.retry_after_s, 1);
+  EXPECT_TRUE(is_written_as(response.body, R"({"error":"cannot tell now"})"));
 }
 
 }  // namespace
--- a/src/jobs/spec_bytes_test.cpp
+++ b/src/jobs/spec_bytes_test.cpp
@@ -1,4 +1,4 @@
-// The literal form of jobs' records, and of those that earlier versions left.
+// The literal form of jobs' records, including those that earlier versions have written.
 #include "bytes.h"
 #include "jobs/spec.h"
 
@@ -89,13 +89,13 @@
   spec.zone.reset();
   spec.deadline_s.reset();
   spec.depends_on.clear();
-  constexpr const char* kLeast =
+  constexpr const char* kMinimalSpec =
       R"({"ref":"j-000412","jobclass":"train","owner":"vision","shape":"ensemble",
           "urgency":"urgent","pieces":16,"vcpus":8.5,"accelerators":1.5,"ram_gb":64.25,
           "bundle":"img-07","pull_gb":6.5,"together":true,"scatter":false,"loaner":true,
           "expected_s":240.5,"snapshot_every_s":30.5,"snapshot_cost_s":4.5})";
-  EXPECT_TRUE(is_written_as(encode_spec(spec), kLeast));
-  const Spec back = decode_spec(received(kLeast));
+  EXPECT_TRUE(is_written_as(encode_spec(spec), kMinimalSpec));
+  const Spec back = decode_spec(received(kMinimalSpec));
   EXPECT_FALSE(back.types || back.zone || back.deadline_s);
   EXPECT_TRUE(back.depends_on.empty());
 }
@@ -113,27 +113,27 @@
   EXPECT_FALSE(back.single_zone || back.allow_spot);
 }
 
-TEST(JobSpecBytes, EveryShapeAndUrgencyHasItsWord) {
+TEST(JobSpecBytes, EveryShapeAndUrgencyHasItsName) {
   const std::pair<Shape, const char*> shapes[] = {
       {Shape::array, "array"}, {Shape::gang, "ensemble"}, {Shape::service, "service"}};
-  for (const auto& [shape, word] : shapes) {
+  for (const auto& [shape, name] : shapes) {
     Spec spec = full_spec();
     spec.shape = shape;
-    EXPECT_EQ(encode_spec(spec)["shape"], word);
+    EXPECT_EQ(encode_spec(spec)["shape"], name);
     Json body = received(kFullSpec);
-    body["shape"] = word;
+    body["shape"] = name;
     EXPECT_EQ(decode_spec(body).shape, shape);
   }
   const std::pair<Priority, const char*> urgencies[] = {{Priority::production, "prod"},
                                                         {Priority::high, "urgent"},
                                                         {Priority::normal, "normal"},
                                                         {Priority::low, "best_effort"}};
-  for (const auto& [priority, word] : urgencies) {
+  for (const auto& [priority, name] : urgencies) {
     Spec spec = full_spec();
     spec.priority = priority;
-    EXPECT_EQ(encode_spec(spec)["urgency"], word);
+    EXPECT_EQ(encode_spec(spec)["urgency"], name);
     Json body = received(kFullSpec);
-    body["urgency"] = word;
+    body["urgency"] = name;
     EXPECT_EQ(decode_spec(body).priority, priority);
   }
 }
@@ -150,7 +150,7 @@
   EXPECT_EQ(header.accepted_revision, 77u);
 }
 
-TEST(JobRecordBytes, CancelledHeaderThatIsCutShortIsWrittenAsLiteral) {
+TEST(JobRecordBytes, ShortenedCancelledHeaderIsWrittenAsLiteral) {
   EXPECT_TRUE(
       is_written_as(encode_cancelled_header({full_spec(), false, 3, 2, 77}),
                     R"({"spec":{"ref":"j-000412","jobclass":"-","owner":"vision","shape":"ensemble",
@@ -160,15 +160,15 @@
           "cancelled":true,"done":3,"running":2,"born":77})"));
 }
 
-TEST(JobRecordBytes, EndIsReadAndWrittenAsLiteral) {
-  constexpr const char* kCancelled = R"({"cancelled":true,"done":3})";
-  EXPECT_TRUE(is_written_as(encode_final_state({true, 3}), kCancelled));
-  EXPECT_TRUE(decode_final_state(received(kCancelled)).cancelled);
-  EXPECT_EQ(decode_final_state(received(kCancelled)).done, 3u);
+TEST(JobRecordBytes, FinalStateIsReadAndWrittenAsLiteral) {
+  constexpr const char* kCancelledRecord = R"({"cancelled":true,"done":3})";
+  EXPECT_TRUE(is_written_as(encode_final_state({true, 3}), kCancelledRecord));
+  EXPECT_TRUE(decode_final_state(received(kCancelledRecord)).cancelled);
+  EXPECT_EQ(decode_final_state(received(kCancelledRecord)).done, 3u);
   EXPECT_FALSE(decode_final_state(received(R"({"cancelled":false,"done":8})")).cancelled);
 }
 
-TEST(TaskRecordBytes, WholeFormIsReadAndWrittenAsLiteral) {
+TEST(TaskRecordBytes, LegacyFormatIsReadAndWrittenAsLiteral) {
   constexpr const char* kRecord = R"({"f":8,"d":"81","t":9,"p":[["n-1",9,2,10,2],["n-2",12,1]]})";
   const TaskRangeRecord record{8, {11, 12}, 9, {{9, 2, "n-1"}, {10, 2, "n-1"}, {12, 1, "n-2"}}};
   EXPECT_TRUE(is_written_as(encode_legacy_task_range(record), kRecord));
@@ -176,7 +176,7 @@
               record);
 }
 
-TEST(TaskRecordBytes, CompactFormIsReadAndWrittenAsLiteral) {
+TEST(TaskRecordBytes, CompactFormatIsReadAndWrittenAsLiteral) {
   constexpr const char* kRecord = R"({"d":"81","t":9,"m":"n-","p":["1",2,1,2,"2",1,4]})";
   const TaskRangeRecord record{8, {11, 12}, 9, {{9, 2, "n-1"}, {10, 2, "n-1"}, {12, 1, "n-2"}}};
   EXPECT_TRUE(is_written_as(encode_compact_task_range(record), kRecord));
@@ -208,8 +208,8 @@
   EXPECT_EQ(compact->end, 16u);
 }
 
-// Version 0.2.0 has no "waits_on"; it writes headers, ends and whole task records alone.
-TEST(EarlierJobRecords, ThoseOfVersion020AreRead) {
+// Version 0.2.0 has no "waits_on"; it writes only headers, final states and legacy task ranges.
+TEST(EarlierJobRecords, RecordsOfVersion020AreRead) {
   const Header header = decode_header(received(
       R"({"born":12,"cancelled":false,"done":4,"running":3,"spec":{"accelerators":0.0,
           "bundle":"img-3","due_s":600.0,"expected_s":120.0,"hall":"b","jobclass":"batch",
@@ -230,8 +230,8 @@
   EXPECT_EQ(decode_final_state(received(R"({"cancelled":false,"done":40})")).done, 40u);
 }
 
-// From 0.3.0 on: "waits_on" and compact task records; 0.4.0 writes both the same.
-TEST(EarlierJobRecords, ThoseOfVersions030And040AreRead) {
+// Since version 0.3.0 there are "waits_on" and compact task ranges; 0.4.0 writes both the same way.
+TEST(EarlierJobRecords, RecordsOfVersions030And040AreRead) {
   const Header header = decode_header(received(
       R"({"born":0,"cancelled":true,"done":0,"running":0,"spec":{"accelerators":8.0,"bundle":"-",
           "expected_s":0.0,"jobclass":"-","loaner":false,"owner":"blue","pieces":4,"pull_gb":0.5,
--- a/src/jobs/spec_test.cpp
+++ b/src/jobs/spec_test.cpp
@@ -48,7 +48,7 @@
   }
 }
 
-TEST(Spec, WhatCanNeverRun) {
+TEST(Spec, UnsatisfiableJobsAreRecognized) {
   const cloud::Catalog catalog{{"g8", 96, 8, 768, 200, 1, 12, 4.5, 45, {"a", "b"}}};
   const std::vector<settings::Team> teams{{"vision", 0, 20, 0, 0}};
   Spec spec = decode_spec(submission());
@@ -66,7 +66,7 @@
   EXPECT_TRUE(unsatisfiable_reason(spec, catalog, teams));
 }
 
-TEST(Spec, NeedsAreJobIdsAndCountOnce) {
+TEST(Spec, DependenciesAreJobIdsWithoutDuplicates) {
   Json body = submission();
   for (const char* none : {"null", "[]"}) {
     body["waits_on"] = Json::parse(none);
@@ -84,8 +84,9 @@
   }
 }
 
-// Version 0.2.0 reads what is written while some nodes still run it, and left what is read now.
-TEST(Production, RecordsAreWrittenAndReadAsVersion020DoesIt) {
+// While some nodes still run version 0.2.0 they read the records that this version writes, and this
+// version reads the records that they have left.
+TEST(LegacyRecords, AreWrittenAndReadAsInVersion020) {
   Json body = submission();
   body.erase("rigs");
   const Json header = Json::parse(
@@ -93,25 +94,25 @@
       "img-07","due_s":900.0,"expected_s":240.0,"jobclass":"train","loaner":true,"owner":"vision",
       "pieces":16,"pull_gb":6.2,"ram_gb":64.0,"ref":"j-000412","scatter":false,"shape":"array",
       "snapshot_cost_s":4.0,"snapshot_every_s":30.0,"together":true,"urgency":"normal","vcpus":8.0}})");
-  Header made;
-  made.spec = decode_spec(body);
-  EXPECT_EQ(encode_header(made), header);
+  Header built;
+  built.spec = decode_spec(body);
+  EXPECT_EQ(encode_header(built), header);
   EXPECT_EQ(encode_header(decode_header(header)), header);
-  const Json chunk = Json::parse(R"({"d":"81","f":8,"p":[["n-1",9,2,10,2],["n-2",12,1]],"t":2})");
+  const Json range = Json::parse(R"({"d":"81","f":8,"p":[["n-1",9,2,10,2],["n-2",12,1]],"t":2})");
   TaskRangeRecord record;
   record.first = 8;
   record.done = {11, 12};
   record.last_attempt = 2;
   record.placements = {{9, 2, "n-1"}, {12, 1, "n-2"}, {10, 2, "n-1"}};
-  EXPECT_EQ(encode_legacy_task_range(record), chunk);
+  EXPECT_EQ(encode_legacy_task_range(record), range);
   EXPECT_EQ(
-      encode_legacy_task_range(decode_task_range({"j-1", TaskRecordFormat::legacy, 1, 0}, chunk)),
-      chunk);
+      encode_legacy_task_range(decode_task_range({"j-1", TaskRecordFormat::legacy, 1, 0}, range)),
+      range);
   EXPECT_EQ(encode_final_state({true, 3}), Json::parse(R"({"cancelled":true,"done":3})"));
   EXPECT_EQ(legacy_task_range_key("j-1", 2), "task/j-1/2");
 }
 
-TEST(Header, ACancelledOneIsShortWhateverWasAccepted) {
+TEST(Header, ACancelledHeaderIsShortWhateverWasAccepted) {
   Header header;
   header.spec = decode_spec(submission());
   header.spec.types = std::vector<std::string>(64, std::string(100, 'x'));
@@ -123,47 +124,47 @@
   EXPECT_EQ(back.spec.tasks, header.spec.tasks);
 }
 
-class ChunkFormat : public ::testing::TestWithParam<TaskRecordFormat> {};
-INSTANTIATE_TEST_SUITE_P(Formats, ChunkFormat,
+class TaskRangeFormat : public ::testing::TestWithParam<TaskRecordFormat> {};
+INSTANTIATE_TEST_SUITE_P(Formats, TaskRangeFormat,
                          ::testing::Values(TaskRecordFormat::legacy, TaskRecordFormat::compact));
 
-TEST_P(ChunkFormat, RoundTripAndNoLongerThanReckoned) {
+TEST_P(TaskRangeFormat, RoundTripAndNoLongerThanTheUpperBound) {
   const TaskRecordFormat format = GetParam();
-  const std::string name = "n-0";  // what all names share
+  const std::string name = "n-0";  // the common prefix of all names
   rc::check([&](const std::set<std::uint8_t>& done, const std::set<std::uint8_t>& placed,
                 std::uint8_t attempts) {
-    TaskRangeRecord chunk;
-    chunk.first = 70000;
-    for (const std::uint32_t task : done) chunk.done.push_back(chunk.first + task);
-    chunk.last_attempt = 9;
+    TaskRangeRecord range;
+    range.first = 70000;
+    for (const std::uint32_t task : done) range.done.push_back(range.first + task);
+    range.last_attempt = 9;
     std::size_t bytes = max_empty_range_bytes(format, 256, name.size());
     std::set<std::pair<std::string, std::uint64_t>> machines;
     for (const std::uint32_t task : placed) {
-      const Placement p{chunk.first + task, 8u + task % (attempts % 5 + 1u),
+      const Placement p{range.first + task, 8u + task % (attempts % 5 + 1u),
                         name + std::to_string(task % 7)};
-      chunk.placements.push_back(p);
-      bytes += max_placement_bytes(format, p.task, chunk.first, p.attempt);
+      range.placements.push_back(p);
+      bytes += max_placement_bytes(format, p.task, range.first, p.attempt);
       if (machines.insert({p.host, format == TaskRecordFormat::legacy ? 0 : p.attempt}).second) {
         bytes += max_machine_bytes(format, p.host, p.attempt, name.size());
       }
     }
-    const TaskRangeKey key{"j-1", format, format == TaskRecordFormat::legacy ? 0 : chunk.first,
+    const TaskRangeKey key{"j-1", format, format == TaskRecordFormat::legacy ? 0 : range.first,
                            70256};
-    const Json record = format == TaskRecordFormat::legacy ? encode_legacy_task_range(chunk)
-                                                           : encode_compact_task_range(chunk);
+    const Json record = format == TaskRecordFormat::legacy ? encode_legacy_task_range(range)
+                                                           : encode_compact_task_range(range);
     RC_ASSERT(wire::json_size(record) <= bytes);
     const TaskRangeRecord back = decode_task_range(key, wire::decode_map(wire::encode(record)));
-    RC_ASSERT(back.first == chunk.first);
-    RC_ASSERT(back.done == chunk.done);
+    RC_ASSERT(back.first == range.first);
+    RC_ASSERT(back.done == range.done);
     RC_ASSERT(back.last_attempt == 9u);
     std::set<std::tuple<std::uint32_t, std::uint64_t, std::string>> sent, found;
-    for (const Placement& p : chunk.placements) sent.insert({p.task, p.attempt, p.host});
+    for (const Placement& p : range.placements) sent.insert({p.task, p.attempt, p.host});
     for (const Placement& p : back.placements) found.insert({p.task, p.attempt, p.host});
     RC_ASSERT(sent == found);
   });
 }
 
-TEST(Chunk, KeysNameTheirJobAndForm) {
+TEST(TaskRange, KeysNameTheirJobAndFormat) {
   const auto whole = parse_task_range_key(legacy_task_range_key("j-7", 12));
   ASSERT_TRUE(whole);
   EXPECT_EQ(whole->job, "j-7");
--- a/src/jobs/status_query_queue_test.cpp
+++ b/src/jobs/status_query_queue_test.cpp
@@ -5,9 +5,9 @@
 namespace reachramp::jobs {
 namespace {
 
-bool any(const StatusQuery&) { return true; }
+bool accept_any(const StatusQuery&) { return true; }
 
-TEST(QuestionQueue, LongestUnansweredJobComesFirst) {
+TEST(StatusQueryQueue, LongestUnansweredJobComesFirst) {
   StatusQueryQueue queue;
   queue.join("j-new", 9);
   queue.join("j-old", 2);
@@ -18,15 +18,16 @@
   EXPECT_TRUE(queue.empty());
 }
 
-TEST(QuestionQueue, QuestionsAboutOneJobShareARequestUntilItIsTaken) {
+TEST(StatusQueryQueue, QueriesAboutOneJobAreOneUntilItIsTaken) {
   StatusQueryQueue queue;
   const auto first = queue.join("j-1", 1);
   EXPECT_EQ(queue.join("j-1", 1), first);
-  EXPECT_EQ(queue.take(9, any).size(), 1u);
-  EXPECT_NE(queue.join("j-1", 1), first) << "its request may have been carried out already";
+  EXPECT_EQ(queue.take(9, accept_any).size(), 1u);
+  EXPECT_NE(queue.join("j-1", 1), first)
+      << "the request for the first query may have been executed already";
 }
 
-TEST(QuestionQueue, WhatIsPutBackKeepsItsPlaceAndCanBeJoined) {
+TEST(StatusQueryQueue, ARequeuedQueryKeepsItsPlaceAndCanBeJoined) {
   StatusQueryQueue queue;
   const auto first = queue.join("j-1", 1);
   queue.join("j-2", 2);
@@ -35,7 +36,7 @@
   EXPECT_EQ(queue.join("j-1", 1), first);
 }
 
-TEST(QuestionQueue, NobodyWaitsForWhatAllHaveLeft) {
+TEST(StatusQueryQueue, AQueryWithoutWaitersLeavesTheQueue) {
   StatusQueryQueue queue;
   const auto one = queue.join("j-1", 1);
   queue.join("j-1", 1);
@@ -50,11 +51,10 @@
   EXPECT_TRUE(queue.empty());
 }
 
-TEST(QuestionQueue, TakesAtMostSoManyThatPassTheFilter) {
+TEST(StatusQueryQueue, TakesAtMostMaxCountThatPassTheFilter) {
   StatusQueryQueue queue;
   for (const char* id : {"j-1", "j-2", "j-3", "j-4"}) queue.join(id, 1);
-  const auto taken =
-      queue.take(2, [](const StatusQuery& question) { return question.id != "j-1"; });
+  const auto taken = queue.take(2, [](const StatusQuery& query) { return query.id != "j-1"; });
   ASSERT_EQ(taken.size(), 2u);
   EXPECT_EQ(taken[0]->id, "j-2");
   EXPECT_EQ(taken[1]->id, "j-3");
--- a/src/peers/members_bytes_test.cpp
+++ b/src/peers/members_bytes_test.cpp
@@ -1,4 +1,5 @@
-// The literal form of the record `member/`, which versions from 0.3.0 on write alike.
+// The literal form of the record member/<node>, which all versions since 0.3.0 write in the same
+// way.
 #include "bytes.h"
 #include "peers/members.h"
 
@@ -8,13 +9,13 @@
 TEST(MemberRecordBytes, RecordIsReadAndWrittenAsLiteral) {
   EXPECT_TRUE(test::is_written_as(encode_member(kMemberRecordFormat), R"({"format":2})"));
   EXPECT_EQ(member_key("node-1"), "member/node-1");
-  const auto stands = [](const char* record) {
+  const auto is_supported = [](const char* record) {
     return all_support_format({"node-1"}, {{"member/node-1", test::received(record), 3, 0}});
   };
-  EXPECT_TRUE(stands(R"({"format":2})"));
-  EXPECT_TRUE(stands(R"({"format":3})"));
-  EXPECT_FALSE(stands(R"({"format":1})"));
-  EXPECT_FALSE(stands(R"({"form":2})"));
+  EXPECT_TRUE(is_supported(R"({"format":2})"));
+  EXPECT_TRUE(is_supported(R"({"format":3})"));
+  EXPECT_FALSE(is_supported(R"({"format":1})"));
+  EXPECT_FALSE(is_supported(R"({"form":2})"));
 }
 
 }  // namespace
--- a/src/peers/members_test.cpp
+++ b/src/peers/members_test.cpp
@@ -5,7 +5,7 @@
 namespace reachramp::peers {
 namespace {
 
-TEST(Members, AllMustHaveSaidThatTheyReadTheNewForm) {
+TEST(Members, AllNodesMustHaveAnnouncedTheCurrentFormat) {
   const std::vector<std::string> nodes{"node-0", "node-1"};
   const auto entry = [](const std::string& node, const char* record) {
     return kv::Entry{member_key(node), kv::Json::parse(record), 1};
--- a/src/peers/readiness_bytes_test.cpp
+++ b/src/peers/readiness_bytes_test.cpp
@@ -1,4 +1,4 @@
-// The literal form of what nodes ask and answer each other.
+// The literal form of the requests and responses between nodes.
 #include "kv/steady_clock.h"
 #include "peers/heartbeat_forwarder.h"
 #include "peers/readiness.h"
@@ -10,19 +10,19 @@
 using test::is_written_as;
 using test::received;
 
-TEST(PeerBytes, ToldCancellationsAreWrittenAsLiteral) {
+TEST(PeerBytes, RecentCancellationsAreWrittenAsLiteral) {
   EXPECT_TRUE(is_written_as(encode_recent_cancellations({12.5, {"j-1", "j-2"}}),
                             R"({"complete_s":12.5,"cancelled":["j-1","j-2"]})"));
 }
 
-TEST(PeerBytes, ToldCancellationsAreReadFromLiteral) {
-  const auto word = decode_cancellation_digest(
+TEST(PeerBytes, RecentCancellationsAreReadFromLiteral) {
+  const auto digest = decode_cancellation_digest(
       {true, true, 200, received(R"({"served":true,"ago_s":0.5,"leader_stamp":40,
                     "told":{"complete_s":12.5,"cancelled":["j-1","j-2"]}})"),
        0});
-  ASSERT_TRUE(word);
-  EXPECT_EQ(word->covered_s, 12.5);
-  EXPECT_EQ(word->cancelled, (std::vector<std::string>{"j-1", "j-2"}));
+  ASSERT_TRUE(digest);
+  EXPECT_EQ(digest->covered_s, 12.5);
+  EXPECT_EQ(digest->cancelled, (std::vector<std::string>{"j-1", "j-2"}));
 }
 
 settings::Platform platform(const wire::Address& other) {
@@ -33,10 +33,10 @@
 }
 
 TEST(PeerBytes, ServedIsAnsweredWithLiteralFields) {
-  kv::Client state({"127.0.0.1", 1}, 10);
-  RecentCancellations told(1e9, kv::steady_now());
-  told.record("j-1", kv::steady_now());
-  NodeHealth health(state, platform({"127.0.0.1", 1}), told);
+  kv::Client store({"127.0.0.1", 1}, 10);
+  RecentCancellations recent_cancellations(1e9, kv::steady_now());
+  recent_cancellations.record("j-1", kv::steady_now());
+  NodeHealth health(store, platform({"127.0.0.1", 1}), recent_cancellations);
   wire::Json plain = health.handle_served("", 40).body;
   EXPECT_TRUE(plain.at("ago_s").is_number_float());
   plain["ago_s"] = 0.5;
@@ -50,19 +50,19 @@
                                        "told":{"complete_s":12.5,"cancelled":["j-1"]}})"));
 }
 
-TEST(PeerBytes, QuestionsToOtherNodesAreLiteral) {
+TEST(PeerBytes, RequestsToOtherNodesAreLiteral) {
   test::Recorder other([](const wire::Request&) -> wire::Response {
     return {200, received(R"({"served":true,"ago_s":0.5,"leader_stamp":41,
                          "told":{"complete_s":12.5,"cancelled":["j-7"]}})"),
             0};
   });
-  kv::Client state({"127.0.0.1", 1}, 10);
-  RecentCancellations told(1e9, kv::steady_now());
-  NodeHealth health(state, platform(other.at()), told);
-  const auto words = health.poll_cancellations({60.5});
-  ASSERT_EQ(words.size(), 1u);
-  EXPECT_EQ(words[0].cancelled, std::vector<std::string>{"j-7"});
-  EXPECT_TRUE(health.leader_must_step_down(100, 5, 40)) << "leader_stamp is later";
+  kv::Client store({"127.0.0.1", 1}, 10);
+  RecentCancellations recent_cancellations(1e9, kv::steady_now());
+  NodeHealth health(store, platform(other.at()), recent_cancellations);
+  const auto digests = health.poll_cancellations({60.5});
+  ASSERT_EQ(digests.size(), 1u);
+  EXPECT_EQ(digests[0].cancelled, std::vector<std::string>{"j-7"});
+  EXPECT_TRUE(health.leader_must_step_down(100, 5, 40)) << "leader_stamp is that of a later leader";
   EXPECT_FALSE(health.leader_must_step_down(100, 5, 41));
   const std::vector<test::Asked> asked = other.asked();
   ASSERT_EQ(asked.size(), 3u);
@@ -72,23 +72,23 @@
   EXPECT_TRUE(asked[1].body.is_null());
 }
 
-TEST(PeerBytes, ReportIsCarriedAsItIs) {
-  constexpr const char* kReport = R"({"host":"n-1","newer":1.0})";
+TEST(PeerBytes, HeartbeatIsForwardedUnchanged) {
+  constexpr const char* kHeartbeatBody = R"({"host":"n-1","newer":1.0})";
   test::Recorder leader([](const wire::Request&) -> wire::Response {
     return {200, received(R"({"baton":40,"orders":[]})"), 0};
   });
-  HeartbeatForwarder relay(platform(leader.at()));
+  HeartbeatForwarder forwarder(platform(leader.at()));
   const double until = kv::steady_now() + 5;
-  const auto straight = relay.forward("node-1", received(kReport), false, until);
-  ASSERT_TRUE(straight);
-  EXPECT_TRUE(is_written_as(straight->body, R"({"baton":40,"orders":[]})"));
-  ASSERT_TRUE(relay.forward("", received(kReport), true, until));
+  const auto response = forwarder.forward("node-1", received(kHeartbeatBody), false, until);
+  ASSERT_TRUE(response);
+  EXPECT_TRUE(is_written_as(response->body, R"({"baton":40,"orders":[]})"));
+  ASSERT_TRUE(forwarder.forward("", received(kHeartbeatBody), true, until));
   const std::vector<test::Asked> asked = leader.asked();
   ASSERT_EQ(asked.size(), 2u);
   EXPECT_EQ(asked[0].line, "POST /relay/report");
-  EXPECT_TRUE(is_written_as(asked[0].body, kReport));
+  EXPECT_TRUE(is_written_as(asked[0].body, kHeartbeatBody));
   EXPECT_EQ(asked[1].line, "POST /relay/onward");
-  EXPECT_TRUE(is_written_as(asked[1].body, kReport));
+  EXPECT_TRUE(is_written_as(asked[1].body, kHeartbeatBody));
   EXPECT_EQ(kStatusMisdirectedRequest, 421);
 }
 
--- a/src/workers/heartbeat_bytes_test.cpp
+++ b/src/workers/heartbeat_bytes_test.cpp
@@ -1,4 +1,4 @@
-// The literal form of workers' reports and of the commands that answer them.
+// The literal form of workers' heartbeats and of the commands that answer them.
 #include "bytes.h"
 #include "workers/heartbeat.h"
 
@@ -8,74 +8,75 @@
 using test::is_written_as;
 using test::received;
 
-TEST(WorkerReportBytes, EveryFieldIsReadFromLiteral) {
-  const Heartbeat report = decode_heartbeat(received(
+TEST(HeartbeatBytes, EveryFieldIsReadFromLiteral) {
+  const Heartbeat heartbeat = decode_heartbeat(received(
       R"({"host":"n-1","address":"10.0.0.1:9000","rig":"g8","hall":"a","loaner":true,"tenure":4,
           "tick":17,"baton":40,"reclaim_in_s":90.5,"pieces":[
           {"piece":"j-1/3","try":2,"phase":"exited","cause":"done"},
           {"piece":"j-2/0","try":1,"phase":"running","cause":null}]})"));
-  EXPECT_EQ(report.host, "n-1");
-  EXPECT_EQ(report.address, "10.0.0.1:9000");
-  EXPECT_EQ(report.type, "g8");
-  EXPECT_EQ(report.zone, "a");
-  EXPECT_TRUE(report.spot);
-  EXPECT_EQ(report.incarnation, 4u);
-  EXPECT_EQ(report.sequence_number, 17u);
-  EXPECT_EQ(report.fencing_token, 40u);
-  EXPECT_EQ(report.reclaim_in_s, 90.5);
-  ASSERT_EQ(report.tasks.size(), 2u);
-  EXPECT_EQ(report.tasks[0].job, "j-1");
-  EXPECT_EQ(report.tasks[0].task, 3u);
-  EXPECT_EQ(report.tasks[0].attempt, 2u);
-  EXPECT_EQ(report.tasks[0].state, TaskState::exited);
-  EXPECT_EQ(report.tasks[0].exit_reason, ExitReason::done);
-  EXPECT_EQ(report.tasks[1].job, "j-2");
-  EXPECT_EQ(report.tasks[1].task, 0u);
-  EXPECT_EQ(report.tasks[1].attempt, 1u);
-  EXPECT_EQ(report.tasks[1].state, TaskState::running);
-  EXPECT_EQ(report.tasks[1].exit_reason, ExitReason::none);
+  EXPECT_EQ(heartbeat.host, "n-1");
+  EXPECT_EQ(heartbeat.address, "10.0.0.1:9000");
+  EXPECT_EQ(heartbeat.type, "g8");
+  EXPECT_EQ(heartbeat.zone, "a");
+  EXPECT_TRUE(heartbeat.spot);
+  EXPECT_EQ(heartbeat.incarnation, 4u);
+  EXPECT_EQ(heartbeat.sequence_number, 17u);
+  EXPECT_EQ(heartbeat.fencing_token, 40u);
+  EXPECT_EQ(heartbeat.reclaim_in_s, 90.5);
+  ASSERT_EQ(heartbeat.tasks.size(), 2u);
+  EXPECT_EQ(heartbeat.tasks[0].job, "j-1");
+  EXPECT_EQ(heartbeat.tasks[0].task, 3u);
+  EXPECT_EQ(heartbeat.tasks[0].attempt, 2u);
+  EXPECT_EQ(heartbeat.tasks[0].state, TaskState::exited);
+  EXPECT_EQ(heartbeat.tasks[0].exit_reason, ExitReason::done);
+  EXPECT_EQ(heartbeat.tasks[1].job, "j-2");
+  EXPECT_EQ(heartbeat.tasks[1].task, 0u);
+  EXPECT_EQ(heartbeat.tasks[1].attempt, 1u);
+  EXPECT_EQ(heartbeat.tasks[1].state, TaskState::running);
+  EXPECT_EQ(heartbeat.tasks[1].exit_reason, ExitReason::none);
 }
 
-TEST(WorkerReportBytes, OptionalFieldsMayBeAbsentOrNull) {
+TEST(HeartbeatBytes, OptionalFieldsMayBeAbsentOrNull) {
   for (const char* body :
        {R"({"host":"n-1","rig":"g8","hall":"a","loaner":false,"tenure":4,"tick":17,"baton":0,
             "pieces":[]})",
         R"({"host":"n-1","address":null,"rig":"g8","hall":"a","loaner":false,"tenure":4,"tick":17,
             "baton":0,"reclaim_in_s":null,"pieces":[]})"}) {
-    const Heartbeat report = decode_heartbeat(received(body));
-    EXPECT_EQ(report.address, "");
-    EXPECT_FALSE(report.spot);
-    EXPECT_FALSE(report.reclaim_in_s);
-    EXPECT_TRUE(report.tasks.empty());
+    const Heartbeat heartbeat = decode_heartbeat(received(body));
+    EXPECT_EQ(heartbeat.address, "");
+    EXPECT_FALSE(heartbeat.spot);
+    EXPECT_FALSE(heartbeat.reclaim_in_s);
+    EXPECT_TRUE(heartbeat.tasks.empty());
   }
 }
 
-TaskStatus read_piece(const char* phase, const char* cause) {
+TaskStatus decode_one_status(const char* phase, const char* reason) {
   Json body = received(R"({"host":"n-1","rig":"g8","hall":"a","loaner":false,"tenure":4,"tick":1,
                            "baton":0,"pieces":[{"piece":"j-1/3","try":2}]})");
   body["pieces"][0]["phase"] = phase;
-  if (cause != nullptr) body["pieces"][0]["cause"] = cause;
+  if (reason != nullptr) body["pieces"][0]["cause"] = reason;
   return decode_heartbeat(body).tasks.at(0);
 }
 
-TEST(WorkerReportBytes, EveryPhaseAndCauseHasItsWord) {
-  const std::pair<const char*, TaskState> phases[] = {
+TEST(HeartbeatBytes, EveryStateAndExitReasonHasItsName) {
+  const std::pair<const char*, TaskState> states[] = {
       {"fetching", TaskState::fetching}, {"waiting", TaskState::waiting},
       {"running", TaskState::running},   {"flushing", TaskState::saving},
       {"exited", TaskState::exited},     {"of a newer version", TaskState::waiting}};
-  for (const auto& [word, state] : phases)
-    EXPECT_EQ(read_piece(word, nullptr).state, state) << word;
-  const std::pair<const char*, ExitReason> causes[] = {{"done", ExitReason::done},
-                                                       {"halted", ExitReason::stopped},
-                                                       {"mates_gone", ExitReason::gang_member_lost},
-                                                       {"incomplete", ExitReason::incomplete},
-                                                       {"error", ExitReason::error},
-                                                       {"full", ExitReason::insufficient_capacity},
-                                                       {"in_use", ExitReason::task_already_present},
-                                                       {"no_such", ExitReason::unknown_task},
-                                                       {"of a newer version", ExitReason::error}};
-  for (const auto& [word, cause] : causes) {
-    EXPECT_EQ(read_piece("exited", word).exit_reason, cause) << word;
+  for (const auto& [name, state] : states)
+    EXPECT_EQ(decode_one_status(name, nullptr).state, state) << name;
+  const std::pair<const char*, ExitReason> reasons[] = {
+      {"done", ExitReason::done},
+      {"halted", ExitReason::stopped},
+      {"mates_gone", ExitReason::gang_member_lost},
+      {"incomplete", ExitReason::incomplete},
+      {"error", ExitReason::error},
+      {"full", ExitReason::insufficient_capacity},
+      {"in_use", ExitReason::task_already_present},
+      {"no_such", ExitReason::unknown_task},
+      {"of a newer version", ExitReason::error}};
+  for (const auto& [name, reason] : reasons) {
+    EXPECT_EQ(decode_one_status("exited", name).exit_reason, reason) << name;
   }
 }
 
