--- a/src/controller/cancellation_poller.h
+++ b/src/controller/cancellation_poller.h
@@ -1,4 +1,4 @@
-// Asks the members what they have told users as cancelled.
+// Asks all members which cancellations they have confirmed to users.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,27 @@
 
 namespace reachramp::controller {
 
-// One round of the leader with that token. `windows` (seconds): one for each member, of how far
-// back it is asked.
+// One poll of all members for the leader with `fencing_token`. `windows_s` holds for each member
+// how many seconds back its answer has to reach.
 struct CancellationPoll {
   std::uint64_t fencing_token = 0;
   std::vector<double> windows_s;
 };
 
-// Owns the rounds that wait. A thread of its own, since a member that is gone holds a round up.
+// Owns the queue of polls. It runs on a thread of its own because a member that does not respond
+// delays a poll.
 class CancellationPoller {
  public:
+  // Keeps references to all arguments, which must outlive it.
   CancellationPoller(leadership::LeaderElection& election, peers::NodeHealth& health,
                      EventQueue& events)
       : election_(election), health_(health), events_(events) {}
 
-  // Queues a round. For any thread. Dropped unsent once its leader's time is over.
+  // Queues a poll; any thread may call it. The poll is dropped unsent if its leader's term has
+  // ended by then.
   void push(CancellationPoll poll) { polls_.push(std::move(poll)); }
-  // Asks round after round and reports the answers as events; for a thread of its own.
+  // Executes the polls one after another and reports the answers as events; runs on a thread of its
+  // own.
   [[noreturn]] void run();
 
  private:
--- a/src/controller/catalog_cache.h
+++ b/src/controller/catalog_cache.h
@@ -1,4 +1,4 @@
-// The machine types as this node last learnt them, for its user routes.
+// The machine types that this node last learned of, for the user routes.
 #pragma once
 
 #include <memory>
@@ -10,13 +10,14 @@
 
 namespace reachramp::controller {
 
-// Owns the last known catalog. For any thread.
+// Owns the last known catalog. Any thread may call it.
 class CatalogCache {
  public:
+  // Keeps a reference to `store`, which must outlive it.
   explicit CatalogCache(kv::Client& store) : store_(store) {}
 
-  // The catalog; while none is known, what the key-value store has, read at most every half second.
-  // Null: none is known. Blocks while it reads.
+  // Returns the catalog. If none is known yet, reads it from the key-value store, at most every
+  // half second; blocks during the read. Returns null if there is none there either.
   std::shared_ptr<const cloud::Catalog> get();
   // Replaces the catalog.
   void set(const cloud::Catalog& catalog);
@@ -25,7 +26,8 @@
   kv::Client& store_;
   std::mutex mutex_;
   std::shared_ptr<const cloud::Catalog> catalog_;
-  std::optional<double> store_read_at_;  // when the store was last asked (steady seconds)
+  // When the store was last read (steady seconds).
+  std::optional<double> store_read_at_;
 };
 
 }  // namespace reachramp::controller
--- a/src/controller/cloud_worker.h
+++ b/src/controller/cloud_worker.h
@@ -1,4 +1,4 @@
-// The thread that calls the cloud: one call at a time, under the cloud's rate limit.
+// The thread that calls the cloud: one call at a time, within the cloud's rate limit.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,18 @@
 
 namespace reachramp::controller {
 
-// Owns the leader's requests that wait for their turn, the client and the rate limit. While this
-// node leads it also reads the machine types and the list of machines at fixed intervals.
+// Owns the queue of the leader's requests, the cloud client and its rate limit. While this node is
+// the leader, it also reads the machine types and the list of machines periodically.
 class CloudWorker {
  public:
+  // Keeps references to `election`, `catalog` and `events`, which must outlive it.
   CloudWorker(const settings::Platform& platform, leadership::LeaderElection& election,
               CatalogCache& catalog, EventQueue& events);
 
-  // Queues a request. For any thread. Dropped unsent once another leader's token is in force.
+  // Queues a request; any thread may call it. The request is dropped unsent if another fencing
+  // token is in force by then.
   void push(QueuedCloudRequest request) { requests_.push(std::move(request)); }
-  // Sends what is queued and reports the results as events; for a thread of its own.
+  // Sends the queued requests and reports the results as events; runs on a thread of its own.
   [[noreturn]] void run();
 
  private:
@@ -44,7 +46,8 @@
   cloud::Client cloud_;
   kv::TokenBucket rate_limit_;
   Queue<QueuedCloudRequest> requests_;
-  // The rest is for run() alone. Times in steady seconds; none: not yet by this leader.
+  // The members below are used by the thread of run() only. Times are in steady seconds; none: not
+  // yet read in this term.
   std::deque<QueuedCloudRequest> waiting_;
   std::optional<double> catalog_read_at_;
   std::optional<double> machines_listed_at_;
--- a/src/controller/event_loop.h
+++ b/src/controller/event_loop.h
@@ -1,4 +1,4 @@
-// The thread that makes the leader's decisions: events in, effects out.
+// The event loop: passes events to the leader and carries out the effects that the leader returns.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 
 namespace reachramp::controller {
 
-// The threads that carry out what the leader has decided.
+// The components that execute the leader's effects, each on threads of its own.
 struct EffectExecutors {
   JobWatcher& job_watcher;
   TransactionSender& transaction_sender;
@@ -25,23 +25,23 @@
   MachineProber& machine_prober;
 };
 
-// Owns the leader, while this node has one. One thread runs it, and nothing else touches the
-// leader, so that has no lock.
+// Owns the leader while this node is the leader. Only the thread that calls `run` uses the leader,
+// so the leader needs no lock.
 class EventLoop {
  public:
+  // Keeps references to all arguments, and to the executors, which must outlive it.
   EventLoop(leadership::LeaderElection& election, peers::Members& members, EventQueue& events,
             const EffectExecutors& executors)
       : election_(election), members_(members), events_(events), executors_(executors) {}
 
-  // Takes events, lets the leader act on them and hands what it wants done to the executors. An
-  // event that throws is logged and dropped. For a thread of its own; it never blocks but for
-  // events.
+  // Processes events and executes the leader's effects, on the calling thread. Logs and drops an
+  // event whose processing throws. Blocks only while it waits for events.
   [[noreturn]] void run();
 
  private:
   void dispatch(Event& event, double now);
   void dispatch_heartbeat(HeartbeatReceived& received, bool is_current_leader, double now);
-  // Gives up the leader whose time is over, or lets it act.
+  // Discards the leader if its term has ended; otherwise advances it and executes its effects.
   void advance_leader(double now);
   void execute_effects(Effects effects);
   void request_reads(Effects& effects, std::uint64_t fencing_token);
--- a/src/controller/events.h
+++ b/src/controller/events.h
@@ -1,5 +1,5 @@
-// What the event loop takes in: requests of workers that wait for an answer, and the results of
-// calls that the threads around it have made.
+// The events that the event loop processes: heartbeats whose senders wait for a response, and the
+// results of calls that other threads have made on the leader's behalf.
 #pragma once
 
 #include <cstdint>
@@ -20,70 +20,75 @@
 
 namespace reachramp::controller {
 
-// This node has become the leader and has read the stored state. Replaces an earlier leader.
+// This node has become the leader and has read the stored state. Replaces the leader of an earlier
+// term of this node, if there is one.
 struct LeadershipAcquired {
   std::unique_ptr<Leader> leader;
 };
 
-// A worker's heartbeat. `reply` is kept until the answer is set; the thread that serves the request
-// waits for it.
+// A worker's heartbeat. The thread that serves the request waits on `reply` until the event loop or
+// the leader sets it.
 struct HeartbeatReceived {
   workers::Heartbeat heartbeat;
   std::shared_ptr<std::promise<wire::Response>> reply;
 };
 
-// The status that a worker gave when it was called at its own address.
+// The status that a worker returned when this node called it at its own address, outside its
+// heartbeats.
 struct StatusReceived {
   workers::Heartbeat status;
 };
 
-// Changes of job records, in order. `asked_at` (steady seconds): they were asked for then, so
-// everything that was stored before is known.
+// Changes of job records, in the order of their revisions. The watch was requested at
+// `requested_at` (steady seconds), so these and earlier changes include everything that was stored
+// before then.
 struct JobsChanged {
   std::vector<kv::KeyChange> changes;
   double requested_at = 0;
 };
 
-// All job records, listed anew under the same leader. `asked_at` as above.
+// All job records, listed again under the same leader. `requested_at` (steady seconds): when the
+// first page was requested; the list includes everything that was stored before then.
 struct JobsListed {
   std::vector<kv::Entry> entries;
   double requested_at = 0;
 };
 
-// What each member has told users as cancelled.
+// For each member, the jobs whose cancellation it has confirmed to users.
 struct CancellationsPolled {
   std::vector<leadership::CancellationDigest> digests;
 };
 
-// The record of a job's end, or that there is none.
+// The result of reading the record `end/<job>`, which exists once the job has ended.
 struct JobEndRead {
   std::string job;
   kv::ReadResult found;
 };
 
-// A key that tells whether a transaction of unknown outcome was applied, and the leader's key, read
-// after it.
+// The results of two reads that together tell whether a transaction of unknown outcome was applied:
+// first a key that the transaction writes, then the leader's key.
 struct TransactionVerified {
   kv::ReadResult found;
   kv::ReadResult leader;
 };
 
-// The claims of all processes: what versions they support.
+// The records `claim/<node>` of all nodes: which schema levels each process supports.
 struct ClaimsRead {
   std::vector<kv::Entry> entries;
 };
 
-// All records that are obsolete at some schema version. The leader tells which are at its own.
+// All records that are obsolete at some schema level. The leader selects those that are obsolete at
+// the current one.
 struct ObsoleteRecordsRead {
   std::vector<kv::Entry> entries;
 };
 
-// The rules for what is to be drained; none: there is no such record.
+// The record `drains`, the rules for which machines to drain. None: the record does not exist.
 struct DrainsRead {
   std::optional<kv::Entry> entry;
 };
 
-// The outcome of a transaction that the leader sent.
+// The outcome of a transaction that the leader has sent.
 struct TransactionCompleted {
   kv::CommitResult result;
 };
@@ -93,25 +98,26 @@
   cloud::Catalog catalog;
 };
 
-// All pages of the cloud's list of machines. `asked_at` (steady seconds): before the first page.
+// The cloud's complete list of machines. `requested_at` (steady seconds): when the first page was
+// requested.
 struct MachinesListed {
   std::vector<cloud::ListedMachine> machines;
   double requested_at = 0;
 };
 
-// The cloud's final answer to a request for machines.
+// The cloud's final response to a request for machines.
 struct ScaleOutCompleted {
   cloud::ScaleOutRequest request;
   cloud::ScaleOutResult result;
 };
 
-// The cloud has taken these machines back.
+// The cloud has accepted the return of these machines.
 struct ScaleInCompleted {
   std::vector<std::string> machines;
 };
 
-// `fencing_token`: of the leader that asked for what the payload brings. An event with the token of
-// an earlier leader is dropped.
+// An event for the event loop. `fencing_token` is that of the leader that requested what the
+// payload holds; the event loop drops results that an earlier leader requested.
 struct Event {
   std::uint64_t fencing_token = 0;
   std::variant<LeadershipAcquired, HeartbeatReceived, StatusReceived, JobsChanged, JobsListed,
@@ -121,7 +127,7 @@
       payload;
 };
 
-// Filled by any thread, emptied by the event loop.
+// The queue of events: any thread adds to it, only the event loop takes from it.
 using EventQueue = Queue<Event>;
 
 }  // namespace reachramp::controller
--- a/src/controller/heartbeat_router.h
+++ b/src/controller/heartbeat_router.h
@@ -1,4 +1,4 @@
-// Decides which node answers a worker's heartbeat.
+// Decides which node responds to a worker's heartbeat.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +12,17 @@
 
 namespace reachramp::controller {
 
-// Where a heartbeat comes from, which decides how far it may still be forwarded: straight from the
-// worker, anywhere and by way of another node; from a node that could not reach the leader itself,
-// to the leader only; from a node that takes this one for the leader, nowhere.
+// How a heartbeat has reached this node, which limits how it may be forwarded.
+// - worker: directly from the worker. It may be forwarded to the leader, also through another node.
+// - intermediate_hop: from a node that could not reach the leader. It may be forwarded to the
+//   leader only.
+// - final_hop: from a node that considers this one the leader. It may not be forwarded again.
 enum class HeartbeatOrigin { worker, intermediate_hop, final_hop };
 
-// Owns nothing but the rule. For any thread that serves a request.
+// Routes heartbeats to this node's event loop or to the leader's node. Any thread may call it.
 class HeartbeatRouter {
  public:
+  // Keeps references to `election`, `forwarder` and `events`, which must outlive it.
   HeartbeatRouter(const settings::Platform& platform, leadership::LeaderElection& election,
                   peers::HeartbeatForwarder& forwarder, EventQueue& events)
       : node_name_(platform.node_name),
@@ -27,17 +30,18 @@
         forwarder_(forwarder),
         events_(events) {}
 
-  // The leader's reply, from here or from the node that leads; 503 if none can be had in time. Only
-  // a worker's own heartbeat waits for a new leader. Blocks for up to 3.4 s, and longer by what a
-  // call takes that has begun. Throws wire::BadMessage where the body is not a heartbeat.
+  // Returns the leader's reply, from this node or from the leader's node, or 503 if there is none
+  // in time. Only a heartbeat that comes directly from a worker waits for a new leader to be
+  // elected. Blocks for up to 3.4 s, plus the time that a call already begun takes. Throws
+  // wire::BadMessage if the body is not a heartbeat.
   wire::Response route(const std::string& body, HeartbeatOrigin origin);
 
  private:
-  // From the node that leads; nothing: it cannot be reached, or is not known.
+  // The reply from the leader's node; none if the leader is unknown or cannot be reached.
   std::optional<wire::Response> forward(const leadership::LeadershipStatus& status,
                                         const wire::Json& message, bool allow_intermediate_node,
                                         double deadline);
-  // From this node's event loop; 503 if it takes longer than 3 s.
+  // The reply from this node's event loop; 503 if it takes longer than 3 s.
   wire::Response answer_locally(std::uint64_t fencing_token, const workers::Heartbeat& heartbeat);
 
   const std::string node_name_;
--- a/src/controller/job_watcher.cpp
+++ b/src/controller/job_watcher.cpp
@@ -22,12 +22,12 @@
 }  // namespace
 
 JobWatcher::JobWatcher(const settings::Platform& platform, const settings::Policy& policy,
-                       const schema::SupportedLevels& versions,
+                       const schema::SupportedLevels& supported_levels,
                        leadership::LeaderElection& election, kv::Client& store,
                        peers::Members& members, EventQueue& events)
     : platform_(platform),
       policy_(policy),
-      supported_levels_(versions),
+      supported_levels_(supported_levels),
       election_(election),
       store_(store),
       loader_(store, members),
--- a/src/controller/job_watcher.h
+++ b/src/controller/job_watcher.h
@@ -1,4 +1,5 @@
-// Follows the job records while this node leads, and brings a new leader into being.
+// Watches the job records while this node is the leader, and creates the Leader at the start of
+// each term.
 #pragma once
 
 #include <atomic>
@@ -13,33 +14,38 @@
 
 namespace reachramp::controller {
 
-// Owns the place in the store's history up to which the leader knows of jobs. One thread runs it.
+// Keeps the store revision up to which the leader knows all changes of jobs. A single thread runs
+// it.
 class JobWatcher {
  public:
-  // `versions`: what this process supports, for the leaders that it makes.
+  // `supported_levels` is what this process supports; it is passed on to each Leader that this
+  // class creates. Keeps references to the other arguments, which must outlive it.
   JobWatcher(const settings::Platform& platform, const settings::Policy& policy,
-             const schema::SupportedLevels& versions, leadership::LeaderElection& election,
+             const schema::SupportedLevels& supported_levels, leadership::LeaderElection& election,
              kv::Client& store, peers::Members& members, EventQueue& events);
 
-  // In each term of this node: reads the stored state, makes the leader of it, then reports every
-  // change of jobs as an event. Where something cannot be read it tries again until the term is
-  // over. For a thread of its own.
+  // For each term of this node: reads the stored state, creates the Leader from it, then reports
+  // every change of jobs as an event. If a read fails, it tries again until the term ends. Runs on
+  // a thread of its own.
   [[noreturn]] void run();
-  // All jobs are to be listed again, since a change was lost. For any thread.
+  // Requests that all jobs are listed again, because the leader could not apply a change. Any
+  // thread may call it.
   void request_relist() { relist_requested_ = true; }
 
  private:
-  // From when this node has become the leader until it no longer is.
+  // The state of one term: from when this node has become the leader until it no longer is.
   struct Term {
     std::uint64_t fencing_token = 0;
-    std::uint64_t watch_revision = 0;  // the revision up to which changes are known; 0: list all
-    bool leader_created = false;       // the leader has been made
+    // Changes are known up to this store revision; 0: all jobs must be listed first.
+    std::uint64_t watch_revision = 0;
+    // The Leader has been created and passed to the event loop.
+    bool leader_created = false;
   };
 
   void list_jobs(Term& term);
   void create_leader(Term& term, const LeaderSnapshot& snapshot);
   void follow_changes(Term& term);
-  // Lists all jobs again after so many seconds, more or less.
+  // Makes the next step list all jobs again, after a pause of about `pause_s`.
   static void relist_after_pause(Term& term, double pause_s);
 
   const settings::Platform& platform_;
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -40,7 +40,7 @@
 
 Leader::Leader(const settings::Platform& platform, const settings::Policy& policy,
                std::uint64_t fencing_token, const LeaderSnapshot& snapshot, double now,
-               const schema::SupportedLevels& supported_versions)
+               const schema::SupportedLevels& supported_levels)
     : platform_(platform),
       policy_(policy),
       cluster_(
@@ -48,7 +48,7 @@
           snapshot.all_upgraded ? jobs::TaskRecordFormat::compact : jobs::TaskRecordFormat::legacy),
       autoscaler_(policy),
       write_budget_(platform.store_limits, platform.upcoming_store_limits),
-      supported_versions_(supported_versions),
+      supported_levels_(supported_levels),
       next_usage_log_at_(now + kFirstUsageLogDelay_s),
       usage_stored_at_(now),
       revision_clock_(snapshot.revision_clock),
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -1,9 +1,9 @@
-// The leader's decisions: what each event changes in the state, and what is to be done about it.
+// The leader's decisions: how each event changes its state, and what is to be done as a result.
 //
-// A Leader exists for one term: from the moment at which a node has won the election and read what
-// is stored, until it is deposed or steps down. It owns all state of the term. It is used by one
-// thread, reads no clock and does no I/O: the event loop passes in events and the present time, in
-// seconds of the steady clock, and carries out the effects that `advance` returns.
+// A Leader exists for one term: from when a node has won the election and read the stored state
+// until it is deposed or steps down. It owns all state of the term. A single thread uses it. It
+// reads no clock and does no I/O: the event loop passes in events and the current time, in seconds
+// of the steady clock, and carries out the effects that `advance` returns.
 #pragma once
 
 #include <functional>
@@ -30,33 +30,41 @@
 
 namespace reachramp::controller {
 
-// What becomes of a worker's heartbeat.
+// How the leader handles a worker's heartbeat.
 enum class HeartbeatResult {
-  accepted,  // its response goes to the responder, now or later
-  deposed,   // the worker has seen a higher fencing token: another node leads
+  accepted,  // the responder is called, now or later
+  deposed,   // the worker has seen a higher fencing token, so another node is the leader
 };
 
-// What is to be done outside the state, for the event loop to carry out. `advance` returns it and
-// begins with an empty one.
+// The actions that the event loop carries out for the leader. `advance` returns them and starts
+// again with none.
 struct Effects {
   std::optional<TransactionBatch> transaction;
   std::vector<CloudRequest> cloud_requests;
-  std::optional<std::string> verify_key;   // a key that tells whether a transaction was applied
-  std::vector<std::string> read_job_ends;  // jobs whose ends are to be read
-  // Addresses of machines to be told this leader's fencing token.
+  // A key whose revision tells whether a transaction was applied.
+  std::optional<std::string> verify_key;
+  // Jobs whose records `end/<job>` are to be read.
+  std::vector<std::string> read_job_ends;
+  // Addresses of machines that are to learn this leader's fencing token.
   std::vector<std::string> probes;
-  std::vector<std::pair<std::string, kv::Json>> urgent_stops;  // addresses, bodies of /orders
-  std::vector<double> cancellation_poll_windows_s;  // members for the cancellations they told: one
-                                                    // window each; or none
+  // Addresses of machines, each with the body to post to /orders.
+  std::vector<std::pair<std::string, kv::Json>> urgent_stops;
+  // If not empty, all members are polled for the cancellations that they have confirmed: one window
+  // for each.
+  std::vector<double> cancellation_poll_windows_s;
   bool step_down = false;
-  bool relist_jobs = false;  // all of them: a change that the watch brought was not taken in
-  bool read_drains = false;  // the record of what is to be drained
-  bool read_claims = false;  // what the processes on all nodes speak
-  bool read_obsolete_records = false;  // records that are not of the level's form, by strong reads
+  // List all jobs again, because a change that the watch reported could not be applied.
+  bool relist_jobs = false;
+  // Read the record of the drain rules.
+  bool read_drains = false;
+  // Read which schema levels the processes on all nodes support.
+  bool read_claims = false;
+  // Read the records that are obsolete at the schema level, by strong reads.
+  bool read_obsolete_records = false;
 };
 
-// What is stored, as it was read at the start of a term by strong reads. An absent record is
-// nothing.
+// The stored state as read at the start of a term, by strong reads. None: the record does not
+// exist.
 struct LeaderSnapshot {
   std::vector<kv::Entry> jobs;
   std::vector<kv::Entry> tasks;
@@ -67,73 +75,101 @@
   std::optional<kv::Entry> drains;
   std::optional<kv::Entry> drain_budgets;
   std::optional<kv::Entry> zones;
-  std::optional<double>
-      jobs_requested_at;             // when the jobs were asked for (steady seconds); else now
-  bool all_upgraded = false;         // no node runs a version that knows whole records only
-  kv::RevisionClock revision_clock;  // what this node knows of when revisions were given
-  std::optional<kv::Entry> stored_revision_clock;  // what earlier leaders wrote of it
+  // When the list of jobs was requested (steady seconds); none: at the start of the term.
+  std::optional<double> jobs_requested_at;
+  // No node runs a version that can read only records which list their tasks one by one.
+  bool all_upgraded = false;
+  // When revisions were assigned, as far as this node has observed it.
+  kv::RevisionClock revision_clock;
+  // The same, as earlier leaders have stored it.
+  std::optional<kv::Entry> stored_revision_clock;
 };
 
+// The state and the decisions of one term. The functions named on_... take in events; `advance`
+// then acts on the new state.
 class Leader {
  public:
-  // `fencing_token`: the revision of the key `leader` as this node wrote it. `now`: steady seconds.
-  // Throws std::runtime_error where the stored schema is not one that `supported_versions` has.
+  // `fencing_token` is the revision of the key `leader` as this node wrote it, `now` is in steady
+  // seconds. Throws std::runtime_error if `supported_levels` does not cover the stored schema.
   Leader(const settings::Platform& platform, const settings::Policy& policy,
          std::uint64_t fencing_token, const LeaderSnapshot& snapshot, double now,
-         const schema::SupportedLevels& supported_versions = {});
+         const schema::SupportedLevels& supported_levels = {});
 
-  // A worker's heartbeat; `answer` is called with the response, now or as soon as intents that it
-  // should carry are durable, or with null: this leader may not answer now
+  // Sends the response to one heartbeat. Null: this leader must not respond to workers now
   // (leadership/read_freshness.h).
   using HeartbeatResponder = std::function<void(const wire::Json&)>;
+  // Processes a worker's heartbeat. `responder` is called now, or when the starts that the response
+  // should carry are stored. It is not called if the result is `deposed`, or if the term ends
+  // first.
   HeartbeatResult on_heartbeat(const workers::Heartbeat& heartbeat, HeartbeatResponder responder,
                                double now);
+  // Processes the status that a worker returned to a call by this node, outside its heartbeats.
   void on_direct_status(const workers::Heartbeat& heartbeat, double now);
+  // Applies changes of job records that the watch reported, in order.
   void on_job_changes(const std::vector<kv::KeyChange>& changes, double now);
-  // All jobs as read anew after the watch lost its place.
+  // Applies the list of all jobs, read again after the watch had lost its position or a change
+  // could not be applied.
   void on_job_list(const std::vector<kv::Entry>& entries, double now);
+  // Processes the result of reading the end of a job that others depend on.
   void on_job_end_read(const std::string& id, const kv::ReadResult& found, double now);
+  // Notes that no node runs a version any more that can read only records which list their tasks
+  // one by one.
   void on_all_upgraded() { all_upgraded_ = true; }
-  // All changes of jobs until then were passed in; they count as known if all were taken in.
+  // All changes of jobs that were stored before `requested_at` have been passed in. They count as
+  // known if all of them could be applied.
   void on_jobs_read_until(double requested_at);
-  // What members have told users as cancelled, each for itself.
+  // Applies the cancellations that members have confirmed to users; each digest covers one member.
   void on_cancellation_digests(const std::vector<leadership::CancellationDigest>& digests,
                                double now);
+  // Processes the claims of all nodes: starts a migration of the schema if one is possible.
   void on_claims(const std::vector<kv::Entry>& entries);
-  // All stale records that strong reads showed, which began after this leader had asked for them.
+  // Processes all obsolete records that strong reads have found; the reads began after this leader
+  // had requested them.
   void on_obsolete_records(const std::vector<kv::Entry>& entries, double now);
-  // The record of what is to be drained; nothing: there is none.
+  // Takes over the drain rules from their record; none: there is no such record, and all drains
+  // end.
   void on_drains(const std::optional<kv::Entry>& entry, double now);
+  // The state of all drains.
   const drains::Drains& drains() const { return drains_; }
+  // The schema level of the stored state, as this leader knows it.
   const schema::StoredSchema& stored_schema() const { return schema_; }
+  // Processes the outcome of the transaction that was last sent.
   void on_transaction_completed(const kv::CommitResult& committed, double now);
-  // The key that was to be read back, and the leader's key, by strong reads in this order: while
-  // the latter has our fencing token, nobody else can have written the former.
+  // Processes the strong reads that verify a transaction: first the key that the transaction
+  // writes, then the leader's key. While the latter has our fencing token, no other leader can have
+  // written the former.
   void on_transaction_verified(const kv::ReadResult& found, const kv::ReadResult& leader,
                                double now);
+  // Takes over the machine types, and stores them if anything but spot prices has changed.
   void on_catalog(const cloud::Catalog& catalog, double now);
+  // Compares the cloud's list of machines, requested at `requested_at`, with the known machines.
   void on_host_list(const std::vector<cloud::ListedMachine>& listed, double requested_at,
                     double now);
+  // Processes the cloud's final response to a request for machines.
   void on_scale_out_completed(const cloud::ScaleOutRequest& request,
                               const cloud::ScaleOutResult& result, double now);
+  // The cloud has accepted the return of these machines.
   void on_scale_in_completed(const std::vector<std::string>& machines, double now);
 
-  // Lets time pass up to `now`: places tasks, scales out and in, writes, responds. To be called
-  // after each batch of events, and ten times a second without any.
+  // Advances the state to `now`: places tasks, rents and returns machines, writes records, responds
+  // to workers. To be called after each batch of events, and ten times per second without events.
   Effects advance(double now);
-  // Another node leads: nothing may be done any longer.
+  // Whether another node is the leader. This one must then not act any more.
   bool deposed() const { return deposed_; }
+  // The jobs, machines and task attempts that this leader knows.
   const Cluster& cluster() const { return cluster_; }
 
  private:
+  // A heartbeat whose response waits until the starts that it should carry are stored.
   struct DeferredResponse {
     std::string host;
     HeartbeatResponder responder;
     double deferred_at = 0;
   };
 
-  // The start of the term (leader_restore.cpp): from stored records to state.
-  void restore_schema(const LeaderSnapshot& snapshot);  // throws if it cannot be served
+  // The start of the term: these functions build the state from stored records
+  // (leader_restore.cpp).
+  void restore_schema(const LeaderSnapshot& snapshot);  // throws if the schema is not supported
   void restore_usage(const LeaderSnapshot& snapshot);
   void restore_drain_budgets(const LeaderSnapshot& snapshot, double now);
   void restore_revision_clock(const LeaderSnapshot& snapshot, double now);
@@ -143,7 +179,7 @@
   void restore_zones(const LeaderSnapshot& snapshot, double now);
   void detect_older_leader(const LeaderSnapshot& snapshot);
 
-  // What `advance` does, in this order.
+  // Steps of `advance`, in this order.
   void update_dependencies(double now);
   void place_tasks(double now);
   void manage_hosts(double now);
@@ -161,16 +197,17 @@
   void log_failover_progress(double now);
   void detect_unreachable_hosts(double now);
   void scale(double now);
-  // Unless its return has been requested already.
+  // Requests the machine's return unless that has already been done.
   void scale_in(Index host, const char* why);
   void request_scale_in(placement::Host& host, const std::string& why);
-  // Machines on which a task of a cancelled job may outlive cancel_s.
+  // Returns machines on which a task of a cancelled job might run for longer than cancel_s.
   void scale_in_for_cancellations(double now);
-  // A leader that stood still has heard nobody meanwhile: it listens anew.
+  // Detects that this process was suspended. It has then missed heartbeats, so silence counts from
+  // now on only.
   void detect_own_pause(double now);
-  // False, and nothing is answered, while this leader may not answer workers.
+  // Whether this leader may respond to workers now. If not, calls the responder with null.
   bool check_may_respond(const HeartbeatResponder& responder, double now);
-  // With the commands for the host, if it is known.
+  // Responds with the commands for the host, or with none if the host is not known.
   void respond(const HeartbeatResponder& responder, std::optional<Index> host, double now);
   void send_deferred_responses(double now);
   bool awaits_persistence(const placement::Host& host) const;
@@ -192,10 +229,11 @@
   void write_schema(const schema::StoredSchema& to,
                     std::vector<std::pair<std::string, std::uint64_t>> preconditions);
   void migrate_obsolete_record(const std::string& key, std::uint64_t revision, double now);
-  // Whether all that the record says is in the state now.
+  // Returns whether the state now reflects the record. False: it could not be applied.
   bool apply_job_record(const std::string& key, const kv::Json& value, std::uint64_t revision,
                         placement::CancellationTime cancelled_at, double now);
-  // Of a change that the watch brings now, and of a record that was there when this leader began.
+  // When a job was cancelled, as bounds: for a change that is reported now, and for a record that
+  // was there when this term began.
   placement::CancellationTime cancellation_time_of_change(double now) const;
   placement::CancellationTime cancellation_time_of_record(std::uint64_t revision, double now) const;
   bool has_current_jobs(double now) const;
@@ -210,21 +248,26 @@
   zones::ZoneMonitor zones_;
   double zones_stored_at_ = -1e9;
   drains::Drains drains_;
-  std::string last_drain_error_;       // why the record is not in force, as last logged
-  std::uint64_t drains_revision_ = 0;  // of the record in force
-  bool rolling_upgrade_ = true;        // until claims show that it is not
+  // Why the current record could not be applied, as last logged.
+  std::string last_drain_error_;
+  // Revision of the record that is in force.
+  std::uint64_t drains_revision_ = 0;
+  // A rolling upgrade may be in progress; true until the claims show otherwise.
+  bool rolling_upgrade_ = true;
   double drains_read_at_ = -1e9;
   double drains_advanced_at_ = -1e9;
   double drains_stored_at_ = -1e9;
-  schema::SupportedLevels supported_versions_;
+  schema::SupportedLevels supported_levels_;
   schema::StoredSchema schema_;
-  std::string last_migration_refusal_;           // as last logged
-  std::set<std::string> migrated_task_records_;  // records of tasks that the step has removed
+  // Why a requested migration is not carried out, as last logged.
+  std::string last_migration_refusal_;
+  // Task range records whose removal the migration has queued.
+  std::set<std::string> migrated_task_ranges_;
   double claims_read_at_ = -1e9;
   double obsolete_records_read_at_ = -1e9;
   shares::UsageAccounts usage_;
-  std::uint64_t usage_restored_to_revision_ =
-      0;  // jobs born up to here are in the accounts that were read
+  // Jobs accepted up to this revision are contained in the restored accounts.
+  std::uint64_t usage_restored_to_revision_ = 0;
   bool usage_unreadable_ = false;
   double usage_updated_at_ = -1e9;
   double next_usage_log_at_;
@@ -233,26 +276,30 @@
   double revision_clock_stored_at_;
   Effects effects_;
   PendingTransaction transaction_;
-  int consecutive_conflicts_ = 0;  // in a row
-  int max_writes_;                 // of one transaction
+  int consecutive_conflicts_ = 0;
+  // The most writes in one transaction.
+  int max_writes_;
   std::map<std::string, double> job_ends_read_at_;
-  std::vector<DeferredResponse> deferred_responses_;  // the longest waiting first
-  bool recheck_deferred_responses_ = false;        // something has changed that may let answers go
-  std::vector<std::string> unknown_dependencies_;  // jobs that others need and nothing is known of
-  std::map<std::string, double> returned_hosts_;   // machines
-  // Jobs whose end was settled under this leadership, with its revision. The watch may yet bring
-  // headers from before.
+  std::vector<DeferredResponse> deferred_responses_;  // in order of `deferred_at`
+  // Something has changed that may allow deferred responses to be sent.
+  bool recheck_deferred_responses_ = false;
+  // Jobs that others depend on and of which nothing is known.
+  std::vector<std::string> unknown_dependencies_;
+  std::map<std::string, double> returned_hosts_;  // machine and when it was returned
+  // Jobs whose end was stored in this term, with the revision of the end. The watch may still
+  // report older versions of their headers.
   std::map<std::string, std::uint64_t> recently_ended_jobs_;
-  std::uint64_t watched_revision_ = 0;  // the newest revision that the watch has brought
-  // Requests whose pool record is on its way, then those that are out.
+  std::uint64_t watched_revision_ = 0;  // newest revision that the watch has reported
+  // Requests to rent machines that wait until their pool record is stored, and then when each
+  // unanswered request was made.
   std::vector<std::pair<std::string, cloud::ScaleOutRequest>> scale_outs_awaiting_record_;
   std::map<std::string, double> scale_out_requested_at_;
   std::uint64_t scale_out_count_ = 0;
   double leader_since_;
-  double listening_since_;  // the same, or since this process last stood still
+  double listening_since_;  // `leader_since_`, or when this process was last suspended
   double advanced_at_;
   leadership::ReadFreshness freshness_;
-  bool all_job_changes_applied_ = true;  // every change that the watch brought was taken in
+  bool all_job_changes_applied_ = true;  // every reported change has been applied
   bool was_responding_ = true;           // as last logged
   double planned_at_ = -1e9;
   double scaled_at_ = -1e9;
@@ -260,9 +307,11 @@
   double cancellations_checked_at_ = -1e9;
   double relist_requested_at_ = -1e9;
   bool failover_progress_logged_ = false;
-  double half_heard_after_s_ = -1,
-         percent_99_heard_after_s_ = -1;  // since taking over; not yet: -1
-  bool hosts_listed_ = false;             // the machines have been listed under this leadership
+  // Seconds from the start of the term until half, and 99 of 100, of the running machines had been
+  // heard from; -1: not yet.
+  double half_heard_after_s_ = -1, percent_99_heard_after_s_ = -1;
+  // The cloud has listed the machines in this term.
+  bool hosts_listed_ = false;
   bool all_upgraded_ = false;
   bool needs_priority_update_ = true;
   bool needs_placement_ = true;
--- a/src/controller/leader_restore.cpp
+++ b/src/controller/leader_restore.cpp
@@ -25,7 +25,7 @@
 void Leader::restore_schema(const LeaderSnapshot& snapshot) {
   schema_ = schema::decode_stored(
       snapshot.stored_schema ? std::optional(snapshot.stored_schema->value) : std::nullopt);
-  if (const std::string reason = schema::incompatibility(schema_, supported_versions_);
+  if (const std::string reason = schema::incompatibility(schema_, supported_levels_);
       !reason.empty()) {
     throw std::runtime_error(reason);
   }
--- a/src/controller/leader_schema.cpp
+++ b/src/controller/leader_schema.cpp
@@ -20,8 +20,7 @@
 void Leader::advance_schema(double now) {
   if (!all_upgraded_) return;  // 0.2.0 may yet lead
   const bool migration_expected =
-      !schema_.settled ||
-      schema_.level < std::min(supported_versions_.newest, schema::kNewestLevel);
+      !schema_.settled || schema_.level < std::min(supported_levels_.newest, schema::kNewestLevel);
   if (now - claims_read_at_ >=
       (migration_expected ? kClaimsIntervalMigrating_s : kClaimsIntervalSettled_s)) {
     claims_read_at_ = now;
@@ -50,14 +49,14 @@
   rolling_upgrade_ =
       !schema_.settled || std::any_of(nodes.begin(), nodes.end(), [&](const auto& node) {
         return std::none_of(claims.begin(), claims.end(), [&](const schema::Claim& claim) {
-          return claim.node == node && claim.version == supported_versions_.version;
+          return claim.node == node && claim.version == supported_levels_.version;
         });
       });
   auto migration = schema::next_migration(schema_, claims, nodes);
   if (!migration) {
     last_migration_refusal_.clear();
   } else if (!migration->rejection_reason) {
-    if (migration->target.level <= supported_versions_.newest) {
+    if (migration->target.level <= supported_levels_.newest) {
       write_schema(migration->target, std::move(migration->preconditions));
     }
   } else if (*migration->rejection_reason != last_migration_refusal_) {
@@ -89,7 +88,7 @@
   if (key == drains::kPolicyKey) transaction_builder_.note_stored(key, revision);
   // The read may be older than what we have stored since.
   const auto chunk = jobs::parse_task_range_key(key);
-  const bool current = chunk ? !migrated_task_records_.contains(key)
+  const bool current = chunk ? !migrated_task_ranges_.contains(key)
                              : transaction_builder_.revision_of(key) == std::optional(revision);
   if (transaction_builder_.is_write_pending(key) || !current) return;
   const auto at = chunk ? cluster_.job_index.find(chunk->job) : cluster_.job_index.end();
@@ -100,7 +99,7 @@
                   [&](const placement::ObsoleteRecord& stray) { return stray.key == key; });
   }
   if (chunk) {
-    migrated_task_records_.insert(key);
+    migrated_task_ranges_.insert(key);
     transaction_builder_.note_stored(key, revision);
   }
   transaction_builder_.queue_write({key, std::nullopt});
--- a/src/controller/leader_snapshot_loader.h
+++ b/src/controller/leader_snapshot_loader.h
@@ -1,4 +1,4 @@
-// Reads the stored state that a new leader begins with.
+// Reads the stored state that a new leader starts from.
 #pragma once
 
 #include <optional>
@@ -9,14 +9,16 @@
 
 namespace reachramp::controller {
 
-// Owns nothing; run by the thread that watches jobs, when this node has become the leader.
+// Reads snapshots on JobWatcher's thread, when this node has become the leader. Owns nothing.
 class LeaderSnapshotLoader {
  public:
+  // Keeps references to both arguments, which must outlive it.
   LeaderSnapshotLoader(kv::Client& store, peers::Members& members)
       : store_(store), members_(members) {}
 
-  // All but the jobs, which the caller has listed before and adds: `jobs_asked_at` (steady seconds)
-  // is when. Nothing: some of it could not be read. Blocks.
+  // Reads everything but the jobs. The caller has listed these before, in a list that it requested
+  // at `jobs_requested_at` (steady seconds), and adds them. Returns none if any part could not be
+  // read. Blocks.
   std::optional<LeaderSnapshot> load(double jobs_requested_at);
 
  private:
--- a/src/controller/machine_prober.h
+++ b/src/controller/machine_prober.h
@@ -1,4 +1,5 @@
-// Calls workers at their own addresses: probes, and stops that cannot wait for a heartbeat.
+// Calls workers at their own addresses: to announce a new leader, and to deliver stops that cannot
+// wait for the next heartbeat.
 #pragma once
 
 #include <cstdint>
@@ -9,25 +10,28 @@
 
 namespace reachramp::controller {
 
-// A worker is to be called at `address` (host:port) by the leader with that token. With a body:
-// stops, as they are posted to /orders. With none: orders that hold nothing but the token, for the
-// incarnation that the worker's status names.
+// A call to the worker at `address` (host:port) for the leader with `fencing_token`. If `body` is
+// set, it holds stops and is posted to /orders. If it is null, the worker gets orders that contain
+// nothing but the fencing token, for the incarnation that its status names.
 struct ProbeRequest {
   std::uint64_t fencing_token = 0;
   std::string address;
   wire::Json body{};
 };
 
-// Owns the probes that wait. Several threads may run it, since a dead machine holds one up.
+// Owns the queue of calls. Several threads may run it, because a dead machine delays a thread until
+// the call times out.
 class MachineProber {
  public:
+  // Keeps references to both arguments, which must outlive it.
   MachineProber(leadership::LeaderElection& election, EventQueue& events)
       : election_(election), events_(events) {}
 
-  // Queues a probe. For any thread. Dropped unsent once its leader's time is over.
+  // Queues a call; any thread may call this function. The call is dropped unsent if its leader's
+  // term has ended by then.
   void push(ProbeRequest request) { requests_.push(std::move(request)); }
-  // Calls workers one after another and reports the status that each gives as an event; a worker
-  // that fails to answer is logged and forgotten. For several threads of their own.
+  // Calls the workers one after another and reports the status that each returns as an event. A
+  // call that fails is logged and not repeated. Runs on several threads of its own.
   [[noreturn]] void run();
 
  private:
--- a/src/controller/obsolete_records.h
+++ b/src/controller/obsolete_records.h
@@ -1,4 +1,5 @@
-// Which stored records are not of the form that is written at a level, all slices asked.
+// Tells which stored records are obsolete, that is, not in the form that a given schema level
+// writes. Combines the checks of all modules that own records.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +10,13 @@
 
 namespace reachramp::controller {
 
-// All keys of records that some level finds stale begin with one of these.
+// The key prefixes under which all records are stored that can be obsolete at some level.
 std::vector<std::string> obsolete_record_prefixes();
 
-// A step to the level is not over while such a record stands.
+// Whether the record is obsolete at `level`. A migration to that level is complete only when no
+// such record remains.
 bool is_obsolete(const std::string& key, const wire::Json& value, std::uint32_t level);
-// At any level that this version knows.
+// Whether the record is obsolete at any level that this program version supports.
 bool is_obsolete_at_any_level(const std::string& key, const wire::Json& value);
 
 }  // namespace reachramp::controller
--- a/src/controller/pending_transaction.h
+++ b/src/controller/pending_transaction.h
@@ -1,6 +1,8 @@
-// The transaction that the leader has sent and whose outcome it does not know yet. A transaction
-// without an answer may still be applied, so the same one is sent again, under the same conditions,
-// until its outcome is known: it is then applied at most once.
+// The transaction that the leader has sent and whose outcome is not known yet.
+//
+// A transaction that got no answer may still be applied. It is therefore sent again unchanged, with
+// the same preconditions, until its outcome is known; the preconditions ensure that it is applied
+// at most once.
 #pragma once
 
 #include <optional>
@@ -11,49 +13,59 @@
 
 namespace reachramp::controller {
 
+// Tracks at most one transaction at a time: when it is sent again, what its outcome is, and how
+// long to wait before the next one.
 class PendingTransaction {
  public:
-  // What became of the transaction. Not certain: an earlier sending may have been applied, and
-  // nothing in the store tells.
+  // The outcome of the transaction. It is uncertain if an earlier attempt to send it may have been
+  // applied and no key in the store can tell.
   struct Resolution {
     kv::CommitResult result;
     bool is_certain = true;
   };
 
+  // Whether no transaction is pending.
   bool is_empty() const { return !batch_; }
+  // The pending batch; requires that there is one.
   const TransactionBatch& batch() const { return *batch_; }
+  // Makes `batch` the pending one; requires that there is none.
   void begin(TransactionBatch batch) { batch_ = std::move(batch); }
-  // Takes the batch out; another may begin.
+  // Removes the pending batch and returns it; another one may then begin.
   TransactionBatch finish();
 
-  // The answer to a sending. Nothing where the outcome is still open: the batch is then to be sent
-  // again, or a key is to be read first.
+  // Processes the result of sending the batch. Returns none while the outcome is open: the batch
+  // must then be sent again, or a key must be read first.
   std::optional<Resolution> on_commit_result(const kv::CommitResult& result, double now);
 
-  // After a conflict that an earlier sending may itself have caused, the revision of a key that
-  // only leaders write tells whether that sending was applied.
+  // Whether a conflict awaits verification. An earlier attempt that was applied makes a later one
+  // fail with a conflict. The revision of a key that only leaders write tells whether that
+  // happened.
   bool awaits_verification() const { return unverified_conflict_.has_value(); }
+  // The key could not be read; it is to be read again.
   void on_verification_failed(double now);
-  // `found` was read while this leader's token was valid.
+  // Resolves the conflict. `found` is the key's record, read while this leader's fencing token was
+  // valid.
   Resolution on_verified(const kv::ReadResult& found);
 
-  // What is due now; each is returned once.
+  // The key to read and whether to send the batch again, if that is due now; each is returned once.
   std::optional<std::string> take_key_to_verify(double now);
   bool take_resend(double now);
 
-  // How long the next sending waits grows with the failures in a row.
+  // Failures delay the next attempt to send; the delay grows with the number of consecutive
+  // failures.
   bool may_send(double now) const { return now >= next_send_at_; }
   void note_failure(double now);
   void note_success() { consecutive_failures_ = 0; }
 
  private:
   std::optional<TransactionBatch> batch_;
-  bool may_be_applied_ = false;  // an earlier sending had no answer
+  bool may_be_applied_ = false;  // an earlier attempt got no answer
   bool resend_due_ = false;
   bool verification_due_ = false;
-  std::optional<kv::CommitResult> unverified_conflict_;  // the conflict that the read is to explain
+  // The conflict that the read of the key is to explain.
+  std::optional<kv::CommitResult> unverified_conflict_;
   double next_send_at_ = 0;
-  int consecutive_failures_ = 0;  // in a row
+  int consecutive_failures_ = 0;
 };
 
 }  // namespace reachramp::controller
--- a/src/controller/queue.h
+++ b/src/controller/queue.h
@@ -1,4 +1,4 @@
-// A queue between threads; the reader takes everything that waits in one go.
+// A queue between threads; a reader takes all queued items at once.
 #pragma once
 
 #include <chrono>
@@ -8,9 +8,11 @@
 
 namespace reachramp::controller {
 
+// A queue for any number of writers and readers. Its functions may be called from any thread.
 template <class Item>
 class Queue {
  public:
+  // Appends an item and wakes one reader if the queue was empty.
   void push(Item item) {
     bool was_empty = false;
     {
@@ -21,7 +23,8 @@
     if (was_empty) ready_.notify_one();
   }
 
-  // Waits until something is there or the time is over.
+  // Waits until the queue is not empty, for at most `timeout`, and returns all items; none after a
+  // timeout.
   std::vector<Item> take(std::chrono::duration<double> timeout) {
     std::unique_lock lock(mutex_);
     ready_.wait_for(lock, timeout, [&] { return !items_.empty(); });
--- a/src/controller/routes.cpp
+++ b/src/controller/routes.cpp
@@ -24,10 +24,10 @@
   const bool post = request.method == "POST";
   if (request.path == kReadyPath) {
     if (!get) return method_not_allowed();
-    const bool ready = !versions_.incompatible() && health_.ready();
+    const bool ready = !version_tracker_.incompatible() && health_.ready();
     return {ready ? 200 : 503, {{"ready", ready}}};
   }
-  if (versions_.incompatible()) return incompatible_schema(5);
+  if (version_tracker_.incompatible()) return incompatible_schema(5);
   if (request.path == kHeartbeatPath) {
     return post ? heartbeats_.route(request.body, HeartbeatOrigin::worker) : method_not_allowed();
   }
@@ -57,7 +57,7 @@
                ? health_.handle_served(request.body, election_.status().highest_seen_revision)
                : method_not_allowed();
   }
-  if (versions_.incompatible()) return incompatible_schema(0);
+  if (version_tracker_.incompatible()) return incompatible_schema(0);
   const bool is_intermediate_hop = request.path == peers::kIntermediateHopPath;
   if (!is_intermediate_hop && request.path != peers::kForwardToLeaderPath) return path_not_found();
   if (request.method != "POST") return method_not_allowed();
--- a/src/controller/routes.h
+++ b/src/controller/routes.h
@@ -1,4 +1,4 @@
-// The HTTP routes of a controller process: which part answers which path and method.
+// The HTTP routes of a controller process: which component handles which path and method.
 #pragma once
 
 #include "controller/heartbeat_router.h"
@@ -10,40 +10,47 @@
 
 namespace reachramp::controller {
 
-// What users and workers call. Owns nothing.
+// The routes for users and workers. Owns nothing.
 class UserRoutes {
  public:
-  UserRoutes(schema::SchemaVersionTracker& versions, peers::NodeHealth& health,
+  // Keeps references to all arguments, which must outlive it.
+  UserRoutes(schema::SchemaVersionTracker& version_tracker, peers::NodeHealth& health,
              jobs::JobService& jobs, HeartbeatRouter& heartbeats)
-      : versions_(versions), health_(health), jobs_(jobs), heartbeats_(heartbeats) {}
+      : version_tracker_(version_tracker), health_(health), jobs_(jobs), heartbeats_(heartbeats) {}
 
-  // Answers a request; 404 for an unknown path, 405 for another method, 503 where this process
-  // cannot read the stored state. For any thread that serves a connection.
+  // Handles a request. Returns 404 for an unknown path, 405 for a wrong method, and 503 if this
+  // process does not support the schema of the stored state. Any thread may call it.
   wire::Response serve(const wire::Request& request);
-  // Who sends such a request, for the limits on connections. For any thread.
+  // Whether such a request comes from a worker or a user, for the limits on connections. Any thread
+  // may call it.
   static wire::ClientKind client_kind(const wire::Request& request);
 
  private:
   wire::Response serve_job(const std::string& path, const std::string& method);
 
-  schema::SchemaVersionTracker& versions_;
+  schema::SchemaVersionTracker& version_tracker_;
   peers::NodeHealth& health_;
   jobs::JobService& jobs_;
   HeartbeatRouter& heartbeats_;
 };
 
-// What other nodes call. Owns nothing.
+// The routes for other nodes. Owns nothing.
 class PeerRoutes {
  public:
-  PeerRoutes(schema::SchemaVersionTracker& versions, peers::NodeHealth& health,
+  // Keeps references to all arguments, which must outlive it.
+  PeerRoutes(schema::SchemaVersionTracker& version_tracker, peers::NodeHealth& health,
              leadership::LeaderElection& election, HeartbeatRouter& heartbeats)
-      : versions_(versions), health_(health), election_(election), heartbeats_(heartbeats) {}
+      : version_tracker_(version_tracker),
+        health_(health),
+        election_(election),
+        heartbeats_(heartbeats) {}
 
-  // As above, but nodes may ask for this node's health whatever the stored state is.
+  // Like UserRoutes::serve, but other nodes may query this node's health even if it does not
+  // support the schema of the stored state.
   wire::Response serve(const wire::Request& request);
 
  private:
-  schema::SchemaVersionTracker& versions_;
+  schema::SchemaVersionTracker& version_tracker_;
   peers::NodeHealth& health_;
   leadership::LeaderElection& election_;
   HeartbeatRouter& heartbeats_;
--- a/src/controller/server.cpp
+++ b/src/controller/server.cpp
@@ -19,9 +19,9 @@
     : platform_(platform),
       policy_(policy),
       store_(platform_.store_address, platform_.store_limits.rps * kStoreRateFraction),
-      supported_versions_{schema::kOldestLevel, schema::kNewestLevel, policy_.hold_at,
-                          REACHRAMP_VERSION},
-      version_tracker_(store_, platform_, supported_versions_),
+      supported_levels_{schema::kOldestLevel, schema::kNewestLevel, policy_.hold_at,
+                        REACHRAMP_VERSION},
+      version_tracker_(store_, platform_, supported_levels_),
       election_(
           store_, platform_, [this] { return version_tracker_.defers_leadership(); },
           [this](double silent_s, double lease_duration_s, std::uint64_t fencing_token) {
@@ -34,7 +34,7 @@
       catalog_(store_),
       jobs_(store_, platform_, members_, version_tracker_, recent_cancellations_,
             [this] { return catalog_.get(); }),
-      job_watcher_(platform_, policy_, supported_versions_, election_, store_, members_, events_),
+      job_watcher_(platform_, policy_, supported_levels_, election_, store_, members_, events_),
       transaction_sender_(election_, store_, events_),
       cancellation_poller_(election_, health_, events_),
       strong_reader_(election_, store_, events_),
--- a/src/controller/server.h
+++ b/src/controller/server.h
@@ -1,4 +1,4 @@
-// One controller process: the parts that it is made of, and the threads that run them.
+// One controller process: its components and the threads that run them.
 #pragma once
 
 #include <optional>
@@ -28,28 +28,29 @@
 
 namespace reachramp::controller {
 
-// Owns every part of the process and decides nothing itself. The parts meet in three ways: requests
-// come in by the routes, the event loop alone holds the leader, and each of the other threads makes
-// one kind of call on its behalf and reports what came of it as an event.
+// Owns all components of the process and contains no scheduling logic. The components interact in
+// three ways: the routes handle requests, the event loop alone owns the leader, and each other
+// thread makes one kind of call on the leader's behalf and reports the results as events.
 class Server {
  public:
-  // `policy_path`: of the file that `policy` was read from; empty if there is none.
+  // `policy_path` is the path of the file that `policy` was read from; empty if there is none.
   Server(const settings::Platform& platform, const settings::Policy& policy,
          const std::string& policy_path);
   Server(const Server&) = delete;
 
-  // Serves until the process ends; the calling thread takes part in elections. Throws
-  // std::system_error, before anything was said to another process, where a port or a thread cannot
-  // be had.
+  // Serves until the process ends; the calling thread takes part in leader elections. Throws
+  // std::system_error if a port or a thread cannot be obtained, before anything is sent to another
+  // process.
   [[noreturn]] void run();
 
  private:
+  // Starts the threads of all components but the election.
   std::vector<std::thread> start_threads();
 
   const settings::Platform platform_;
   const settings::Policy policy_;
   kv::Client store_;
-  const schema::SupportedLevels supported_versions_;
+  const schema::SupportedLevels supported_levels_;
   schema::SchemaVersionTracker version_tracker_;
   std::optional<drains::PolicyFileWatcher> policy_watcher_;
   leadership::LeaderElection election_;
--- a/src/controller/strong_reader.h
+++ b/src/controller/strong_reader.h
@@ -1,4 +1,4 @@
-// Strong reads of the key-value store that the leader asks for.
+// Executes the strong reads of the key-value store that the leader requests.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,27 @@
 
 namespace reachramp::controller {
 
-// What the leader with that token wants to have read.
+// A read that the leader with `fencing_token` requests.
 struct StrongReadRequest {
   enum class Kind { job_end, verify_key, claims, obsolete_records, drains } kind = Kind::job_end;
   std::uint64_t fencing_token = 0;
-  std::string job_or_key{};  // job_end: the job's; verify_key: the key
+  // job_end: the job's id; verify_key: the key; otherwise empty
+  std::string job_or_key{};
 };
 
-// Owns the reads that wait. One thread runs it, so results come in the order of the requests.
+// Owns the queue of reads. A single thread runs it, so results arrive in the order of the requests.
 class StrongReader {
  public:
+  // Keeps references to all arguments, which must outlive it.
   StrongReader(leadership::LeaderElection& election, kv::Client& store, EventQueue& events)
       : election_(election), store_(store), events_(events) {}
 
-  // Queues a read. For any thread. Dropped unsent once its leader's time is over.
+  // Queues a read; any thread may call it. The read is dropped unsent if its leader's term has
+  // ended by then.
   void push(StrongReadRequest request) { requests_.push(std::move(request)); }
-  // Reads one after another and reports the results as events; for a thread of its own. A list or a
-  // record of drains that could not be read brings no event: the leader asks again.
+  // Executes the reads one after another and reports the results as events; runs on a thread of its
+  // own. A failed read of the claims, the obsolete records or the drain rules yields no event: the
+  // leader repeats these requests periodically.
   [[noreturn]] void run();
 
  private:
--- a/src/controller/transaction_sender.h
+++ b/src/controller/transaction_sender.h
@@ -9,22 +9,24 @@
 
 namespace reachramp::controller {
 
-// A transaction of the leader with that token.
+// A transaction to be sent for the leader with `fencing_token`.
 struct TransactionRequest {
   std::uint64_t fencing_token = 0;
   kv::Transaction transaction;
 };
 
-// Owns the transactions that wait. One thread runs it, so they are sent in order.
+// Owns the queue of transactions. A single thread runs it, so transactions are sent in order.
 class TransactionSender {
  public:
+  // Keeps references to all arguments, which must outlive it.
   TransactionSender(leadership::LeaderElection& election, kv::Client& store, EventQueue& events)
       : election_(election), store_(store), events_(events) {}
 
-  // Queues a transaction. For any thread. Dropped unsent once its leader's time is over.
+  // Queues a transaction; any thread may call it. The transaction is dropped unsent if its leader's
+  // term has ended by then.
   void push(TransactionRequest request) { requests_.push(std::move(request)); }
-  // Sends one after another and reports each outcome, whatever it is, as an event; for a thread of
-  // its own.
+  // Sends the transactions one after another and reports each outcome, including failures, as an
+  // event; runs on a thread of its own.
   [[noreturn]] void run();
 
  private:
--- a/src/controller/write_budget.h
+++ b/src/controller/write_budget.h
@@ -1,5 +1,5 @@
-// How many changes a second the leader may write to the key-value store. The operators may announce
-// a lower limit that comes into force without notice; it is recognised by refusals for the rate.
+// Limits the rate at which the leader writes to the key-value store. The operators may announce a
+// lower limit that takes effect without notice; it is detected by the store's throttling responses.
 #pragma once
 
 #include <vector>
@@ -9,15 +9,21 @@
 
 namespace reachramp::controller {
 
+// A token bucket for the leader's writes that switches to the announced rate once the store
+// enforces it.
 class WriteBudget {
  public:
+  // The first limits are those in effect; the second are the announced ones that may replace them.
   WriteBudget(const settings::StoreLimits& limits, const settings::StoreLimits& announced);
 
+  // Deducts `writes` from the budget.
   void consume(std::size_t writes, double now) { bucket_.take(static_cast<double>(writes), now); }
+  // How many writes the budget allows now; negative if it is overdrawn.
   int available(double now) { return static_cast<int>(bucket_.available(now)); }
-  // Enough is left for records that nothing depends on.
+  // Whether enough budget is left for writes that nothing depends on, such as status counts.
   bool allows_optional_writes(double now);
-  // So many transactions were refused for their rate.
+  // Notes that the store has throttled requests `count` times. Switches to the announced rate once
+  // this has happened often enough.
   void note_throttled(int count, double now);
 
  private:
