--- a/src/controller/catalog_cache.cpp
+++ b/src/controller/catalog_cache.cpp
@@ -13,8 +13,9 @@
 
 }  // namespace
 
-// A process that has just started is asked for it before it has had time to fetch it: half a second
-// of 503 each time, when all nodes were back at once.
+// A process that has just started needs the catalog before it can have fetched it from the cloud.
+// Without the stored copy, jobs were answered 503 for half a second each time all nodes restarted
+// together.
 std::shared_ptr<const cloud::Catalog> CatalogCache::get() {
   {
     std::lock_guard lock(mutex_);
@@ -27,7 +28,7 @@
   try {
     if (found.outcome == kv::Outcome::ok) set(cloud::decode_catalog(found.entry.value));
   } catch (const std::exception& error) {
-    spdlog::error("stored catalog: {}", error.what());
+    spdlog::error("stored catalog cannot be read: {}", error.what());
   }
   std::lock_guard lock(mutex_);
   return catalog_;
--- a/src/controller/cloud_requests.cpp
+++ b/src/controller/cloud_requests.cpp
@@ -21,8 +21,8 @@
                      [](const QueuedCloudRequest& call) { return call.request.urgent; });
 }
 
-// Returns go together: one call a machine took a minute and a half for the fleet of a grown site,
-// which was charged meanwhile.
+// Returns are merged into one call. With one call per machine, returning the fleet of a large site
+// took a minute and a half, during which it was charged.
 QueuedCloudRequest take_next_request(std::deque<QueuedCloudRequest>& waiting) {
   const auto first = std::min_element(waiting.begin(), waiting.end(),
                                       [](const QueuedCloudRequest& a, const QueuedCloudRequest& b) {
--- a/src/controller/cloud_worker.cpp
+++ b/src/controller/cloud_worker.cpp
@@ -29,7 +29,8 @@
 void CloudWorker::run() {
   for (;;) {
     take_requests();
-    // Read after the wait: what a new leader asks for at once must not be taken for an old one's.
+    // The token is read after the wait, so that requests which a new leader has just made are not
+    // dropped as those of an earlier one.
     const std::uint64_t fencing_token = election_.status().fencing_token;
     std::erase_if(waiting_, [&](const QueuedCloudRequest& request) {
       return request.fencing_token != fencing_token;
@@ -51,8 +52,8 @@
   }
 }
 
-// Nodes that do not lead need the machine types too, to tell what can never run; they take them
-// from the key-value store, and from the cloud only while nobody has stored them.
+// Nodes that are not the leader need the machine types too, to reject jobs that can never run. They
+// read them from the key-value store, and from the cloud only while no leader has stored them.
 void CloudWorker::run_as_follower() {
   machines_listed_at_ = catalog_read_at_ = std::nullopt;
   if (catalog_.get()) return;
@@ -74,8 +75,8 @@
 }
 
 void CloudWorker::send_next_request(std::uint64_t fencing_token) {
-  // After standing still another node may lead: nothing is rented or returned on a view from
-  // before, but for the sake of a cancellation.
+  // If this process was suspended, another node may be the leader. Machines are not rented or
+  // returned on outdated information, except for the sake of a cancellation.
   if (!has_urgent_request(waiting_) &&
       (waiting_.empty() || !election_.is_leadership_certain(fencing_token))) {
     return;
--- a/src/controller/event_loop.cpp
+++ b/src/controller/event_loop.cpp
@@ -12,12 +12,12 @@
 constexpr double kLeaderMaxWait_s = 0.1;
 constexpr double kFollowerMaxWait_s = 1.0;
 
-// Hands each result to the leader that asked for it.
+// Passes each event to the leader.
 struct LeaderEventVisitor {
   Leader& leader;
   double now;
 
-  // Dealt with before, since they do not need a leader.
+  // `dispatch` handles these itself, because they may come without a current leader.
   void operator()(LeadershipAcquired&) const {}
   void operator()(HeartbeatReceived&) const {}
 
@@ -97,12 +97,12 @@
   }
 }
 
-// Whoever waits for the reply is told in any case, by the leader now or later, or at once.
+// Every heartbeat gets a reply, from the leader now or later, or here at once.
 void EventLoop::dispatch_heartbeat(HeartbeatReceived& received, bool is_current_leader,
                                    double now) {
   const auto reply = received.reply;
-  // No body: this node leads, but may not answer workers now. Final: whoever has forwarded the
-  // heartbeat passes that on.
+  // Null: this node is the leader but must not respond to workers now. The status 421 is final: a
+  // node that has forwarded the heartbeat passes it on to the worker.
   const auto answer = [reply](const wire::Json& body) {
     reply->set_value(body.is_null() ? wire::Response{peers::kStatusMisdirectedRequest,
                                                      {{"error", "not current"}}}
--- a/src/controller/heartbeat_router.cpp
+++ b/src/controller/heartbeat_router.cpp
@@ -11,7 +11,8 @@
 using kv::steady_now;
 
 constexpr auto kLocalAnswerTimeout = std::chrono::seconds(3);
-// Less than the 4 s that a worker waits, and long enough for a silent leader to be replaced.
+// The timeout is less than the 4 s that a worker waits for a response, and long enough for a leader
+// that has failed to be replaced.
 constexpr double kForwardTimeout_s = 3.4;
 constexpr double kForwardRetryInterval_s = 0.5;
 
@@ -31,9 +32,9 @@
     }
     if (origin == HeartbeatOrigin::final_hop) break;
     if (auto reply = forward(status, message, is_from_worker, deadline)) return *reply;
-    // A leader that has just died is replaced well within the time that a worker waits for an
-    // answer. Turned away, it would try the next node, which may be gone as well: workers lost
-    // their leases to two dead nodes in a row.
+    // A leader that has failed is replaced well within the time that a worker waits. A worker that
+    // is rejected tries the next node, which may be down as well: workers lost their leases to two
+    // dead nodes in a row.
     const double remaining_s = deadline - steady_now();
     if (is_leader || status.isolated || !is_from_worker || remaining_s <= 0) break;
     election_.wait_for_change(status, std::min(remaining_s, kForwardRetryInterval_s));
@@ -45,9 +46,10 @@
                                                        const wire::Json& message,
                                                        bool allow_intermediate_node,
                                                        double deadline) {
-  // This node may answer no longer, or has given up its leadership. Refused by the key-value store
-  // alone it still has the other nodes, who know of a leader: its workers need not move. Cut off
-  // from all, or where they all know of none but this one, it sends them on at once.
+  // This node must not respond any longer, or has stepped down because it is isolated. If only the
+  // key-value store is unreachable, other nodes know the leader, so this node's workers need not
+  // move. If no node knows another leader, the heartbeat is rejected at once and the worker moves
+  // on.
   if (status.fencing_token != 0 || status.isolated) {
     return forwarder_.forward("", message, allow_intermediate_node, deadline);
   }
--- a/src/controller/job_watcher.cpp
+++ b/src/controller/job_watcher.cpp
@@ -70,14 +70,14 @@
                                           steady_now(), supported_levels_)}});
     term.leader_created = true;
   } catch (const std::exception& error) {
-    spdlog::error("records cannot be read: {}", error.what());
+    spdlog::error("stored state cannot be loaded: {}", error.what());
     relist_after_pause(term, kInvalidRecordPause_s);
   }
 }
 
 void JobWatcher::follow_changes(Term& term) {
-  // Answers say what was when they were asked for, at the least: a process that stood still finds
-  // one that has waited for it as long.
+  // A response is only known to contain what was stored when it was requested: a process that was
+  // suspended may find a response that has waited for it all that time.
   const double requested_at = steady_now();
   kv::WatchResult changes = store_.watch("job/", term.watch_revision, kWatchMaxWait);
   if (changes.outcome == Outcome::absent) {
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -18,23 +18,26 @@
 
 namespace {
 
-// A response to a heartbeat waits this long for the starts that it should carry to be stored.
+// How long a response to a heartbeat waits until the starts that it should carry are stored.
 constexpr double kMaxResponseDelay_s = 1.0;
 constexpr double kMaxPlanInterval_s = 0.5;
-// At hundreds of machines a heartbeat comes every few milliseconds; each asks for a plan.
+// Each heartbeat requests a placement run, and with hundreds of machines one arrives every few
+// milliseconds.
 constexpr double kMinPlanInterval_s = 0.1;
 constexpr double kCheckHostsInterval_s = 0.5;
-// Arrivals and losses ask for machines at once, but not more often than this.
+// New jobs and lost machines trigger scaling at once, but not more often than this.
 constexpr double kMinScaleInterval_s = 1.0;
-// Starts go out only while the watch on jobs has lately shown that we know of every cancellation.
+// Starts are sent only if the watch on jobs has confirmed within this time that all cancellations
+// are known.
 constexpr double kMaxJobsAge_s = 3.0;
 constexpr double kJobEndReadInterval_s = 1;
 constexpr double kRelistInterval_s = 2;
-// A mark of the revision clock may be so much later than the service's answer that it was taken
+// A sample of the revision clock may be later by this than the store's response that it was taken
 // from.
 constexpr double kMaxResponseTransit_s = 2;
 constexpr double kFirstUsageLogDelay_s =
-    5;  // after taking over, when most machines have been heard
+    // After this time in the term most machines have been heard from.
+    5;
 
 }  // namespace
 
@@ -84,13 +87,13 @@
   });
 }
 
-// Looked at for each answer, however long the process stood still before: the worker's lease counts
-// from the sending of its heartbeat, which is before `now`.
+// The staleness bound is checked for every response, because the process may have been suspended
+// before it. The worker's lease counts from when it sent the heartbeat, which is before `now`.
 bool Leader::check_may_respond(const HeartbeatResponder& responder, double now) {
   const bool may_answer = freshness_.may_answer(now);
   if (may_answer != std::exchange(was_responding_, may_answer)) {
-    spdlog::error("{}: cancellations are known up to {:.1f} s ago",
-                  may_answer ? "workers are answered again" : "workers are answered no longer",
+    spdlog::error("{}: all cancellations are known until {:.1f} s ago",
+                  may_answer ? "responses to workers resumed" : "responses to workers suspended",
                   now - freshness_.cancellations_known_until());
   }
   if (!may_answer) responder(nullptr);
@@ -104,8 +107,9 @@
   responder(workers::encode_response(cluster_.fencing_token, orders));
 }
 
-// Thousands may be parked while starts wait for writes; each is looked at again when a plan, a
-// stored record or a cancellation may have changed its case, or its time is over.
+// Thousands of responses may be deferred while starts wait to be stored. They are checked again
+// only after a placement run, a stored record or a cancellation, or when the oldest has waited long
+// enough.
 void Leader::send_deferred_responses(double now) {
   const bool expired = !deferred_responses_.empty() &&
                        now >= deferred_responses_.front().deferred_at + kMaxResponseDelay_s;
@@ -132,14 +136,15 @@
     deposed_ = true;
     return HeartbeatResult::deposed;
   }
-  // What runs on a machine that was returned counts as ended: it is not believed.
+  // Tasks on a returned machine count as ended, so its heartbeat does not change the state.
   const bool returned = returned_hosts_.contains(heartbeat.host);
   if (!returned && workers::reconcile(cluster_, heartbeat, workers::Channel::heartbeat, now)) {
     needs_placement_ = true;
     deferred_responses_.push_back({heartbeat.host, std::move(responder), now});
   } else if (check_may_respond(responder, now)) {
-    // Or it is not newer than what is known, as when a direct response has overtaken it. The answer
-    // extends the lease all the same, so it carries what must stop; nothing may start on it.
+    // The machine was returned, or the heartbeat is not newer than what is known, for example
+    // because a direct response has overtaken it. The response extends the worker's lease all the
+    // same, so it must carry the stops; it contains no starts.
     responder(workers::encode_response(cluster_.fencing_token,
                                        workers::stop_commands_for(cluster_, heartbeat)));
   }
@@ -155,7 +160,8 @@
   }
 }
 
-// What was not in the state was told after the moment up to which all cancellations were known.
+// A cancellation that is not in the state yet was confirmed after the time until which all
+// cancellations are known.
 placement::CancellationTime Leader::cancellation_time_of_change(double now) const {
   return {std::min(freshness_.cancellations_known_until(), now), now};
 }
@@ -183,21 +189,22 @@
   try {
     header = jobs::decode_header(value);
   } catch (const std::exception& error) {
-    // No node can read it, so that no user is told anything of it.
-    spdlog::error("record {}: {}", key, error.what());
+    // No node can read the record, so no user has been told anything about this job.
+    spdlog::error("record {} is malformed: {}", key, error.what());
     return true;
   }
   try {
     Job* job = cluster_.find_job(id);
     if (job == nullptr) {
-      const std::uint64_t born =
+      const std::uint64_t accepted_revision =
           header.accepted_revision != 0 ? header.accepted_revision : revision;
-      const double seen_at = revision_clock_.time_of(born, now);
+      const double seen_at = revision_clock_.time_of(accepted_revision, now);
       const Index index = cluster_.add_job(header, revision, seen_at, cancelled_at);
       cluster_.jobs[index]->attempts_ended_by = now;
-      if (born > usage_restored_to_revision_) usage_.note_submitted(*cluster_.jobs[index]);
+      if (accepted_revision > usage_restored_to_revision_)
+        usage_.note_submitted(*cluster_.jobs[index]);
       pipelines::track_dependencies(cluster_, index, now);
-      spdlog::info("job {} taken up: {} tasks", id, header.spec.tasks);
+      spdlog::info("job {} added: {} tasks", id, header.spec.tasks);
     } else if (revision > job->revision) {
       job->revision = revision;
       job->cancel_unconfirmed = job->cancel_unconfirmed && !header.cancelled;
@@ -208,14 +215,15 @@
     }
     needs_priority_update_ = needs_placement_ = needs_scaling_ = recheck_deferred_responses_ = true;
   } catch (const std::exception& error) {
-    spdlog::error("record {}: not taken in: {}", key, error.what());
+    spdlog::error("record {} could not be applied: {}", key, error.what());
     return false;
   }
   return true;
 }
 
 void Leader::on_job_changes(const std::vector<kv::KeyChange>& changes, double now) {
-  // Until the last of them is taken in: what throws on the way is not known.
+  // The flag stays false if an exception interrupts the loop, because the remaining changes are
+  // then not applied.
   bool complete = std::exchange(all_job_changes_applied_, false);
   for (const kv::KeyChange& change : changes) {
     watched_revision_ = std::max(watched_revision_, change.revision);
@@ -225,7 +233,8 @@
                                    cancellation_time_of_change(now), now);
       continue;
     }
-    // Our own end of the job; what the watch brings from here on is newer.
+    // The header was removed by the transaction that stored the job's end. From here on the watch
+    // reports only newer changes of the key.
     const std::string id = change.key.substr(std::min<std::size_t>(4, change.key.size()));
     recently_ended_jobs_.erase(id);
     const auto at = cluster_.job_index.find(id);
@@ -239,20 +248,22 @@
   all_job_changes_applied_ = complete;
 }
 
-// Told to a user, they are durable; the watch brings their headers later. Before a word proves
-// anything its cancellations are in the state.
+// Cancellations that were confirmed to a user are stored; the watch will report their headers
+// later. A digest counts as proof only once its cancellations are in the state.
 void Leader::on_cancellation_digests(const std::vector<leadership::CancellationDigest>& digests,
                                      double now) {
   for (const leadership::CancellationDigest& digest : digests) {
     for (const std::string& id : digest.cancelled) {
       const auto at = cluster_.job_index.find(id);
       if (at == cluster_.job_index.end()) {
-        spdlog::debug("job {}: told as cancelled, has ended or is not known", id);
+        spdlog::debug(
+            "job {}: a member has confirmed its cancellation, but it has ended or is not known",
+            id);
         continue;
       }
       Job& job = *cluster_.jobs[at->second];
       if (job.cancelled) continue;
-      spdlog::info("job {} is cancelled: its user was told so elsewhere", id);
+      spdlog::info("job {} is cancelled: a member has confirmed this to its user", id);
       job.cancel_unconfirmed = true;
       cluster_.cancel_job(at->second, cancellation_time_of_change(now));
       pipelines::resolve_dependents(cluster_, id, DependencyState::cancelled, now);
@@ -264,7 +275,7 @@
 }
 
 void Leader::on_job_end_read(const std::string& id, const kv::ReadResult& found, double now) {
-  // Absent: it was accepted a moment ago and the watch has yet to bring it.
+  // If the end is absent, the job was accepted a moment ago and the watch has not reported it yet.
   if (found.outcome != Outcome::ok || cluster_.job_index.contains(id)) return;
   const bool cancelled = jobs::decode_final_state(found.entry.value).cancelled;
   pipelines::resolve_dependents(cluster_, id,
@@ -327,8 +338,9 @@
   }
 }
 
-// A leader whose watch on the jobs has stopped may have been replaced: its machines are silent
-// because they report to another. It answers workers, and leaves the fleet alone.
+// A leader whose watch on jobs has stopped may have been replaced. Machines are then silent because
+// they report to the new leader, so this one responds to workers but neither rents nor returns
+// machines.
 void Leader::manage_hosts(double now) {
   const bool is_current = has_current_jobs(now);
   if (is_current && now - liveness_checked_at_ > kCheckHostsInterval_s) {
@@ -343,8 +355,9 @@
   scale_if_due(is_current, now);
 }
 
-// Records only name machines. Until a list or their heartbeats tell what they are and that they run
-// they count for nothing, and each new leader rented the whole fleet once more.
+// Stored records contain only the names of machines, which do not count as capacity until the
+// cloud's list or heartbeats have described them. Without this wait, each new leader rented the
+// whole fleet again.
 void Leader::scale_if_due(bool is_current, double now) {
   if (!is_current || !hosts_listed_) {
     needs_scaling_ = true;
@@ -369,7 +382,7 @@
   }
 }
 
-// A request for machines is sent once the record that names it is stored.
+// Requests for machines are sent once their pool record is stored.
 void Leader::release_scale_outs() {
   std::erase_if(scale_outs_awaiting_record_, [&](const auto& pending) {
     if (!transaction_builder_.is_stored(pending.first)) return false;
--- a/src/controller/leader_drains.cpp
+++ b/src/controller/leader_drains.cpp
@@ -1,5 +1,5 @@
-// The leader and the machines that operators want emptied: the record that says so, and what comes
-// of it.
+// The leader's part in draining machines: it reads the operators' rules from their record and acts
+// on the decisions of drains::Drains.
 #include <spdlog/spdlog.h>
 
 #include "controller/leader.h"
@@ -31,9 +31,9 @@
   if (entry->revision == drains_revision_) return;
   try {
     const drains::AcceptedPolicy accepted = drains::decode_accepted_policy(entry->value);
-    const std::string where = std::string("record ") + drains::kPolicyKey;
+    const std::string source = std::string("record ") + drains::kPolicyKey;
     drains::DrainPolicy rules = drains::parse_drain_policy(
-        settings::parse_s_expression(accepted.text, where), platform_, where);
+        settings::parse_s_expression(accepted.text, source), platform_, source);
     std::map<std::uint64_t, double> times;
     for (const auto& [serial, revision] : accepted.earlier_revisions) {
       times[serial] = revision_clock_.time_of(revision, now);
@@ -44,8 +44,8 @@
       types.insert(type.name);
       zones.insert(type.zones.begin(), type.zones.end());
     }
-    for (const std::string& wrong : drains::find_unknown_names(rules, types, zones)) {
-      if (!types.empty()) spdlog::error("drains: {}", wrong);
+    for (const std::string& problem : drains::find_unknown_names(rules, types, zones)) {
+      if (!types.empty()) spdlog::error("drains: {}", problem);
     }
     drains_.apply_policy(std::move(rules), std::move(times), now);
     drains_revision_ = entry->revision;
@@ -54,7 +54,7 @@
   } catch (const std::exception& error) {
     if (last_drain_error_ == error.what()) return;
     last_drain_error_ = error.what();
-    spdlog::error("record {}: {}: what was in force goes on", drains::kPolicyKey,
+    spdlog::error("record {}: {}: the previous rules stay in force", drains::kPolicyKey,
                   last_drain_error_);
   }
 }
--- a/src/controller/leader_hosts.cpp
+++ b/src/controller/leader_hosts.cpp
@@ -1,4 +1,4 @@
-// The leader and its machines: what the cloud tells of them, what is rented and what goes back.
+// The leader's machines: what the cloud reports of them, which are rented and which are returned.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -19,12 +19,13 @@
 namespace {
 
 constexpr double kBootTimeoutFactor = 4;
-constexpr double kReturnedHostRetention_s = 300;  // late messages of a returned machine may come
+constexpr double kReturnedHostRetention_s = 300;  // messages of a returned machine may arrive late
 constexpr double kStoreZonesInterval_s = 1;
-// A machine whose heartbeats arrive but that receives no responses is returned after so many
-// leases: its tasks ended with the first, and a network that is cut one way may mend.
+// A machine whose heartbeats arrive but that receives no responses is returned after this many
+// leases. Its tasks ended with the first one, and a one-way network fault may be repaired
+// meanwhile.
 constexpr double kUnreachableTimeoutLeases = 2;
-// In a partition, times the silence that is held against a single machine.
+// When many machines are silent, a machine is returned after this many times the usual limit.
 constexpr double kPartitionSilenceFactor = 4;
 
 double silence_limit_s(const settings::WorkerTimings& workers) { return workers.lease_s * 1.1; }
@@ -37,12 +38,13 @@
 }
 
 void Leader::on_catalog(const cloud::Catalog& catalog, double now) {
-  const auto frame = [](cloud::Catalog types) {
+  const auto encode_without_spot_prices = [](cloud::Catalog types) {
     for (auto& type : types) type.spot_price_per_hour = 0;
     return cloud::encode_catalog(types);
   };
-  if (cluster_.catalog.empty() || frame(catalog) != frame(cluster_.catalog)) {
-    // Where it is too long, each node reads it from the cloud.
+  if (cluster_.catalog.empty() ||
+      encode_without_spot_prices(catalog) != encode_without_spot_prices(cluster_.catalog)) {
+    // If the catalog is too large for a record, each node reads it from the cloud.
     const kv::Json value = cloud::encode_catalog(catalog);
     if (kv::fits(value, platform_.strictest_store_limits().value_kb))
       transaction_builder_.queue_write({kCatalogKey, value});
@@ -82,7 +84,8 @@
   remove_unlisted_hosts(names, requested_at, now);
 }
 
-// Still listed long after its return: it is not what was returned, or it came back.
+// Whether the machine is still listed long after its return, so that it must be returned again: it
+// may not be the machine that was returned, or it has come back.
 bool Leader::is_listed_after_return(const std::string& name, double requested_at, double now) {
   double& returned_at = returned_hosts_.at(name);
   if (requested_at - returned_at <= 3 * platform_.cloud_limits.list_lag_s + 5) return false;
@@ -97,7 +100,7 @@
   cluster_.set_host_type(index, machine.type, machine.zone, machine.spot);
   Host& host = *cluster_.hosts[index];
   host.identity_unconfirmed = false;
-  // Whoever learnt of the machine from a heartbeat or a record does not know its age.
+  // If the machine became known by a heartbeat or a record, its age was not known then.
   host.rented_at = std::min(host.rented_at, now - machine.rented_for_s);
   host.listed_as_running = is_running;
   if (is_new) needs_scaling_ = true;
@@ -107,8 +110,8 @@
   }
 }
 
-// A list describes a moment at most twice the lag ago. A machine that was there before that moment
-// and is not listed is gone.
+// A list reflects a time at most twice the lag ago. A machine that existed before then and is not
+// listed is gone.
 void Leader::remove_unlisted_hosts(const std::set<std::string>& listed, double requested_at,
                                    double now) {
   const double list_lag_s = platform_.cloud_limits.list_lag_s;
@@ -121,7 +124,7 @@
   }
   for (const std::string& name : missing) {
     const Host& host = *cluster_.find_host(name);
-    spdlog::info("machine {} is gone", name);
+    spdlog::info("machine {} is no longer listed by the cloud", name);
     if (host.spot && host.type != kNone && host.phase != HostPhase::terminating) {
       autoscaler_.record_reclaim(cluster_, {host.type, host.zone, true});
     }
@@ -148,8 +151,9 @@
   } else {
     autoscaler_.reset_refusals(pool);
   }
-  spdlog::info("hire {}: {} of {} {} {} in {}", request.name, result.machines.size(), request.count,
-               request.spot ? "spot" : "ordinary", request.type, request.zone);
+  spdlog::info("scale-out request {}: got {} of {} {} {} machines in {}", request.name,
+               result.machines.size(), request.count, request.spot ? "spot" : "ordinary",
+               request.type, request.zone);
   if (schema::has_level(schema_, schema::kClosedPools)) {
     transaction_builder_.queue_write({pool_key(pool), std::nullopt});
   } else {
@@ -168,7 +172,7 @@
 }
 
 void Leader::request_scale_in(Host& host, const std::string& why) {
-  spdlog::info("machine {} goes back: {}", host.name, why);
+  spdlog::info("machine {} is being returned: {}", host.name, why);
   host.phase = HostPhase::terminating;
   effects_.cloud_requests.push_back(
       {CloudRequest::Kind::scale_in, {}, {host.name}, host.urgent_return_requested});
@@ -181,8 +185,8 @@
   advanced_at_ = now;
 }
 
-// Also without the key-value store: a cancelled task must be gone whoever else may lead, and
-// returning a machine is safe under any leader.
+// This step does not depend on the key-value store: a cancelled task must end in time whichever
+// node is the leader, and returning a machine is safe under any leader.
 void Leader::scale_in_for_cancellations(double now) {
   for (const auto& [host_index, job_index] :
        workers::overdue_machines(cluster_, listening_since_, now)) {
@@ -194,8 +198,8 @@
   }
 }
 
-// How long a change of leaders took, as the workers see it: until all that run have been heard, or
-// a lease has gone by.
+// Logs how long the change of leaders took for the workers: until all running machines have been
+// heard from, or for the duration of a lease.
 void Leader::log_failover_progress(double now) {
   if (failover_progress_logged_ || !hosts_listed_) return;
   std::size_t running = 0, silent = 0;
@@ -212,25 +216,26 @@
   if (silent > 0 && passed < platform_.worker_timings.lease_s) return;
   failover_progress_logged_ = true;
   if (running == 0) return;
-  const auto within = [](double seconds) {
+  const auto format_duration = [](double seconds) {
     return seconds < 0 ? std::string("not yet") : fmt::format("{:.1f} s", seconds);
   };
   spdlog::info(
-      "{} of {} running machines heard {:.1f} s after taking over; half: {}, 99 of 100: {}",
-      running - silent, running, passed, within(half_heard_after_s_),
-      within(percent_99_heard_after_s_));
+      "{} of {} running machines heard from {:.1f} s into the term; half: {}, 99 of 100: {}",
+      running - silent, running, passed, format_duration(half_heard_after_s_),
+      format_duration(percent_99_heard_after_s_));
 }
 
-// By operators' wish, or because the zone is not well.
+// Closes the pools that the operators' drain rules exclude and those in zones that have failed, and
+// opens all others.
 void Leader::update_closed_pools() {
   std::set<Pool> pools = zones_.closed_pools(cluster_);
   pools.merge(drains_.closed_pools(cluster_));
   autoscaler_.set_closed_pools(std::move(pools));
 }
 
-// Machines whose heartbeats arrive but that receive no responses take nothing new and are returned
-// after a while. Where many
-// are so at once it is the network's matter, or our own lateness, and none is held to be so.
+// Detects machines whose heartbeats arrive but that receive no responses: they get no new tasks and
+// are returned after a while. If many are affected at once, the cause is the network or our own
+// delay, and none is marked.
 void Leader::detect_unreachable_hosts(double now) {
   int up = 0, unreachable = 0;
   for (const auto& host : cluster_.hosts) {
@@ -238,14 +243,15 @@
     ++up;
     unreachable += host->ignored_responses >= workers::kUnreachableAfterIgnoredResponses ? 1 : 0;
   }
-  const bool many = unreachable > 1 && unreachable * 3 > up;
+  const bool many_unreachable = unreachable > 1 && unreachable * 3 > up;
   for (const auto& host : cluster_.hosts) {
     if (!host || host->phase != HostPhase::up) continue;
     const bool unreachable =
-        host->ignored_responses >= workers::kUnreachableAfterIgnoredResponses && !many;
+        host->ignored_responses >= workers::kUnreachableAfterIgnoredResponses && !many_unreachable;
     if (unreachable == (host->unreachable_since >= 0)) continue;
-    spdlog::info("machine {} {}", host->name,
-                 unreachable ? "reports, but our answers do not reach it" : "hears us again");
+    spdlog::info(
+        "machine {} {}", host->name,
+        unreachable ? "sends heartbeats but receives no responses" : "receives responses again");
     host->unreachable_since = unreachable ? now : -1;
     needs_placement_ = needs_scaling_ = true;
   }
@@ -282,9 +288,9 @@
   }
 }
 
-// Silence of one machine is its own. When many fall silent together a network partition is
-// likelier, and they work on behind it: one recorded day lost half the fleet to a leader that
-// returned them all.
+// If one machine is silent, it has failed. If many fall silent together, a network partition is
+// more likely, and their tasks go on behind it: on a recorded day a leader returned all such
+// machines and lost half the fleet.
 bool Leader::are_many_hosts_silent(double now) const {
   const double limit_s = silence_limit_s(platform_.worker_timings);
   int up = 0, silent = 0;
@@ -296,13 +302,14 @@
   return silent > 1 && silent * 3 > up;
 }
 
-// Null: it stays.
+// Returns null if the machine is to be kept.
 const char* Leader::reason_to_scale_in(Index index, bool many_are_silent, double now) const {
   const Host* host = cluster_.hosts[index].get();
   if (host == nullptr || host->phase == HostPhase::terminating) return nullptr;
-  // What is silent with its whole zone is the zone's matter, and has its time anew when that is
-  // heard again. Judged machine by machine a zone was returned within seconds: heartbeats are
-  // staggered, so that never a third was silent together.
+  // Machines of a zone that is silent as a whole are left to zones::ZoneMonitor, and their time
+  // counts anew when the zone is heard again. When they were judged one by one, a whole zone was
+  // returned within seconds: heartbeats are staggered, so never a third of the machines was silent
+  // together.
   const bool has_zone = host->zone != kNone;
   const zones::ZoneState zone = has_zone ? zones_.state(host->zone) : zones::ZoneState::healthy;
   if (zone == zones::ZoneState::suspected || zone == zones::ZoneState::lost) return nullptr;
@@ -336,7 +343,7 @@
   pipelines::estimate_unblock_times(cluster_, now);
   for (const Index index : autoscaler_.scale_in_candidates(cluster_, now)) {
     if (placement::try_backfill(cluster_, index)) {
-      spdlog::info("machine {} serves small tasks: large ones do not need it",
+      spdlog::info("machine {} is used for small tasks: no large ones need it",
                    cluster_.hosts[index]->name);
       needs_placement_ = true;
     } else {
@@ -352,8 +359,8 @@
     request.spot = demand.pool.spot;
     request.count = demand.machines;
     autoscaler_.set_pending_request(demand.pool, demand.machines);
-    spdlog::info("hire {}: asking for {} {} {} in {}", request.name, request.count,
-                 request.spot ? "spot" : "ordinary", request.type, request.zone);
+    spdlog::info("scale-out request {}: asking for {} {} {} machines in {}", request.name,
+                 request.count, request.spot ? "spot" : "ordinary", request.type, request.zone);
     const std::string key = pool_key(demand.pool);
     transaction_builder_.queue_write({key, kv::Json{{"open", true},
                                                     {"name", request.name},
--- a/src/controller/leader_restore.cpp
+++ b/src/controller/leader_restore.cpp
@@ -1,6 +1,6 @@
-// The start of a leader's term: what is stored becomes the state that decisions are made on. Each
-// function restores one kind of record. A record that cannot be read is logged and left alone where
-// the leader can do without it; else the constructor throws, and the term does not begin.
+// The start of a leader's term: stored records become the state on which decisions are made. Each
+// function restores one kind of record. A malformed record is logged and left as it is if the
+// leader can do without it; otherwise the constructor throws and the term does not begin.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -52,7 +52,7 @@
   try {
     drains_.restore(snapshot.drain_budgets->value, now);
   } catch (const std::exception& error) {
-    spdlog::error("record {}: {}", drains::kUsageKey, error.what());
+    spdlog::error("record {} cannot be read: {}", drains::kUsageKey, error.what());
   }
 }
 
@@ -63,7 +63,7 @@
   try {
     revision_clock_.restore(record.value, record.revision, now);
   } catch (const std::exception& error) {
-    spdlog::error("record {}: {}", kv::kTimelineKey, error.what());
+    spdlog::error("record {} cannot be read: {}", kv::kTimelineKey, error.what());
   }
 }
 
@@ -73,7 +73,7 @@
   cluster_.set_catalog(cloud::decode_catalog(snapshot.catalog->value));
 }
 
-// Jobs first, then their task records, then the dependencies between all of them.
+// Restores the jobs, then their task range records, then the dependencies between jobs.
 void Leader::restore_jobs(const LeaderSnapshot& snapshot, double now) {
   for (const kv::Entry& entry : snapshot.jobs) {
     apply_job_record(entry.key, entry.value, entry.revision,
@@ -85,7 +85,7 @@
     if (!key) continue;
     const auto job = cluster_.job_index.find(key->job);
     if (job == cluster_.job_index.end()) {
-      // Its job has ended; the transaction that ended it had no room for this.
+      // The job has ended, and the transaction that stored its end had no room for this removal.
       transaction_builder_.note_stored(entry.key, entry.revision);
       transaction_builder_.queue_write({entry.key, std::nullopt});
       continue;
@@ -100,8 +100,8 @@
   }
 }
 
-// A request that an earlier leader had stored may have been made, or not: it is sent again, since
-// under the same name it is made at most once.
+// A request stored by an earlier leader may or may not have been sent. It is sent again; the cloud
+// executes requests of the same name at most once.
 void Leader::restore_scale_outs(const LeaderSnapshot& snapshot, double now) {
   for (const kv::Entry& entry : snapshot.pools) {
     transaction_builder_.note_stored(entry.key, entry.revision);
@@ -122,12 +122,13 @@
     zones_.restore(snapshot.zones->value, cluster_,
                    revision_clock_.time_of(snapshot.zones->revision, now), now);
   } catch (const std::exception& error) {
-    spdlog::error("record {}: {}: all zones are taken for healthy", zones::kZonesKey, error.what());
+    spdlog::error("record {}: {}: all zones are assumed to be healthy", zones::kZonesKey,
+                  error.what());
   }
 }
 
-// A version that knows of no schema levels cannot be kept from leading. What it wrote in an older
-// form shows in the records, and is migrated again.
+// Program versions without schema levels cannot be kept from becoming the leader. Records that one
+// of them wrote in an older form are detected here and migrated again.
 void Leader::detect_older_leader(const LeaderSnapshot& snapshot) {
   const auto is_older = [&](const kv::Entry& entry) {
     return is_obsolete(entry.key, entry.value, schema_.written_level);
@@ -136,7 +137,8 @@
                            std::none_of(snapshot.pools.begin(), snapshot.pools.end(), is_older))) {
     return;
   }
-  spdlog::error("level {}: an older version has led since the migration", schema_.level);
+  spdlog::error("schema level {}: an older version has been the leader since the migration",
+                schema_.level);
   write_schema({schema_.level, schema_.written_level, false}, {});
 }
 
--- a/src/controller/leader_schema.cpp
+++ b/src/controller/leader_schema.cpp
@@ -1,4 +1,5 @@
-// The leader and the levels of the stored state: when to step, and moving what is of an older form.
+// The leader's part in schema migrations: it starts them when all nodes support the next level, and
+// migrates or removes obsolete records.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -10,7 +11,8 @@
 
 namespace {
 
-// Claims are read often while there is a step to take, else to see a hold that an operator has set.
+// Claims are read often while a migration is possible or in progress, otherwise rarely, to notice a
+// hold that an operator has set.
 constexpr double kClaimsIntervalMigrating_s = 3;
 constexpr double kClaimsIntervalSettled_s = 20;
 constexpr double kObsoleteRecordsInterval_s = 4;
@@ -18,7 +20,7 @@
 }  // namespace
 
 void Leader::advance_schema(double now) {
-  if (!all_upgraded_) return;  // 0.2.0 may yet lead
+  if (!all_upgraded_) return;  // A node of version 0.2.0 may still become the leader.
   const bool migration_expected =
       !schema_.settled || schema_.level < std::min(supported_levels_.newest, schema::kNewestLevel);
   if (now - claims_read_at_ >=
@@ -32,8 +34,8 @@
   }
 }
 
-// In a batch of its own or with others: what stands in the same transaction is of the level before,
-// and its condition on the level's revision holds for both.
+// The write may share a transaction with others. These are then still in the form of the level
+// before, and the transaction's condition on the level's revision covers both.
 void Leader::write_schema(const schema::StoredSchema& to,
                           std::vector<std::pair<std::string, std::uint64_t>> preconditions) {
   if (transaction_builder_.is_write_pending(schema::kLevelKey)) return;
@@ -61,44 +63,49 @@
     }
   } else if (*migration->rejection_reason != last_migration_refusal_) {
     last_migration_refusal_ = *migration->rejection_reason;
-    spdlog::error("level {} does not step back: {}", schema_.level, last_migration_refusal_);
+    spdlog::error("schema level {} cannot be downgraded: {}", schema_.level,
+                  last_migration_refusal_);
   }
 }
 
-// Either shows that nothing is left, or moves what is, as far as it can be moved now.
+// Completes the migration if no obsolete record is left; otherwise migrates those that can be
+// migrated now.
 void Leader::on_obsolete_records(const std::vector<kv::Entry>& entries, double now) {
   if (schema_.settled || transaction_builder_.is_write_pending(schema::kLevelKey)) return;
-  const auto stale = std::count_if(entries.begin(), entries.end(), [&](const auto& entry) {
+  const auto obsolete_count = std::count_if(entries.begin(), entries.end(), [&](const auto& entry) {
     return is_obsolete(entry.key, entry.value, schema_.written_level);
   });
-  if (stale == 0) {
+  if (obsolete_count == 0) {
     write_schema(schema::settled_form(schema_), {});
     return;
   }
-  spdlog::info("level {}: {} records are of another form", schema_.level, stale);
+  spdlog::info("schema level {}: {} obsolete records remain", schema_.level, obsolete_count);
   for (const kv::Entry& entry : entries) {
     if (!is_obsolete(entry.key, entry.value, schema_.written_level)) continue;
     migrate_obsolete_record(entry.key, entry.revision, now);
   }
 }
 
-// A record of tasks goes once newer ones hold all that it says; others go at once.
+// Removes an obsolete record: a task range record once newer records hold all its content, any
+// other at once.
 void Leader::migrate_obsolete_record(const std::string& key, std::uint64_t revision, double now) {
-  // Written by nodes alone, and by none below its level: it stands as it was read.
+  // Nodes write this record, not the leader, and none does so below its level, so it is still as it
+  // was read.
   if (key == drains::kPolicyKey) transaction_builder_.note_stored(key, revision);
-  // The read may be older than what we have stored since.
-  const auto chunk = jobs::parse_task_range_key(key);
-  const bool current = chunk ? !migrated_task_ranges_.contains(key)
-                             : transaction_builder_.revision_of(key) == std::optional(revision);
-  if (transaction_builder_.is_write_pending(key) || !current) return;
-  const auto at = chunk ? cluster_.job_index.find(chunk->job) : cluster_.job_index.end();
+  // The read may be older than what this leader has stored since.
+  const auto task_range = jobs::parse_task_range_key(key);
+  const bool is_current = task_range
+                              ? !migrated_task_ranges_.contains(key)
+                              : transaction_builder_.revision_of(key) == std::optional(revision);
+  if (transaction_builder_.is_write_pending(key) || !is_current) return;
+  const auto at = task_range ? cluster_.job_index.find(task_range->job) : cluster_.job_index.end();
   if (at != cluster_.job_index.end()) {
-    if (cluster_.finished_jobs.contains(at->second)) return;  // its end removes it
+    if (cluster_.finished_jobs.contains(at->second)) return;  // removed with the job's end
     if (!cluster_.rewrite_older_records(at->second, revision, now)) return;
     std::erase_if(cluster_.jobs[at->second]->obsolete_records,
-                  [&](const placement::ObsoleteRecord& stray) { return stray.key == key; });
+                  [&](const placement::ObsoleteRecord& record) { return record.key == key; });
   }
-  if (chunk) {
+  if (task_range) {
     migrated_task_ranges_.insert(key);
     transaction_builder_.note_stored(key, revision);
   }
--- a/src/controller/leader_snapshot_loader.cpp
+++ b/src/controller/leader_snapshot_loader.cpp
@@ -10,7 +10,8 @@
   if (!tasks) return std::nullopt;
   auto pools = list_all(store_, "pool/");
   if (!pools) return std::nullopt;
-  // Read in this order. From when the level is read, none is stored without our fencing token.
+  // The order matters: from the read of the schema level on, leaders' records are stored only with
+  // our fencing token.
   for (const auto& [key, into] : {std::pair{kCatalogKey, &snapshot.catalog},
                                   std::pair{schema::kLevelKey, &snapshot.stored_schema},
                                   std::pair{shares::kSharesKey, &snapshot.shares},
@@ -20,7 +21,8 @@
                                   std::pair{kv::kTimelineKey, &snapshot.stored_revision_clock}}) {
     if (!read_optional(store_, key, *into)) return std::nullopt;
   }
-  // An old node may have led until now: only a look tells in which form the records may go on.
+  // A node of an old version may have been the leader until now. Which form of records this leader
+  // may write can only be told from the key-value store.
   const auto all_upgraded = members_.check_all_upgraded();
   if (!all_upgraded) return std::nullopt;
   snapshot.all_upgraded = *all_upgraded;
--- a/src/controller/leader_transactions.cpp
+++ b/src/controller/leader_transactions.cpp
@@ -1,4 +1,4 @@
-// The leader and its transactions: when the next one goes out, and what an outcome changes.
+// The leader's transactions: when the next one is sent, and how an outcome changes the state.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kMaxConsecutiveConflicts = 12;
-constexpr int kMinTransactionWrites = 2;  // a job's end
+constexpr int kMinTransactionWrites = 2;  // storing a job's end takes two
 
 }  // namespace
 
@@ -36,9 +36,10 @@
     transaction_.on_verification_failed(now);
     return;
   }
-  // A conflict need not name all keys that differ. Whoever leads now may have written this one.
+  // A conflict need not name every key that differs: the leader's key may have changed as well, and
+  // a new leader may have written this key.
   if (leader.outcome == Outcome::absent || leader.entry.revision != cluster_.fencing_token) {
-    spdlog::info("baton {} is no longer valid", cluster_.fencing_token);
+    spdlog::info("fencing token {} is no longer valid", cluster_.fencing_token);
     deposed_ = true;
     return;
   }
@@ -49,9 +50,9 @@
   const kv::CommitResult& result = resolution.result;
   const TransactionBatch batch = transaction_.finish();
   if (result.outcome == Outcome::ok) {
-    for (const auto& [id, fate] : batch.ended_jobs) {
+    for (const auto& [id, final_state] : batch.ended_jobs) {
       const Job* job = cluster_.find_job(id);
-      if (fate == DependencyState::cancelled && job != nullptr) usage_.note_cancelled(*job);
+      if (final_state == DependencyState::cancelled && job != nullptr) usage_.note_cancelled(*job);
     }
   }
   const BatchOutcome outcome = resolution.is_certain
@@ -68,12 +69,12 @@
       on_batch_rejected(result.outcome, now);
       break;
     case BatchOutcome::deposed:
-      spdlog::info("baton {} is no longer valid", cluster_.fencing_token);
+      spdlog::info("fencing token {} is no longer valid", cluster_.fencing_token);
       deposed_ = true;
       break;
     case BatchOutcome::uncertain:
-      // Reading everything anew under a new fencing token is the one way to be sure again.
-      spdlog::info("the outcome of a transaction is not certain: giving up the lead");
+      // Only reading everything again under a new fencing token restores a certain state.
+      spdlog::info("the outcome of a transaction is uncertain: stepping down");
       effects_.step_down = true;
       break;
   }
@@ -84,22 +85,22 @@
   transaction_.note_success();
   consecutive_conflicts_ = 0;
   revision_clock_.observe(store_revision, now);
-  for (const RecordWrite& note : batch.record_writes) {
-    if (note.key != schema::kLevelKey) continue;
-    schema_ = schema::decode_stored(note.value);
+  for (const RecordWrite& record : batch.record_writes) {
+    if (record.key != schema::kLevelKey) continue;
+    schema_ = schema::decode_stored(record.value);
     transaction_builder_.set_schema_level(schema_.written_level);
     obsolete_records_read_at_ = claims_read_at_ = -1e9;
-    spdlog::info("level {}: written {}, {}", schema_.level, schema_.written_level,
-                 schema_.settled ? "settled" : "what is older is being moved");
+    spdlog::info("schema level {}, writing level {}: {}", schema_.level, schema_.written_level,
+                 schema_.settled ? "settled" : "migrating older records");
   }
   needs_placement_ = true;
-  for (const auto& [id, fate] : batch.ended_jobs) {
+  for (const auto& [id, final_state] : batch.ended_jobs) {
     if (store_revision > watched_revision_) recently_ended_jobs_[id] = store_revision;
     needs_priority_update_ = true;
   }
 }
 
-// Certainly not applied, and it never will be as it is: first by fewer changes, then without the
+// The batch was not applied and cannot be as it is. First retry with fewer writes, then without the
 // records that it consists of.
 void Leader::on_batch_too_large(const TransactionBatch& batch, double now) {
   if (batch.transaction.writes.size() > kMinTransactionWrites) {
@@ -110,12 +111,12 @@
   max_writes_ = platform_.strictest_store_limits().txn_ops;
 }
 
-// Cancellations come one by one. So many conflicts together mean that we are wrong about a header,
-// and that nothing would ever be stored again.
+// Cancellations cause single conflicts. This many in a row mean that our copy of some header is
+// wrong, and then no transaction would ever succeed again.
 void Leader::on_batch_rejected(Outcome outcome, double now) {
   transaction_.note_failure(now);
   if (outcome == Outcome::conflict && ++consecutive_conflicts_ >= kMaxConsecutiveConflicts) {
-    spdlog::error("transactions fail again and again: giving up the lead");
+    spdlog::error("too many consecutive transactions failed with conflicts: stepping down");
     effects_.step_down = true;
   }
 }
@@ -125,8 +126,9 @@
   if (transaction_.take_resend(now)) effects_.transaction = transaction_.batch();
 }
 
-// Worth a transaction: room for half a full one. Before a record is put together, not after: at a
-// grown site batches were built ten times a second and thrown away for want of writes.
+// Sends the next transaction if the write budget allows at least half of a full one. The budget is
+// checked before the batch is built: at a large site, batches were built ten times per second and
+// discarded for lack of budget.
 void Leader::send_next_transaction(double now) {
   if (!transaction_.is_empty()) {
     resume_transaction(now);
--- a/src/controller/leader_usage.cpp
+++ b/src/controller/leader_usage.cpp
@@ -1,5 +1,5 @@
-// The leader's accounts: what it logs of teams, classes and waiting jobs, and what it stores for
-// its successors of their shares and of when revisions were given.
+// The leader's accounting: it logs how teams, classes and waiting jobs are served, and stores for
+// its successors the usage accounts and the revision clock.
 #include <spdlog/spdlog.h>
 
 #include "controller/leader.h"
@@ -10,18 +10,19 @@
 
 namespace {
 
-// What a leader that has seen nothing yet will not know of: at most this much of every job's age,
-// and the time in which nobody led.
+// Limits what a new leader cannot know: the age of jobs comes out too small by at most this much,
+// and by the time without a leader.
 constexpr double kStoreRevisionClockInterval_s = 5;
 constexpr double kLogUsageInterval_s = 60;
 constexpr std::size_t kMaxLoggedWaitingJobs =
-    3;  // of the jobs that wait longest, each with its reason
+    // How many jobs are logged, of those that have waited longest, each with the reason.
+    3;
 constexpr double kStoreUsageInterval_s = 30;
 constexpr double kUpdateUsageInterval_s = 1;
 
 }  // namespace
 
-// One write every few seconds, while there are jobs whose age it tells.
+// Writes the revision clock every few seconds while there are jobs, whose ages it gives.
 void Leader::store_revision_clock(double now) {
   if (!schema::has_level(schema_, schema::kTimeline) ||
       now - revision_clock_stored_at_ < kStoreRevisionClockInterval_s ||
@@ -47,7 +48,7 @@
   next_usage_log_at_ = now + kLogUsageInterval_s;
   spdlog::info("served: {}", shares::describe(usage_.report(cluster_, now)));
   for (const Index job : placement::longest_waiting_jobs(cluster_, kMaxLoggedWaitingJobs, now)) {
-    spdlog::info("job {} waits after {:.0f} s: {}", cluster_.jobs[job]->spec.id,
+    spdlog::info("job {} has waited for {:.0f} s: {}", cluster_.jobs[job]->spec.id,
                  now - cluster_.jobs[job]->unblocked_at,
                  placement::wait_reason(cluster_, job, now));
   }
--- a/src/controller/machine_prober.cpp
+++ b/src/controller/machine_prober.cpp
@@ -17,7 +17,7 @@
       try {
         probe(request);
       } catch (const std::exception& error) {
-        spdlog::info("probe of {}: {}", request.address, error.what());
+        spdlog::info("call to worker at {} failed: {}", request.address, error.what());
       }
     }
   }
@@ -34,7 +34,7 @@
             {"orders", wire::Json::array()}};
   }
   const wire::CallResult answer = worker.call("POST", "/orders", &body, kProbeCallTimeout);
-  // 409: the worker refuses the orders, but gives its status all the same.
+  // A worker that rejects the orders (409) returns its status all the same.
   if (answer.status == 200 || answer.status == 409) {
     events_.push({request.fencing_token, StatusReceived{workers::decode_heartbeat(answer.body)}});
   }
--- a/src/controller/obsolete_records.cpp
+++ b/src/controller/obsolete_records.cpp
@@ -30,7 +30,7 @@
 
 bool is_obsolete(const std::string& key, const wire::Json& value, std::uint32_t level) {
   return std::any_of(kObsoleteChecks.begin(), kObsoleteChecks.end(),
-                     [&](const auto& slice) { return slice(key, value, level); });
+                     [&](const auto& check) { return check(key, value, level); });
 }
 
 bool is_obsolete_at_any_level(const std::string& key, const wire::Json& value) {
--- a/src/controller/pending_transaction.cpp
+++ b/src/controller/pending_transaction.cpp
@@ -10,15 +10,17 @@
 namespace {
 
 constexpr double kVerificationRetryDelay_s = 0.5;
-// Added to the wait before the next sending for each failure in a row, up to so many.
+// After a failure the next attempt waits for the delay times the number of consecutive failures, of
+// which at most the maximum beside the delay counts.
 constexpr double kUnansweredDelay_s = 0.3;
 constexpr int kMaxUnansweredDelays = 5;
 constexpr double kFailureDelay_s = 0.1;
 constexpr int kMaxFailureDelays = 8;
 
-// A key that the transaction writes, that nobody but a leader does, and the revision that it had:
-// while this leader's token is valid, another revision shows that the transaction was applied.
-// Users' headers and what is removed prove nothing.
+// A key that the transaction writes and only leaders write, with its revision before the
+// transaction. While this leader's token is valid, any other revision shows that the transaction
+// was applied. Job headers are no proof because users change them through other nodes; neither are
+// removed keys.
 std::optional<std::pair<std::string, std::uint64_t>> verification_key(
     const kv::Transaction& transaction) {
   for (const kv::Write& write : transaction.writes) {
@@ -41,7 +43,9 @@
 
 std::optional<PendingTransaction::Resolution> PendingTransaction::on_commit_result(
     const kv::CommitResult& result, double now) {
-  // "Malformed" tells of this sending alone: an earlier one may have come before the limits did.
+  // Neither a refusal nor "malformed" says anything about an earlier attempt, which may have been
+  // applied before the limits were lowered. After a refusal the batch is sent again; after
+  // "malformed" its outcome is uncertain.
   if (result.outcome == Outcome::unknown ||
       (result.outcome == Outcome::refused && may_be_applied_)) {
     may_be_applied_ = resend_due_ = true;
--- a/src/controller/server.cpp
+++ b/src/controller/server.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int kProberThreads = 3;
-// Of the rate that the key-value store allows a node.
+// The part of a node's rate limit at the key-value store that this process uses.
 constexpr double kStoreRateFraction = 0.6;
 
 }  // namespace
@@ -51,8 +51,9 @@
   }
 }
 
-// The listeners first: whoever has not got them is a second process of this name, or there are too
-// few ports, and must not have said a word to the key-value store in its node's name.
+// The listeners are opened first. A process that cannot open them is a second one with this node's
+// name, or too few ports are free; it must not have sent anything to the key-value store under this
+// name.
 void Server::run() {
   wire::ConnectionLimiter connections(
       wire::max_connections_within({platform_.fd_limit, platform_.ram_mb, platform_.thread_limit}));
--- a/src/controller/store_reads.cpp
+++ b/src/controller/store_reads.cpp
@@ -8,7 +8,8 @@
   for (;;) {
     kv::ListResult page = store.list(prefix, entries.empty() ? "" : entries.back().key);
     if (page.outcome != kv::Outcome::ok) return std::nullopt;
-    // Later pages may show later changes; a watch begins where the first one stood.
+    // Later pages may already contain later changes, so a watch must start from the first page's
+    // revision.
     if (first_revision != nullptr && *first_revision == 0) *first_revision = page.store_revision;
     const bool more = page.has_more && !page.entries.empty();
     for (auto& entry : page.entries) entries.push_back(std::move(entry));
--- a/src/controller/strong_reader.cpp
+++ b/src/controller/strong_reader.cpp
@@ -21,7 +21,8 @@
                     JobEndRead{request.job_or_key, store_.get(jobs::end_key(request.job_or_key))}});
       return;
     case StrongReadRequest::Kind::verify_key: {
-      // In this order: while the leader's key is ours, nobody else can have written the former.
+      // The order matters: if the leader's key still has our token afterwards, no other leader can
+      // have written the first key before it was read.
       kv::ReadResult found = store_.get(request.job_or_key);
       events_.push({fencing_token, TransactionVerified{std::move(found), store_.get(kLeaderKey)}});
       return;
--- a/src/controller/transaction_builder.cpp
+++ b/src/controller/transaction_builder.cpp
@@ -19,14 +19,15 @@
 
 namespace {
 
-constexpr std::size_t kMaxTransactionBytes = 48 * 1024;  // the limit is 64 KiB in all
+constexpr std::size_t kMaxTransactionBytes = 48 * 1024;  // the store's limit is 64 KiB in total
 constexpr double kStatusCountsInterval_s = 2.0;
 constexpr double kConflictDelay_s = 0.05;
 constexpr double kMaxTaskEndDelay_s = 3;
 constexpr double kBackOffDuration_s = 10;
 
-// What an earlier leader placed is taken to run until its worker has been heard: each change of
-// leaders wrote "pending" over the headers of running jobs, and "running" again.
+// Attempts of an earlier leader count as running until their worker has been heard from. Otherwise
+// each change of leaders wrote "pending" into the headers of running jobs, and then "running"
+// again.
 std::uint32_t running_tasks(const Job& job) {
   return static_cast<std::uint32_t>(
       std::count_if(job.attempts.begin(), job.attempts.end(), [](const auto& entry) {
@@ -36,13 +37,14 @@
       }));
 }
 
-// Records that starts wait for, the most first; then those with ends that have waited long. Until
-// then ends are not lost: their workers go on listing them. Most are never written at all, since
-// their job's end comes first.
+// The task range records to write next: first those that starts wait for, most starts first, then
+// those with task ends that have waited long. Until an end is written it is not lost, because the
+// worker keeps listing it. Most of these records are never written, because the end of their job
+// comes first.
 std::vector<TaskRangeRef> task_ranges_by_urgency(const Cluster& cluster, double now) {
   std::vector<std::tuple<std::uint32_t, double, TaskRangeRef>> candidates;
   for (const TaskRangeRef& ref : cluster.dirty_task_ranges) {
-    if (cluster.finished_jobs.contains(ref.job)) continue;  // goes with its job
+    if (cluster.finished_jobs.contains(ref.job)) continue;  // removed with its job
     if (cluster.jobs[ref.job]->cancel_unconfirmed) continue;
     const placement::TaskRange& range = cluster.jobs[ref.job]->task_ranges[ref.range];
     const double age = now - range.dirty_since;
@@ -51,15 +53,16 @@
   }
   std::sort(candidates.rbegin(), candidates.rend());
   std::vector<TaskRangeRef> refs;
-  for (const auto& need : candidates) refs.push_back(std::get<2>(need));
+  for (const auto& candidate : candidates) refs.push_back(std::get<2>(candidate));
   return refs;
 }
 
 }  // namespace
 
 struct TransactionBuilder::BatchBuilder {
-  // Whatever is written has the form of a level, so all of it is conditional on the level's
-  // revision: a leader that stood still across a step writes nothing of the old form afterwards.
+  // All records are written in the form of a schema level, so every batch is conditional on the
+  // revision of the level's record. A leader that was suspended during a migration thus writes
+  // nothing in the old form afterwards.
   BatchBuilder(const Cluster& cluster, std::uint64_t level, int max_writes)
       : max_batch_writes(max_writes) {
     add_precondition(kLeaderKey, cluster.fencing_token);
@@ -91,8 +94,8 @@
   pending_writes_[key] = std::move(record);
 }
 
-// The simulated cluster wrote a closed pool as before, one transaction after the step to having
-// none.
+// Without this, the simulated cluster showed a pool record that was written in its old form one
+// transaction after the migration that removed such records.
 void TransactionBuilder::set_schema_level(std::uint32_t level) {
   for (auto& [key, record] : pending_writes_) {
     if (record.value && is_obsolete(key, *record.value, level)) record.value.reset();
@@ -108,8 +111,8 @@
   return !pending_writes_.contains(key) && revisions_.contains(key);
 }
 
-// The job's end and everything that goes with it in one step. Chunks beyond what a transaction may
-// change are removed afterwards: without a job they mean nothing.
+// Adds a job's end, together with the removal of its other records. Task range records that do not
+// fit into the transaction are removed afterwards; without a job they have no meaning.
 void TransactionBuilder::add_job_end(Cluster& cluster, Index index, BatchBuilder& builder) {
   Job& job = *cluster.jobs[index];
   const std::string& id = job.spec.id;
@@ -131,15 +134,16 @@
       remove(cluster.task_range_key(job, range), job.task_ranges[range].revision);
     }
   }
-  for (const placement::ObsoleteRecord& stray : job.obsolete_records)
-    remove(stray.key, stray.revision);
+  for (const placement::ObsoleteRecord& obsolete : job.obsolete_records)
+    remove(obsolete.key, obsolete.revision);
   builder.batch.ended_jobs.emplace_back(
       id, cancelled ? DependencyState::cancelled : DependencyState::done);
 }
 
-// Placements are reckoned before they are made, so a record fits. One that does not all the same,
-// such as one that takes over a larger record of before, gives up what may still be given up, and
-// else stays as it is until enough of its tasks have ended; it must not hold up the others.
+// Adds a task range record. It normally fits the store's limit, since its size is checked before a
+// task is placed. A record that does not fit, such as one that replaces a larger old record, first
+// drops placements that have not been stored. If it is still too large, it is left as stored until
+// enough of its tasks have ended; it must not hold up other records.
 void TransactionBuilder::add_task_range(Cluster& cluster, const TaskRangeRef& ref, double now,
                                         BatchBuilder& builder) {
   const Job& job = *cluster.jobs[ref.job];
@@ -153,11 +157,12 @@
     record = cluster.make_range_record(job, ref.range);
     value = cluster.encode_task_range(record);
     if (!kv::fits(value, cluster.max_value_kb())) {
-      spdlog::debug("record {} is too long to be written now", key);
+      spdlog::debug("record {} is too large to be written now", key);
       return;
     }
   }
-  // A cancellation changes the header, so that starts decided before it fail.
+  // A cancellation changes the job's header, so the condition makes starts fail that were decided
+  // before it.
   builder.add_precondition(jobs::job_key(job.spec.id), job.revision);
   builder.add_precondition(key, range.revision);
   builder.write(key, std::move(value));
@@ -173,7 +178,8 @@
       continue;
     }
     const std::uint32_t running = running_tasks(job);
-    // A change of phase shows; counts alone are refreshed along with it.
+    // A header is written when the number of done tasks changes or when the job begins or ceases to
+    // run; the number of running tasks alone is no reason for a write.
     const bool is_up_to_date =
         (running > 0) == (job.reported_running > 0) && job.done_count == job.reported_done;
     if (is_up_to_date || job.cancelled || job.is_finished()) {
@@ -185,7 +191,8 @@
     job.reported_at = now;
     kv::Json value =
         jobs::encode_header({job.spec, false, job.done_count, running, job.accepted_revision});
-    // Accepted when values could be longer: its counts are not shown.
+    // A job that was accepted under a larger value limit may not fit; its counts are then not
+    // updated.
     if (is_backed_off(key, now) || !kv::fits(value, cluster.max_value_kb())) continue;
     builder.add_precondition(key, job.revision);
     builder.write(key, std::move(value));
@@ -207,8 +214,8 @@
     if (!builder.has_room()) break;
     if (is_backed_off(key, now)) continue;
     builder.add_precondition(key, revision_of(key).value_or(0));
-    for (const auto& [other, revision] : record.preconditions)
-      builder.add_precondition(other, revision);
+    for (const auto& [condition_key, revision] : record.preconditions)
+      builder.add_precondition(condition_key, revision);
     builder.write(key, record.value);
     builder.batch.record_writes.push_back(record);
   }
@@ -221,12 +228,12 @@
   return std::move(builder.batch);
 }
 
-// Notes that were to be written only while the key stood as it was. Whether there were any.
+// Drops queued writes that are conditional on `key`. Returns whether there were any.
 bool TransactionBuilder::drop_writes_conditional_on(const std::string& key) {
   return std::erase_if(pending_writes_, [&](const auto& entry) {
-           const auto& given = entry.second.preconditions;
-           return std::any_of(given.begin(), given.end(),
-                              [&](const auto& one) { return one.first == key; });
+           const auto& preconditions = entry.second.preconditions;
+           return std::any_of(preconditions.begin(), preconditions.end(),
+                              [&](const auto& precondition) { return precondition.first == key; });
          }) > 0;
 }
 
@@ -238,7 +245,7 @@
 void TransactionBuilder::back_off(const TransactionBatch& batch, double now) {
   std::erase_if(backed_off_until_, [&](const auto& entry) { return now >= entry.second; });
   for (const kv::Write& write : batch.transaction.writes) {
-    spdlog::error("record {} is refused", write.key);
+    spdlog::error("record {} was rejected by the key-value store", write.key);
     backed_off_until_[write.key] = now + kBackOffDuration_s;
   }
 }
@@ -263,15 +270,15 @@
   }
 }
 
-// A header that changed was cancelled by its user; the watch brings the new one. What a record was
-// conditional on is looked at again by whoever wrote the record.
+// A job header that has changed was cancelled by its user; the watch will report the new one. A
+// queued write with a failed precondition is dropped, and the code that queued it decides again.
 BatchOutcome TransactionBuilder::on_conflict(const std::vector<std::string>& failed_keys,
                                              double now) {
   bool is_explained = !failed_keys.empty();
   for (const std::string& key : failed_keys) {
     if (key == kLeaderKey) return BatchOutcome::deposed;
-    const bool was_precondition = drop_writes_conditional_on(key);
-    is_explained = is_explained && (was_precondition || key.starts_with("job/"));
+    const bool dropped_writes = drop_writes_conditional_on(key);
+    is_explained = is_explained && (dropped_writes || key.starts_with("job/"));
   }
   next_batch_at_ = now + kConflictDelay_s;
   return is_explained ? BatchOutcome::retry : BatchOutcome::uncertain;
@@ -306,7 +313,7 @@
     job->revision = std::max(job->revision, store_revision);
     job->reported_done = written.done;
     job->reported_running = written.running;
-    // They may have changed meanwhile.
+    // The counts may have changed since the batch was built.
     cluster.jobs_with_changed_counts.insert(cluster.job_index[written.job]);
   }
 }
--- a/src/controller/write_budget.cpp
+++ b/src/controller/write_budget.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-constexpr double kLeaderRateFraction = 0.85;  // the rest is for users' own writes at other nodes
+// The rest is left for the writes by which other nodes accept and cancel jobs.
+constexpr double kLeaderRateFraction = 0.85;
 constexpr double kOptionalWritesMinLevel = 0.6;
-// Fewer could be a burst of users' own writes.
+// Fewer throttled requests could be caused by a burst of submissions or cancellations.
 constexpr std::size_t kMinThrottlesForLowerRate = 3;
 constexpr double kThrottleWindow_s = 5;
 
@@ -35,7 +36,8 @@
   throttled_at_.insert(throttled_at_.end(), static_cast<std::size_t>(count), now);
   std::erase_if(throttled_at_, [&](double at) { return now - at > kThrottleWindow_s; });
   if (throttled_at_.size() < kMinThrottlesForLowerRate) return;
-  spdlog::info("the state service takes fewer changes: {} a second", announced_write_rps_);
+  spdlog::info("the key-value store enforces the announced write limit: {} per second",
+               announced_write_rps_);
   uses_announced_rate_ = true;
   bucket_ = bucket_for(announced_write_rps_);
 }
