--- a/src/controller/cloud_requests_test.cpp
+++ b/src/controller/cloud_requests_test.cpp
@@ -5,22 +5,22 @@
 namespace reachramp::controller {
 namespace {
 
-QueuedCloudRequest rental(const std::string& name) {
-  CloudRequest order;
-  order.scale_out.name = name;
-  return {1, order};
+QueuedCloudRequest rent_request(const std::string& name) {
+  CloudRequest request;
+  request.scale_out.name = name;
+  return {1, request};
 }
 
-QueuedCloudRequest give_back(std::vector<std::string> machines, bool urgent = false) {
+QueuedCloudRequest return_request(std::vector<std::string> machines, bool urgent = false) {
   return {1, {CloudRequest::Kind::scale_in, {}, std::move(machines), urgent}};
 }
 
-// A machine on which a cancelled task may run waits behind nothing: neither rentals, which come
-// every second where much is wanted, nor returns for money's sake.
-TEST(CloudCalls, UrgentReturnsGoFirstThenRentalsThenOtherReturns) {
-  std::deque<QueuedCloudRequest> waiting{give_back({"n-1"}),       rental("r-1"),
-                                         give_back({"n-2"}, true), rental("r-2"),
-                                         give_back({"n-3"}),       give_back({"n-4"}, true)};
+// The return of a machine on which a cancelled task may run must not wait behind rentals, which
+// come every second under high demand, nor behind returns that only save cost.
+TEST(CloudRequests, UrgentReturnsGoFirstThenRentalsThenOtherReturns) {
+  std::deque<QueuedCloudRequest> waiting{
+      return_request({"n-1"}), rent_request("r-1"),     return_request({"n-2"}, true),
+      rent_request("r-2"),     return_request({"n-3"}), return_request({"n-4"}, true)};
   EXPECT_TRUE(has_urgent_request(waiting));
   EXPECT_EQ(take_next_request(waiting).request.scale_in_machines,
             (std::vector<std::string>{"n-2", "n-4"}));
@@ -32,10 +32,10 @@
   EXPECT_TRUE(waiting.empty());
 }
 
-TEST(CloudCalls, AReturnNamesNoMoreMachinesThanACallMay) {
+TEST(CloudRequests, AReturnNamesAtMostAsManyMachinesAsACallMay) {
   std::deque<QueuedCloudRequest> waiting;
   for (std::size_t i = 0; i <= cloud::kMaxMachinesPerReturn; ++i) {
-    waiting.push_back(give_back({"n-" + std::to_string(i)}, true));
+    waiting.push_back(return_request({"n-" + std::to_string(i)}, true));
   }
   EXPECT_EQ(take_next_request(waiting).request.scale_in_machines.size(),
             cloud::kMaxMachinesPerReturn);
--- a/src/controller/leader_bytes_test.cpp
+++ b/src/controller/leader_bytes_test.cpp
@@ -1,5 +1,5 @@
-// The literal form of the record `pool/`, which the leader alone reads and writes, of the keys it
-// knows, and of its body for a worker's /orders.
+// The exact JSON of the records `pool/`, which only the leader reads and writes, the exact keys of
+// its other records, and the exact body that it posts to a worker's /orders.
 #include "bytes.h"
 #include "controller/leader.h"
 
@@ -38,7 +38,7 @@
   return nullptr;
 }
 
-// Versions 0.2.0, 0.3.0 and 0.4.0 write the same.
+// Versions 0.2.0, 0.3.0 and 0.4.0 write the same JSON.
 TEST(PoolRecordBytes, OpenRequestIsReadFromLiteral) {
   LeaderSnapshot from = snapshot();
   from.pools = {{"pool/small/a/spot",
@@ -100,7 +100,8 @@
   EXPECT_TRUE(ended);
 }
 
-// A gang whose machines are drained stops everywhere at once, by orders that nobody asked for.
+// When machines of a gang are drained, all its tasks are stopped at the same time, by posts to
+// /orders that do not wait for heartbeats.
 TEST(DirectOrdersBytes, StopsOfDrainedGangAreWrittenAsLiteral) {
   LeaderSnapshot from = snapshot();
   from.stored_schema =
@@ -117,9 +118,10 @@
   leader.on_claims(
       {{"claim/node-0",
         test::received(R"({"version":"9.9.9","oldest":1,"newest":6,"hold":0,"digest":0})"), 5}});
-  std::vector<std::pair<std::string, kv::Json>> told;
-  std::map<std::string, std::string> running;  // by machine, as its report lists it
-  for (double now = 0.5; now < 90 && told.empty(); now += 0.5) {
+  std::vector<std::pair<std::string, kv::Json>> urgent_stops;
+  // By machine: its task, in the JSON form that its heartbeat contains.
+  std::map<std::string, std::string> running;
+  for (double now = 0.5; now < 90 && urgent_stops.empty(); now += 0.5) {
     std::vector<cloud::ListedMachine> listed;
     for (int i = 1; i <= 4; ++i) {
       const std::string name = "n-" + std::to_string(i);
@@ -155,15 +157,15 @@
           now);
     }
     const Effects out = leader.advance(now);
-    told = out.urgent_stops;
+    urgent_stops = out.urgent_stops;
     if (!out.transaction) continue;
     kv::CommitResult committed;
     committed.outcome = kv::Outcome::ok;
     committed.store_revision = 50 + static_cast<std::uint64_t>(now * 2);
     leader.on_transaction_completed(committed, now);
   }
-  ASSERT_EQ(told.size(), 2u);
-  for (const auto& [address, body] : told) {
+  ASSERT_EQ(urgent_stops.size(), 2u);
+  for (const auto& [address, body] : urgent_stops) {
     const std::string host = address.substr(0, address.find(':'));
     const wire::Json piece = wire::Json::parse(running[host]);
     const std::string expected = R"({"baton":40,"tenure":5,"orders":[{"verb":"stop","piece":)" +
--- a/src/controller/leader_test.cpp
+++ b/src/controller/leader_test.cpp
@@ -1,4 +1,5 @@
-// Faults that a simulated cluster or a recorded day has shown once, each kept out by a test.
+// Regression tests for faults of the leader that were found in the simulated cluster, in recorded
+// days or by reading.
 #include "controller/leader.h"
 
 #include <gtest/gtest.h>
@@ -43,7 +44,7 @@
   return made;
 }
 
-workers::Heartbeat report(int machine, std::uint64_t sequence_number) {
+workers::Heartbeat heartbeat_of(int machine, std::uint64_t sequence_number) {
   return {"n-" + std::to_string(machine),
           "",
           "small",
@@ -58,20 +59,22 @@
 
 class LeaderTest : public ::testing::Test {
  protected:
-  Leader lead(const LeaderSnapshot& from) { return Leader(platform(), {}, kFencingToken, from, 0); }
+  Leader make_leader(const LeaderSnapshot& from) {
+    return Leader(platform(), {}, kFencingToken, from, 0);
+  }
 
-  static int returned(const Effects& out) {
+  static int count_returns(const Effects& out) {
     return static_cast<int>(
         std::count_if(out.cloud_requests.begin(), out.cloud_requests.end(),
                       [](const auto& o) { return o.kind == CloudRequest::Kind::scale_in; }));
   }
-  static void hear(Leader& leader, int machine, double now) {
+  static void send_heartbeat(Leader& leader, int machine, double now) {
     leader.on_heartbeat(
-        report(machine, static_cast<std::uint64_t>(now * 10)), [](const wire::Json&) {}, now);
+        heartbeat_of(machine, static_cast<std::uint64_t>(now * 10)), [](const wire::Json&) {}, now);
   }
-  // Its report lists all that was sent there as running.
-  static void hear_running(Leader& leader, int machine, double now) {
-    workers::Heartbeat made = report(machine, static_cast<std::uint64_t>(now * 10));
+  // Sends a heartbeat that lists all tasks whose start was sent to the machine as running.
+  static void send_heartbeat_with_running_tasks(Leader& leader, int machine, double now) {
+    workers::Heartbeat made = heartbeat_of(machine, static_cast<std::uint64_t>(now * 10));
     const auto at = leader.cluster().host_index.find(made.host);
     if (at != leader.cluster().host_index.end()) {
       for (const auto& ref : leader.cluster().hosts[at->second]->attempts) {
@@ -92,10 +95,10 @@
     committed.store_revision = store_revision;
     return committed;
   }
-  // Two sendings of a transaction have no answer and the third is refused, naming one key, which
-  // need not be all that differs. What is asked for then, at 3.2.
-  static Effects refuse_after_lost_answers(Leader& leader) {
-    hear(leader, 1, 1);
+  // Two attempts to send a transaction get no answer, and the third is rejected with a conflict
+  // that names one key, which need not be the only one that differs. Returns the effects at 3.2 s.
+  static Effects reject_after_lost_answers(Leader& leader) {
+    send_heartbeat(leader, 1, 1);
     EXPECT_TRUE(leader.advance(1).transaction);
     leader.on_transaction_completed(outcome(kv::Outcome::unknown), 2.5);
     EXPECT_TRUE(leader.advance(3).transaction);
@@ -106,106 +109,111 @@
   }
 };
 
-// inc-f4fd: a leader that the key-value store refused sent back machines that had gone to another.
-TEST_F(LeaderTest, WithoutACurrentWatchItLeavesTheFleetAlone) {
-  Leader leader = lead(snapshot({job_entry("j-1", 1)}));
-  for (int i = 0; i < 4; ++i) hear(leader, i, 1);
+// Incident inc-f4fd: a leader that could not reach the key-value store returned machines that were
+// silent only because they reported to its successor.
+TEST_F(LeaderTest, WithoutACurrentWatchNoMachineIsRentedOrReturned) {
+  Leader leader = make_leader(snapshot({job_entry("j-1", 1)}));
+  for (int i = 0; i < 4; ++i) send_heartbeat(leader, i, 1);
   for (double now = 1; now < 60; now += 0.5) {
-    for (int i = 1; i < 4; ++i) hear(leader, i, now + 0.2);
+    for (int i = 1; i < 4; ++i) send_heartbeat(leader, i, now + 0.2);
     const Effects out = leader.advance(now + 0.2);
     if (now > 8) {
       EXPECT_TRUE(out.cloud_requests.empty()) << now;
     }
   }
   leader.on_jobs_read_until(60);
-  hear(leader, 1, 60);
-  hear(leader, 2, 60);
-  hear(leader, 3, 60);
-  EXPECT_EQ(returned(leader.advance(60.5)), 1) << "the one that is silent";
+  send_heartbeat(leader, 1, 60);
+  send_heartbeat(leader, 2, 60);
+  send_heartbeat(leader, 3, 60);
+  EXPECT_EQ(count_returns(leader.advance(60.5)), 1) << "only the silent machine is returned";
 }
 
-// A cancelled task on a machine that hangs: its leader, and the next one, send the machine back in
-// time, though the key-value store is out and though a third of all machines are silent.
-TEST_F(LeaderTest, AMachineThatMayRunACancelledTaskGoesBackInTime) {
-  Leader leader = lead(snapshot({job_entry("j-1", 12)}));
-  for (int i = 0; i < 3; ++i) hear(leader, i, 1);
+// A machine that hangs may still run a cancelled task. The leader must return it in time, even if
+// the key-value store is down and a third of all machines are silent.
+TEST_F(LeaderTest, AMachineThatMayRunACancelledTaskIsReturnedInTime) {
+  Leader leader = make_leader(snapshot({job_entry("j-1", 12)}));
+  for (int i = 0; i < 3; ++i) send_heartbeat(leader, i, 1);
   ASSERT_TRUE(leader.advance(1).transaction);
   leader.on_transaction_completed(outcome(kv::Outcome::ok), 1.1);
-  for (int i = 0; i < 3; ++i) hear(leader, i, 2);
+  for (int i = 0; i < 3; ++i) send_heartbeat(leader, i, 2);
   leader.advance(2.2);
-  for (int i = 0; i < 3; ++i) hear_running(leader, i, 3);
+  for (int i = 0; i < 3; ++i) send_heartbeat_with_running_tasks(leader, i, 3);
   leader.advance(3.2);
   kv::Entry cancelled = job_entry("j-1", 12, true);
   cancelled.revision = 60;
   leader.on_jobs_read_until(3.9);
   leader.on_job_changes({{cancelled.key, cancelled.value, 60}}, 4);
   leader.on_jobs_read_until(4);
-  int back = 0;
+  int returned = 0;
   for (double now = 4.5; now < 32; now += 0.5) {
-    hear(leader, 0, now);  // it has stopped what it ran
-    for (const CloudRequest& order : leader.advance(now).cloud_requests) {
-      if (order.kind != CloudRequest::Kind::scale_in) continue;
-      EXPECT_TRUE(order.urgent);
-      EXPECT_NE(order.scale_in_machines.front(), "n-0");
-      EXPECT_GT(now, 14) << "a worker that executes would have lost its lease";
-      EXPECT_LT(now, 30) << "by 33.9 it must be gone";
-      ++back;
+    send_heartbeat(leader, 0, now);  // it has stopped its tasks
+    for (const CloudRequest& request : leader.advance(now).cloud_requests) {
+      if (request.kind != CloudRequest::Kind::scale_in) continue;
+      EXPECT_TRUE(request.urgent);
+      EXPECT_NE(request.scale_in_machines.front(), "n-0");
+      EXPECT_GT(now, 14) << "not before the lease of a working worker would have expired";
+      EXPECT_LT(now, 30) << "the machine must be gone by 33.9 s";
+      ++returned;
     }
   }
-  EXPECT_EQ(back, 2);
+  EXPECT_EQ(returned, 2);
 }
 
-// A process that stood still has heard nobody meanwhile: no machine is held to be silent for that.
-TEST_F(LeaderTest, AfterStandingStillItListensBeforeMachinesGoBackForACancellation) {
-  Leader leader = lead(snapshot({job_entry("j-1", 4)}));
-  hear(leader, 1, 1);
+// A process that was suspended received no heartbeats meanwhile, so no machine may be considered
+// silent because of that.
+TEST_F(LeaderTest, AfterSuspensionItWaitsForHeartbeatsBeforeReturnsForACancellation) {
+  Leader leader = make_leader(snapshot({job_entry("j-1", 4)}));
+  send_heartbeat(leader, 1, 1);
   ASSERT_TRUE(leader.advance(1).transaction);
   leader.on_transaction_completed(outcome(kv::Outcome::ok), 1.1);
-  hear(leader, 1, 2);
+  send_heartbeat(leader, 1, 2);
   leader.advance(2.2);
-  hear_running(leader, 1, 3);
+  send_heartbeat_with_running_tasks(leader, 1, 3);
   leader.advance(3.2);
   kv::Entry cancelled = job_entry("j-1", 4, true);
   leader.on_job_changes({{cancelled.key, cancelled.value, 60}}, 4);
   leader.advance(4);
-  EXPECT_EQ(returned(leader.advance(60)), 0);
-  hear(leader, 1, 60.2);
+  EXPECT_EQ(count_returns(leader.advance(60)), 0);
+  send_heartbeat(leader, 1, 60.2);
   for (double now = 60.5; now < 90; now += 0.5) {
-    hear(leader, 1, now);
-    EXPECT_EQ(returned(leader.advance(now)), 0) << now;
+    send_heartbeat(leader, 1, now);
+    EXPECT_EQ(count_returns(leader.advance(now)), 0) << now;
   }
 }
 
-// What was returned counts as ended. An answer to a report of it, should it live on, extends its
-// lease, so it stops whatever runs there, tasks of jobs that go on elsewhere too.
+// The tasks of a returned machine count as ended. If the machine is still alive, a response to its
+// heartbeat extends its lease, so the response must stop all tasks there, also those of jobs that
+// continue on other machines.
 TEST_F(LeaderTest, AReturnedMachineIsToldToStopAllThatItLists) {
-  Leader leader = lead(snapshot({job_entry("j-1", 1)}));
-  hear(leader, 1, 1);
+  Leader leader = make_leader(snapshot({job_entry("j-1", 1)}));
+  send_heartbeat(leader, 1, 1);
   leader.on_scale_in_completed({"n-1"}, 2);
-  workers::Heartbeat late = report(1, 30);
+  workers::Heartbeat late = heartbeat_of(1, 30);
   late.tasks.push_back({"j-1", 0, 1, workers::TaskState::running, workers::ExitReason::none});
   wire::Json body;
-  const auto answerer = [&](const wire::Json& answer) { body = answer; };
-  EXPECT_EQ(leader.on_heartbeat(late, answerer, 3), HeartbeatResult::accepted);
+  const auto responder = [&](const wire::Json& answer) { body = answer; };
+  EXPECT_EQ(leader.on_heartbeat(late, responder, 3), HeartbeatResult::accepted);
   ASSERT_EQ(body.at("orders").size(), 1u);
   EXPECT_EQ(body.at("orders")[0].at("verb"), "stop");
   EXPECT_EQ(body.at("orders")[0].at("piece"), "j-1/0");
-  EXPECT_FALSE(leader.cluster().host_index.contains("n-1")) << "not believed";
+  EXPECT_FALSE(leader.cluster().host_index.contains("n-1"))
+      << "heartbeats of a returned machine do not change the state";
 }
 
-// The users' first meeting: past the bound no report is answered, not even a copy; and what a
-// member has told as cancelled is stopped before anything else, from the next answer on.
-TEST_F(LeaderTest, ItAnswersWorkersOnlyAsFarAsItKnowsCancellations) {
+// A rule that users have asked for: once its knowledge of cancellations is older than the bound,
+// the leader responds to no heartbeat, not even to a repeated one. A cancellation that another
+// member has confirmed is carried out with the next response.
+TEST_F(LeaderTest, ItRespondsToWorkersOnlyWithinTheStalenessBound) {
   settings::Platform of_two = platform();
   of_two.members = {{"node-1", "a", {}}};
   Leader leader(of_two, {}, kFencingToken, snapshot({job_entry("j-1", 2), job_entry("j-2", 1)}), 0);
-  hear(leader, 1, 1);
+  send_heartbeat(leader, 1, 1);
   ASSERT_TRUE(leader.advance(1).transaction);
   leader.on_transaction_completed(outcome(kv::Outcome::ok), 1.1);
   wire::Json body;
   const auto ask = [&](double now) {
     body = "none";
-    workers::Heartbeat made = report(1, static_cast<std::uint64_t>(now * 10));
+    workers::Heartbeat made = heartbeat_of(1, static_cast<std::uint64_t>(now * 10));
     const auto at = leader.cluster().host_index.find(made.host);
     for (const auto& ref : leader.cluster().hosts.at(at->second)->attempts) {
       const placement::Job& job = *leader.cluster().jobs[ref.job];
@@ -218,10 +226,10 @@
         made, [&](const wire::Json& answer) { body = answer; }, now);
     return leader.advance(now + 0.2);
   };
-  ask(2);  // the answer to the report before it carried the starts
+  ask(2);  // the response to the previous heartbeat carried the starts
   ask(3);
   EXPECT_TRUE(body.at("orders").empty());
-  // The key-value store refuses it; the others know of a cancellation.
+  // The key-value store rejects this node; the other member has confirmed a cancellation.
   const Effects out = ask(6);
   ASSERT_EQ(out.cancellation_poll_windows_s.size(), 2u);
   leader.on_cancellation_digests(
@@ -232,115 +240,120 @@
     EXPECT_EQ(order.at("verb"), "stop");
     EXPECT_EQ(order.at("piece").get<std::string>().substr(0, 4), "j-1/");
   }
-  EXPECT_FALSE(ask(8).transaction) << "nothing that its unseen header would forbid";
+  EXPECT_FALSE(ask(8).transaction) << "writes conditional on the outdated header are held back";
   ask(18);
   EXPECT_TRUE(body.is_object());
   ask(19.5);
-  EXPECT_TRUE(body.is_null()) << "this node itself has not vouched, and the bound is past";
+  EXPECT_TRUE(body.is_null())
+      << "this node's own digest is missing, and the staleness bound has passed";
   leader.on_heartbeat(
-      report(1, 1), [&](const wire::Json& answer) { body = answer; }, 19.8);
-  EXPECT_TRUE(body.is_null()) << "a copy";
+      heartbeat_of(1, 1), [&](const wire::Json& answer) { body = answer; }, 19.8);
+  EXPECT_TRUE(body.is_null()) << "a repeated heartbeat";
   leader.on_cancellation_digests({{0, 30, 60, 20, 20.1, {}}, {1, 30, 60, 20, 20.1, {}}}, 20.1);
   ask(20.5);
-  EXPECT_TRUE(body.is_object()) << "both have";
+  EXPECT_TRUE(body.is_object()) << "digests of both members";
   ask(40);
   EXPECT_TRUE(body.is_null());
   leader.on_jobs_read_until(40);
   ask(41);
-  EXPECT_TRUE(body.is_object()) << "the state service is back";
+  EXPECT_TRUE(body.is_object()) << "the key-value store is available again";
 }
 
-// Two sendings of a transaction have no answer, and the third is refused: the first was carried out
-// late, or its condition is gone for good. One strong read tells which; the lead was given up for
-// it, every few seconds where answers of the key-value store got lost.
-TEST_F(LeaderTest, WhatBecameOfAnUnansweredTransactionIsReadBack) {
+// Two attempts to send a transaction get no answer, and the third is rejected: either an earlier
+// attempt was applied late, or a precondition no longer holds. One strong read tells which. Without
+// it, the leader stepped down every few seconds while responses of the key-value store were lost.
+TEST_F(LeaderTest, TheOutcomeOfAnUnansweredTransactionIsVerifiedByARead) {
   const kv::ReadResult ours{kv::Outcome::ok, {kLeaderKey, {}, kFencingToken, 0}, 0};
   for (const bool applied : {true, false}) {
-    Leader leader = lead(snapshot({job_entry("j-1", 1)}));
-    const Effects asks = refuse_after_lost_answers(leader);
-    ASSERT_TRUE(asks.verify_key);
-    EXPECT_FALSE(asks.transaction);
-    leader.on_transaction_verified({}, ours, 3.3);  // no answer
+    Leader leader = make_leader(snapshot({job_entry("j-1", 1)}));
+    const Effects reads = reject_after_lost_answers(leader);
+    ASSERT_TRUE(reads.verify_key);
+    EXPECT_FALSE(reads.transaction);
+    leader.on_transaction_verified({}, ours, 3.3);  // the read got no answer
     EXPECT_FALSE(leader.advance(3.4).verify_key);
     const Effects again = leader.advance(4);
-    ASSERT_EQ(again.verify_key, asks.verify_key);
-    EXPECT_FALSE(leader.advance(4.1).verify_key) << "one at a time";
+    ASSERT_EQ(again.verify_key, reads.verify_key);
+    EXPECT_FALSE(leader.advance(4.1).verify_key) << "one read at a time";
     kv::ReadResult found;
     found.outcome = applied ? kv::Outcome::ok : kv::Outcome::absent;
-    found.entry = {*asks.verify_key, {}, 44, 0};
+    found.entry = {*reads.verify_key, {}, 44, 0};
     leader.on_transaction_verified(found, ours, 4.2);
     const Effects out = leader.advance(4.5);
     EXPECT_FALSE(out.step_down);
     const auto& attempts = leader.cluster().jobs[0]->attempts;
     ASSERT_EQ(attempts.size(), 1u);
     EXPECT_EQ(attempts.at(0).persisted, applied);
-    EXPECT_EQ(out.transaction.has_value(), !applied) << "tried anew, on what the watch has brought";
+    EXPECT_EQ(out.transaction.has_value(), !applied)
+        << "built again from what the watch has reported";
   }
 }
 
-// Another leads, and has written the key: its revision shows nothing of our transaction. Believed,
-// a start would have gone out whose intent was never stored.
-TEST_F(LeaderTest, WhatAnotherLeaderHasWrittenIsNoProofOfOurTransaction) {
+// If another leader has written the key, its revision proves nothing about our transaction. If it
+// were taken as proof, a start would be sent whose placement was never stored.
+TEST_F(LeaderTest, AWriteByAnotherLeaderDoesNotVerifyOurTransaction) {
   for (const bool absent : {true, false}) {
-    Leader leader = lead(snapshot({job_entry("j-1", 1)}));
-    const Effects asks = refuse_after_lost_answers(leader);
-    ASSERT_TRUE(asks.verify_key);
+    Leader leader = make_leader(snapshot({job_entry("j-1", 1)}));
+    const Effects reads = reject_after_lost_answers(leader);
+    ASSERT_TRUE(reads.verify_key);
     kv::ReadResult other{kv::Outcome::ok, {kLeaderKey, {}, kFencingToken + 3, 0}, 0};
     if (absent) other.outcome = kv::Outcome::absent;
-    leader.on_transaction_verified({kv::Outcome::ok, {*asks.verify_key, {}, 44, 0}, 0}, other, 3.3);
+    leader.on_transaction_verified({kv::Outcome::ok, {*reads.verify_key, {}, 44, 0}, 0}, other,
+                                   3.3);
     EXPECT_TRUE(leader.deposed());
     EXPECT_FALSE(leader.cluster().jobs[0]->attempts.at(0).persisted);
   }
 }
 
-// A process that stood still between its reading and its leading knows no more than it read.
-TEST_F(LeaderTest, ANewLeaderKnowsCancellationsUpToItsReading) {
+// A process that was suspended between reading the stored state and becoming the leader knows no
+// cancellations that are later than the read.
+TEST_F(LeaderTest, ANewLeaderKnowsCancellationsUpToItsReadOfJobs) {
   LeaderSnapshot old = snapshot({job_entry("j-1", 1)});
   old.jobs_requested_at = -30;
-  Leader leader = lead(old);
+  Leader leader = make_leader(old);
   wire::Json body = "none";
   leader.on_heartbeat(
-      report(1, 1), [&](const wire::Json& answer) { body = answer; }, 0.1);
+      heartbeat_of(1, 1), [&](const wire::Json& answer) { body = answer; }, 0.1);
   leader.advance(1.2);
   EXPECT_TRUE(body.is_null());
 }
 
-// A process that stands still while its clocks run on finds an answer of the watch that has waited
-// for it as long: what was cancelled meanwhile is not in it.
-TEST_F(LeaderTest, AfterStandingStillItStartsNothingOnAnOldAnswer) {
-  Leader leader = lead(snapshot({job_entry("j-1", 1)}));
-  hear(leader, 1, 1);
+// A process that was suspended while its clocks ran on finds a watch response that has waited for
+// it all that time, and that cannot contain what was cancelled meanwhile.
+TEST_F(LeaderTest, AfterSuspensionAnOldWatchResponseAllowsNoStarts) {
+  Leader leader = make_leader(snapshot({job_entry("j-1", 1)}));
+  send_heartbeat(leader, 1, 1);
   ASSERT_TRUE(leader.advance(1).transaction);
   leader.on_transaction_completed(outcome(kv::Outcome::ok), 1.1);
   const auto starts = [&](double now) {
     std::size_t orders = 0;
     leader.on_heartbeat(
-        report(1, static_cast<std::uint64_t>(now * 10)),
-        // Past its bound it does not answer at all.
+        heartbeat_of(1, static_cast<std::uint64_t>(now * 10)),
+        // Beyond the staleness bound, the leader responds with null.
         [&](const wire::Json& body) { orders = body.is_null() ? 0 : body.at("orders").size(); },
         now);
     leader.advance(now + 0.2);
     return orders;
   };
-  leader.on_jobs_read_until(1.2);  // asked for before it stood still, taken in afterwards
+  leader.on_jobs_read_until(1.2);  // requested before the suspension, processed after it
   EXPECT_EQ(starts(31), 0u);
   leader.on_jobs_read_until(31.3);
   EXPECT_EQ(starts(31.4), 1u);
 }
 
-// Refused alone, it does not hear of what is cancelled elsewhere: a few seconds later it starts
-// nothing more, though the intent was stored and it goes on answering.
-TEST_F(LeaderTest, WithoutTheStateServiceItStartsNothing) {
-  Leader leader = lead(snapshot({job_entry("j-1", 1)}));
-  hear(leader, 1, 1);
+// A leader that alone cannot reach the key-value store does not learn of cancellations at other
+// nodes. After a few seconds it starts nothing more, although the placement was stored and it still
+// responds to workers.
+TEST_F(LeaderTest, WithoutTheKeyValueStoreItStartsNothing) {
+  Leader leader = make_leader(snapshot({job_entry("j-1", 1)}));
+  send_heartbeat(leader, 1, 1);
   ASSERT_TRUE(leader.advance(1).transaction);
-  leader.advance(2.2);  // the report of before has its answer
+  leader.advance(2.2);  // the previous heartbeat gets its response
   leader.on_transaction_completed(outcome(kv::Outcome::ok), 2.3);
   leader.on_jobs_read_until(2.3);
   const auto starts = [&](double now) {
     std::optional<std::size_t> orders;
     leader.on_heartbeat(
-        report(1, static_cast<std::uint64_t>(now * 10)),
+        heartbeat_of(1, static_cast<std::uint64_t>(now * 10)),
         [&](const wire::Json& body) { orders = body.at("orders").size(); }, now);
     leader.advance(now + 0.2);
     return orders;
@@ -350,54 +363,55 @@
   EXPECT_EQ(starts(6.5), 1u);
 }
 
-// A record that a node has accepted empties a zone; taken away, what is not empty yet serves again.
-// One that cannot be read changes nothing.
-TEST_F(LeaderTest, DrainsWhatTheRecordSays) {
-  LeaderSnapshot taken = snapshot({job_entry("j-1", 3)});
+// A drain record that a node has accepted drains a zone. When the record is removed, machines that
+// are not empty yet get tasks again. A malformed record changes nothing.
+TEST_F(LeaderTest, DrainsMachinesAsTheRecordSays) {
+  LeaderSnapshot stored_state = snapshot({job_entry("j-1", 3)});
   const schema::StoredSchema newest{schema::kNewestLevel, schema::kNewestLevel, true};
-  taken.stored_schema = kv::Entry{schema::kLevelKey, schema::encode_stored(newest), 4};
+  stored_state.stored_schema = kv::Entry{schema::kLevelKey, schema::encode_stored(newest), 4};
   const auto record = [](std::uint64_t serial, const std::string& entries) {
     const std::string text = "(drains (serial " + std::to_string(serial) + ") " + entries + ")";
     return drains::encode_accepted_policy({serial, text, {}});
   };
-  Leader leader = lead(taken);
+  Leader leader = make_leader(stored_state);
   const schema::Claim claim{"", REACHRAMP_VERSION, 1, schema::kNewestLevel, 0, 0, 0};
-  const auto live = [&](double from, double until) {
-    std::vector<std::string> back;
+  const auto run = [&](double from, double until) {
+    std::vector<std::string> returned;
     for (double now = from; now < until; now += 0.5) {
-      hear_running(leader, 1, now);
+      send_heartbeat_with_running_tasks(leader, 1, now);
       leader.on_jobs_read_until(now);
       leader.on_claims({{schema::claim_key(""), schema::encode_claim(claim), 9}});
       const Effects out = leader.advance(now);
-      for (const CloudRequest& order : out.cloud_requests) {
-        if (order.kind == CloudRequest::Kind::scale_in) {
-          back.insert(back.end(), order.scale_in_machines.begin(), order.scale_in_machines.end());
+      for (const CloudRequest& request : out.cloud_requests) {
+        if (request.kind == CloudRequest::Kind::scale_in) {
+          returned.insert(returned.end(), request.scale_in_machines.begin(),
+                          request.scale_in_machines.end());
         }
       }
       if (out.transaction) leader.on_transaction_completed(outcome(kv::Outcome::ok, 50), now);
     }
-    return back;
+    return returned;
   };
   leader.on_host_list({{"n-1", "", "small", "a", true, cloud::MachinePhase::running, 20}}, 1, 1);
-  live(1, 5);
+  run(1, 5);
   const placement::Host& host = *leader.cluster().hosts.front();
   ASSERT_FALSE(host.attempts.empty());
   leader.on_drains(kv::Entry{drains::kPolicyKey, record(3, "(machines (zone a))"), 60}, 5);
-  live(5, 6);
+  run(5, 6);
   EXPECT_TRUE(host.cordoned);
   leader.on_drains(kv::Entry{drains::kPolicyKey, "nonsense", 61}, 6);
   leader.on_drains(kv::Entry{drains::kPolicyKey, record(4, "(machines (zones a))"), 62}, 6);
-  live(6, 7);
-  EXPECT_TRUE(host.cordoned) << "what was in force goes on";
+  run(6, 7);
+  EXPECT_TRUE(host.cordoned) << "the previous rules stay in force";
   leader.on_drains(std::nullopt, 7);
-  live(7, 8);
+  run(7, 8);
   EXPECT_FALSE(host.cordoned);
   leader.on_drains(kv::Entry{drains::kPolicyKey, record(5, "(machines (zone a))"), 63}, 8);
-  EXPECT_TRUE(live(8, 30).empty()) << "it works";
-  // Its tasks end: the report lists none.
-  std::vector<std::string> back;
-  for (double now = 30; now < 80 && back.empty(); now += 2) {
-    workers::Heartbeat idle = report(1, 100000 + static_cast<std::uint64_t>(now * 10));
+  EXPECT_TRUE(run(8, 30).empty()) << "its task still runs";
+  // The tasks end.
+  std::vector<std::string> returned;
+  for (double now = 30; now < 80 && returned.empty(); now += 2) {
+    workers::Heartbeat idle = heartbeat_of(1, 100000 + static_cast<std::uint64_t>(now * 10));
     for (const auto& ref : std::set(host.attempts)) {
       idle.tasks.push_back({"j-1", ref.task,
                             leader.cluster().jobs[ref.job]->attempts.at(ref.task).number,
@@ -407,21 +421,21 @@
         idle, [](const wire::Json&) {}, now);
     leader.on_jobs_read_until(now);
     const Effects out = leader.advance(now);
-    for (const CloudRequest& order : out.cloud_requests) {
-      if (order.kind == CloudRequest::Kind::scale_in) back = order.scale_in_machines;
+    for (const CloudRequest& request : out.cloud_requests) {
+      if (request.kind == CloudRequest::Kind::scale_in) returned = request.scale_in_machines;
     }
     if (out.transaction) leader.on_transaction_completed(outcome(kv::Outcome::ok, 50), now);
   }
-  EXPECT_EQ(back, std::vector<std::string>{"n-1"});
+  EXPECT_EQ(returned, std::vector<std::string>{"n-1"});
 }
 
-// Found by reading: a node's record was not the leader's to remove, so a step back over level 6
-// never ended.
-TEST_F(LeaderTest, AStepBackRemovesTheRecordOfDrains) {
-  LeaderSnapshot taken = snapshot({});
-  taken.stored_schema = kv::Entry{
+// Found by reading the code: the leader could not remove the drain rules, because a node had
+// written their record, so a downgrade from level 6 never completed.
+TEST_F(LeaderTest, ADowngradeRemovesTheDrainRules) {
+  LeaderSnapshot stored_state = snapshot({});
+  stored_state.stored_schema = kv::Entry{
       schema::kLevelKey, schema::encode_stored({schema::kDrains, schema::kDrains - 1, false}), 4};
-  Leader leader = lead(taken);
+  Leader leader = make_leader(stored_state);
   const kv::Json record = drains::encode_accepted_policy({3, "(drains (serial 3))", {}});
   leader.on_jobs_read_until(1);
   leader.advance(1);
@@ -438,29 +452,30 @@
       }));
 }
 
-// A machine whose reports arrive, but which hears nothing: nothing is placed there, what was is
-// placed anew after a new session, and it goes back. Where many are so, none does.
-TEST_F(LeaderTest, AMachineThatDoesNotHearIsWorkedRoundAndGoesBack) {
-  const auto deaf_days = [&](int deaf) {
-    Leader leader = lead(snapshot({job_entry("j-1", 2)}));
+// A machine whose heartbeats arrive but that receives no responses gets no new tasks. Its tasks are
+// placed again after its next incarnation, and the machine is returned. If many machines are
+// affected at once, none is returned.
+TEST_F(LeaderTest, AMachineThatReceivesNoResponsesIsAvoidedAndReturned) {
+  const auto returned_with_unreachable = [&](int unreachable) {
+    Leader leader = make_leader(snapshot({job_entry("j-1", 2)}));
     std::vector<cloud::ListedMachine> listed;
     for (int i = 1; i <= 4; ++i) {
       listed.push_back(
           {"n-" + std::to_string(i), "", "small", "a", true, cloud::MachinePhase::running, 20});
     }
     leader.on_host_list(listed, 1, 1);
-    std::vector<std::string> back;
+    std::vector<std::string> returned;
     std::uint64_t sequence_number = 0;
     for (double now = 1; now < 60; now += 0.5) {
       ++sequence_number;
       for (int i = 1; i <= 4; ++i) {
-        if (i > deaf) {
-          hear_running(leader, i, now);
+        if (i > unreachable) {
+          send_heartbeat_with_running_tasks(leader, i, now);
           continue;
         }
-        // Each lease ends, though we answered; its tasks are gone, its fencing token is that of the
-        // leader before.
-        workers::Heartbeat one = report(i, sequence_number);
+        // Each of its leases expires although the leader responds: its tasks are gone, and the
+        // fencing token that it reports is that of the previous leader.
+        workers::Heartbeat one = heartbeat_of(i, sequence_number);
         one.incarnation = 1 + static_cast<std::uint64_t>(now / 10);
         one.fencing_token = kFencingToken - 1;
         leader.on_heartbeat(
@@ -468,35 +483,37 @@
       }
       leader.on_jobs_read_until(now);
       const Effects out = leader.advance(now);
-      for (const CloudRequest& order : out.cloud_requests) {
-        if (order.kind != CloudRequest::Kind::scale_in) continue;
-        back.insert(back.end(), order.scale_in_machines.begin(), order.scale_in_machines.end());
-        leader.on_scale_in_completed(order.scale_in_machines, now);
+      for (const CloudRequest& request : out.cloud_requests) {
+        if (request.kind != CloudRequest::Kind::scale_in) continue;
+        returned.insert(returned.end(), request.scale_in_machines.begin(),
+                        request.scale_in_machines.end());
+        leader.on_scale_in_completed(request.scale_in_machines, now);
       }
       if (out.transaction)
         leader.on_transaction_completed(outcome(kv::Outcome::ok, 50 + sequence_number), now);
     }
     for (const auto& [task, attempt] : leader.cluster().jobs.front()->attempts) {
-      EXPECT_TRUE(deaf > 1 || attempt.observed_state == placement::ObservedState::running);
+      EXPECT_TRUE(unreachable > 1 || attempt.observed_state == placement::ObservedState::running);
     }
-    return back;
+    return returned;
   };
-  std::vector<std::string> back = deaf_days(1);
-  EXPECT_NE(std::count(back.begin(), back.end(), "n-1"), 0);
-  back = deaf_days(2);
-  EXPECT_EQ(std::count(back.begin(), back.end(), "n-1"), 0) << "half of all: the network's matter";
+  std::vector<std::string> returned = returned_with_unreachable(1);
+  EXPECT_NE(std::count(returned.begin(), returned.end(), "n-1"), 0);
+  returned = returned_with_unreachable(2);
+  EXPECT_EQ(std::count(returned.begin(), returned.end(), "n-1"), 0)
+      << "half of all machines: a fault of the network";
 }
 
-TEST_F(LeaderTest, AccountsThatCannotBeReadAreLeftAlone) {
+TEST_F(LeaderTest, AMalformedUsageRecordIsNotOverwritten) {
   const auto written = [&](const kv::Json& stored) {
-    LeaderSnapshot taken = snapshot({job_entry("j-1", 1)});
+    LeaderSnapshot stored_state = snapshot({job_entry("j-1", 1)});
     const schema::StoredSchema newest{schema::kNewestLevel, schema::kNewestLevel, true};
-    taken.stored_schema = kv::Entry{schema::kLevelKey, schema::encode_stored(newest), 4};
-    taken.shares = kv::Entry{shares::kSharesKey, stored, 5};
-    Leader leader = lead(taken);
+    stored_state.stored_schema = kv::Entry{schema::kLevelKey, schema::encode_stored(newest), 4};
+    stored_state.shares = kv::Entry{shares::kSharesKey, stored, 5};
+    Leader leader = make_leader(stored_state);
     bool wrote = false;
     for (double now = 1; now < 80; now += 0.5) {
-      hear(leader, 1, now);
+      send_heartbeat(leader, 1, now);
       leader.on_jobs_read_until(now);
       const Effects out = leader.advance(now);
       if (!out.transaction) continue;
@@ -512,54 +529,56 @@
   EXPECT_FALSE(written("nonsense"));
 }
 
-// inc-f4fd: a cut between two zones silenced half the fleet, which was sent back in one go.
-TEST_F(LeaderTest, ManySilentMachinesAreGivenTime) {
-  Leader leader = lead(snapshot({job_entry("j-1", 40)}));
-  for (int i = 0; i < 6; ++i) hear(leader, i, 1);
-  int back = 0;
+// Incident inc-f4fd: a network partition between two zones silenced half of the fleet, all of which
+// was returned at once.
+TEST_F(LeaderTest, ManySilentMachinesAreReturnedLater) {
+  Leader leader = make_leader(snapshot({job_entry("j-1", 40)}));
+  for (int i = 0; i < 6; ++i) send_heartbeat(leader, i, 1);
+  int returned = 0;
   for (double now = 1; now < 30; now += 0.5) {
     leader.on_jobs_read_until(now);
-    for (int i = 0; i < 3; ++i) hear(leader, i, now + 0.2);
-    back += returned(leader.advance(now + 0.2));
+    for (int i = 0; i < 3; ++i) send_heartbeat(leader, i, now + 0.2);
+    returned += count_returns(leader.advance(now + 0.2));
   }
-  EXPECT_EQ(back, 0);
+  EXPECT_EQ(returned, 0);
   for (double now = 30; now < 60; now += 0.5) {
     leader.on_jobs_read_until(now);
-    for (int i = 0; i < 3; ++i) hear(leader, i, now + 0.2);
-    back += returned(leader.advance(now + 0.2));
+    for (int i = 0; i < 3; ++i) send_heartbeat(leader, i, now + 0.2);
+    returned += count_returns(leader.advance(now + 0.2));
   }
-  EXPECT_EQ(back, 3) << "but not for ever";
+  EXPECT_EQ(returned, 3) << "returned in the end";
 }
 
-// Own day: a zone was cut, its machines passed their time one by one as their reports were
-// staggered, and all 245 went back within seconds, since never a third was silent together.
-TEST_F(LeaderTest, AZoneIsNotSentBackMachineByMachine) {
-  Leader leader = lead(snapshot({job_entry("j-1", 80)}));
-  const auto hear_zone = [&](int machine, const char* zone, double now) {
-    workers::Heartbeat heard = report(machine, static_cast<std::uint64_t>(now * 10));
+// Found in a day of our own in the simulated cluster: a zone was cut off, and its machines exceeded
+// the silence limit one by one because their heartbeats are staggered. All 245 were returned within
+// seconds, since never a third was silent together.
+TEST_F(LeaderTest, ASilentZoneIsNotReturnedMachineByMachine) {
+  Leader leader = make_leader(snapshot({job_entry("j-1", 80)}));
+  const auto send_heartbeat_from_zone = [&](int machine, const char* zone, double now) {
+    workers::Heartbeat heard = heartbeat_of(machine, static_cast<std::uint64_t>(now * 10));
     heard.zone = std::string(zone);
     leader.on_heartbeat(
         heard, [](const wire::Json&) {}, now);
   };
-  int back = 0;
+  int returned = 0;
   for (double now = 1; now < 26; now += 0.5) {
     leader.on_jobs_read_until(now);
-    for (int i = 0; i < 8; ++i) hear_zone(i, "a", now);
-    // The other zone is cut at 10 s; its machines were last heard at different times.
+    for (int i = 0; i < 8; ++i) send_heartbeat_from_zone(i, "a", now);
+    // Zone b is cut off at 10 s; its machines were last heard from at different times.
     for (int i = 8; i < 16; ++i) {
-      if (now < 10 + 0.25 * (i - 8)) hear_zone(i, "b", now);
+      if (now < 10 + 0.25 * (i - 8)) send_heartbeat_from_zone(i, "b", now);
     }
-    back += returned(leader.advance(now + 0.2));
+    returned += count_returns(leader.advance(now + 0.2));
     if (now < 21) {
-      EXPECT_EQ(back, 0) << now;
+      EXPECT_EQ(returned, 0) << now;
     }
   }
-  EXPECT_LE(back, 5) << "one a second";
+  EXPECT_LE(returned, 5) << "at most one per second";
 }
 
-// A transaction that was answered only at the second try once blocked all that came after it.
-TEST_F(LeaderTest, CommitsGoOnAfterOneThatWasUnanswered) {
-  Leader leader = lead(snapshot({job_entry("j-1", 1, true)}));
+// A transaction that was answered only at the second attempt once blocked all later ones.
+TEST_F(LeaderTest, TransactionsContinueAfterAnUnansweredOne) {
+  Leader leader = make_leader(snapshot({job_entry("j-1", 1, true)}));
   auto first = leader.advance(1).transaction;
   ASSERT_TRUE(first);
   leader.on_transaction_completed({}, 2);
@@ -573,65 +592,67 @@
   EXPECT_TRUE(leader.advance(4).transaction);
 }
 
-// Neither outcome is believed before it is read, and where no key can tell, all is read anew.
-TEST_F(LeaderTest, AConflictAfterAnUnansweredTryProvesNothingByItself) {
+// Neither outcome is assumed before the key has been read. Where no key can tell, the leader steps
+// down and all state is read again.
+TEST_F(LeaderTest, AConflictAfterAnUnansweredAttemptMustBeVerified) {
   kv::CommitResult conflict = outcome(kv::Outcome::conflict);
   conflict.failed_keys = {"job/j-1"};
-  Leader leader = lead(snapshot({job_entry("j-1", 1, true)}));
+  Leader leader = make_leader(snapshot({job_entry("j-1", 1, true)}));
   ASSERT_TRUE(leader.advance(1).transaction);
   leader.on_transaction_completed({}, 2);
   ASSERT_TRUE(leader.advance(3).transaction);
   leader.on_transaction_completed(conflict, 3);
-  const Effects asks = leader.advance(4);
-  EXPECT_EQ(asks.verify_key, jobs::end_key("j-1"));
-  EXPECT_FALSE(asks.transaction);
-  EXPECT_TRUE(leader.cluster().job_index.contains("j-1")) << "it may not have ended";
-  EXPECT_FALSE(leader.advance(9).transaction) << "nothing goes out meanwhile";
+  const Effects reads = leader.advance(4);
+  EXPECT_EQ(reads.verify_key, jobs::end_key("j-1"));
+  EXPECT_FALSE(reads.transaction);
+  EXPECT_TRUE(leader.cluster().job_index.contains("j-1")) << "its end may not have been stored";
+  EXPECT_FALSE(leader.advance(9).transaction) << "no other transaction is sent meanwhile";
   leader.on_transaction_verified({kv::Outcome::ok, {jobs::end_key("j-1"), {}, 60, 0}, 0},
                                  {kv::Outcome::ok, {kLeaderKey, {}, kFencingToken, 0}, 0}, 9);
   EXPECT_FALSE(leader.cluster().job_index.contains("j-1"));
 
-  Leader removes = lead(snapshot(
+  Leader other_leader = make_leader(snapshot(
       {}, {{jobs::legacy_task_range_key("j-9", 0), jobs::encode_legacy_task_range({}), 8}}));
-  const Effects out = removes.advance(1);
+  const Effects out = other_leader.advance(1);
   ASSERT_TRUE(out.transaction);
   EXPECT_FALSE(out.transaction->transaction.writes.front().value);
-  removes.on_transaction_completed({}, 2);
-  ASSERT_TRUE(removes.advance(3).transaction);
-  removes.on_transaction_completed(conflict, 3);
-  EXPECT_TRUE(removes.advance(4).step_down);
-}
-
-// It seemed over while the attempts that the records hold were not loaded yet.
-TEST_F(LeaderTest, ACancelledJobWithRecordedAttemptsIsNotOver) {
-  jobs::TaskRangeRecord chunk;
-  chunk.placements = {{0, 1, "n-9"}};
-  Leader leader =
-      lead(snapshot({job_entry("j-1", 1, true)},
-                    {{jobs::legacy_task_range_key("j-1", 0), encode_legacy_task_range(chunk), 8}}));
+  other_leader.on_transaction_completed({}, 2);
+  ASSERT_TRUE(other_leader.advance(3).transaction);
+  other_leader.on_transaction_completed(conflict, 3);
+  EXPECT_TRUE(other_leader.advance(4).step_down);
+}
+
+// A cancelled job was considered finished while its stored attempts were not loaded yet.
+TEST_F(LeaderTest, ACancelledJobWithStoredAttemptsIsNotFinished) {
+  jobs::TaskRangeRecord task_range;
+  task_range.placements = {{0, 1, "n-9"}};
+  Leader leader = make_leader(
+      snapshot({job_entry("j-1", 1, true)},
+               {{jobs::legacy_task_range_key("j-1", 0), encode_legacy_task_range(task_range), 8}}));
   EXPECT_FALSE(leader.advance(1).transaction);
   EXPECT_TRUE(leader.cluster().finished_jobs.empty());
 }
 
-// Chunks that do not fit the transaction that ends their job must outlive it: they say what is
-// done.
+// Task range records that do not fit into the transaction that ends their job must stay until the
+// end is stored, because they tell which tasks are done.
 TEST_F(LeaderTest, ChunksOfALargeJobAreRemovedOnlyAfterItsEnd) {
-  std::vector<kv::Entry> chunks;
+  std::vector<kv::Entry> task_ranges;
   constexpr std::uint32_t kTasks = 700;
-  const Leader sized = lead(snapshot({job_entry("j-1", kTasks)}));
-  const auto size = static_cast<std::uint32_t>(sized.cluster().tasks_per_range(jobs::Shape::array));
+  const Leader size_reference = make_leader(snapshot({job_entry("j-1", kTasks)}));
+  const auto size =
+      static_cast<std::uint32_t>(size_reference.cluster().tasks_per_range(jobs::Shape::array));
   for (std::uint32_t first = 0; first < kTasks; first += size) {
-    jobs::TaskRangeRecord chunk;
-    chunk.first = first;
+    jobs::TaskRangeRecord task_range;
+    task_range.first = first;
     for (std::uint32_t t = first; t < std::min<std::uint32_t>(kTasks, first + size); ++t) {
-      chunk.done.push_back(t);
+      task_range.done.push_back(t);
     }
     const std::string key =
         jobs::compact_task_range_key("j-1", first, std::min(kTasks, first + size));
-    chunks.push_back({key, encode_compact_task_range(chunk), 8});
+    task_ranges.push_back({key, encode_compact_task_range(task_range), 8});
   }
-  ASSERT_GT(chunks.size(), 6u);
-  Leader leader = lead(snapshot({job_entry("j-1", kTasks)}, chunks));
+  ASSERT_GT(task_ranges.size(), 6u);
+  Leader leader = make_leader(snapshot({job_entry("j-1", kTasks)}, task_ranges));
   const auto end = leader.advance(1).transaction;
   ASSERT_TRUE(end);
   EXPECT_EQ(end->transaction.writes.size(), 8u);
@@ -639,95 +660,97 @@
   leader.on_transaction_completed(outcome(kv::Outcome::refused), 1);
   const auto retry = leader.advance(2).transaction;
   ASSERT_TRUE(retry);
-  EXPECT_EQ(retry->transaction.writes[0].key, "end/j-1") << "nothing else goes before it";
+  EXPECT_EQ(retry->transaction.writes[0].key, "end/j-1")
+      << "no record is removed before the end is stored";
   leader.on_transaction_completed(outcome(kv::Outcome::ok), 2);
   const auto rest = leader.advance(3).transaction;
   ASSERT_TRUE(rest);
   for (const auto& write : rest->transaction.writes) EXPECT_FALSE(write.value) << write.key;
 }
 
-// inc-afc1: four changes of leaders in a day, and each new one asked for the whole fleet again,
-// since it knew the machines by name only.
-TEST_F(LeaderTest, ItRentsNothingBeforeItKnowsWhatItHas) {
-  jobs::TaskRangeRecord chunk;
+// Incident inc-afc1: after each of four changes of leaders in a day, the new leader rented the
+// whole fleet again, since it knew the machines by name only.
+TEST_F(LeaderTest, ItRentsNothingBeforeTheMachinesAreListed) {
+  jobs::TaskRangeRecord task_range;
   for (std::uint32_t task = 0; task < 8; ++task) {
-    chunk.placements.push_back({task, 1, task < 4 ? "n-1" : "n-2"});
+    task_range.placements.push_back({task, 1, task < 4 ? "n-1" : "n-2"});
   }
   LeaderSnapshot from =
       snapshot({job_entry("j-1", 8)},
-               {{jobs::legacy_task_range_key("j-1", 0), encode_legacy_task_range(chunk), 8}});
+               {{jobs::legacy_task_range_key("j-1", 0), encode_legacy_task_range(task_range), 8}});
   from.jobs[0].value["spec"]["loaner"] = false;
-  const auto rents = [](const Effects& out) {
+  const auto requests_machines = [](const Effects& out) {
     return out.transaction &&
            std::any_of(out.transaction->transaction.writes.begin(),
                        out.transaction->transaction.writes.end(),
                        [](const auto& write) { return write.key.starts_with("pool/"); });
   };
-  Leader leader = lead(from);
-  for (double now = 0.1; now < 3; now += 0.5) EXPECT_FALSE(rents(leader.advance(now)));
+  Leader leader = make_leader(from);
+  for (double now = 0.1; now < 3; now += 0.5) EXPECT_FALSE(requests_machines(leader.advance(now)));
   std::vector<cloud::ListedMachine> machines;
   for (const char* name : {"n-1", "n-2"}) {
     machines.push_back({name, "", "small", "a", false, cloud::MachinePhase::running, 500});
   }
   leader.on_host_list(machines, 3, 3.2);
-  EXPECT_FALSE(rents(leader.advance(5)));
-  leader.on_transaction_completed(outcome(kv::Outcome::ok), 5.5);  // counts for display
+  EXPECT_FALSE(requests_machines(leader.advance(5)));
+  leader.on_transaction_completed(outcome(kv::Outcome::ok), 5.5);  // status counts
   kv::Entry more = job_entry("j-2", 4);
   leader.on_job_changes({{more.key, more.value, 60}}, 6);
   leader.on_jobs_read_until(6);
-  EXPECT_TRUE(rents(leader.advance(7)));
+  EXPECT_TRUE(requests_machines(leader.advance(7)));
 }
 
 TEST_F(LeaderTest, AMachineIsGoneOnlyWhenAListCouldNotHaveMissedIt) {
-  Leader leader = lead(snapshot({}));
-  hear(leader, 1, 10);
+  Leader leader = make_leader(snapshot({}));
+  send_heartbeat(leader, 1, 10);
   leader.on_host_list({}, 14, 14.2);
   EXPECT_EQ(leader.cluster().host_index.size(), 1u) << "the list may be older than the machine";
   leader.on_host_list({}, 15.5, 15.7);
   EXPECT_TRUE(leader.cluster().host_index.empty());
 }
 
-// inc-692f: the watch brought a header from before a job's end after the end was settled. The job
-// came back to life in the leader's memory, every transaction with it failed, and nothing was
-// stored for the rest of the day: a job whose need was cancelled stayed "pending" (orphaned).
-TEST_F(LeaderTest, AnEchoFromBeforeItsEndDoesNotReviveAJob) {
-  Leader leader = lead(snapshot({job_entry("j-1", 1, true), job_entry("j-2", 1)}));
+// Incident inc-692f: after a job's end was stored, the watch reported a header from before it. The
+// job was added again to the leader's memory, every transaction with it failed, and nothing was
+// stored for the rest of the day; a job that depended on a cancelled one stayed "pending"
+// (orphaned).
+TEST_F(LeaderTest, AnOldHeaderAfterItsEndDoesNotAddAJobAgain) {
+  Leader leader = make_leader(snapshot({job_entry("j-1", 1, true), job_entry("j-2", 1)}));
   ASSERT_TRUE(leader.advance(1).transaction);
   leader.on_transaction_completed(outcome(kv::Outcome::ok, 50), 1);
-  hear(leader, 1, 2);
+  send_heartbeat(leader, 1, 2);
   ASSERT_TRUE(leader.advance(2).transaction) << "another transaction is in flight";
-  const kv::Entry echo = job_entry("j-1", 1);
-  leader.on_job_changes({{echo.key, echo.value, 45}}, 2);
-  leader.on_job_list({{echo.key, echo.value, 45}}, 2);
+  const kv::Entry old_header = job_entry("j-1", 1);
+  leader.on_job_changes({{old_header.key, old_header.value, 45}}, 2);
+  leader.on_job_list({{old_header.key, old_header.value, 45}}, 2);
   EXPECT_FALSE(leader.cluster().job_index.contains("j-1"));
-  leader.on_job_changes({{echo.key, std::nullopt, 50}}, 2);
+  leader.on_job_changes({{old_header.key, std::nullopt, 50}}, 2);
   EXPECT_FALSE(leader.cluster().job_index.contains("j-1"));
 }
 
-TEST_F(LeaderTest, ConflictsWithoutEndMeanReadingAllAnew) {
-  Leader leader = lead(snapshot({job_entry("j-1", 1, true)}));
+TEST_F(LeaderTest, RepeatedConflictsMakeItStepDown) {
+  Leader leader = make_leader(snapshot({job_entry("j-1", 1, true)}));
   kv::CommitResult conflict = outcome(kv::Outcome::conflict);
   conflict.failed_keys = {"job/j-1"};
-  bool resigns = false;
-  for (double now = 1; now < 20 && !resigns; now += 0.2) {
+  bool steps_down = false;
+  for (double now = 1; now < 20 && !steps_down; now += 0.2) {
     const Effects out = leader.advance(now);
-    resigns = out.step_down;
+    steps_down = out.step_down;
     if (out.transaction) leader.on_transaction_completed(conflict, now);
   }
-  EXPECT_TRUE(resigns);
+  EXPECT_TRUE(steps_down);
 }
 
-// A job that needs others waits for a strong read of those of which the leader knows nothing.
-TEST_F(LeaderTest, NeedsThatAreOverAreLookedUp) {
+// A job with dependencies waits for a strong read of those of which the leader knows nothing.
+TEST_F(LeaderTest, EndsOfUnknownDependenciesAreRead) {
   const auto waiting = [](const std::string& id, const std::vector<std::string>& needs) {
     kv::Entry entry = job_entry(id, 1);
     entry.value["spec"]["waits_on"] = needs;
     return entry;
   };
-  Leader leader = lead(snapshot({waiting("j-1", {"j-8"}), waiting("j-2", {"j-9"})}));
-  hear(leader, 1, 1);
+  Leader leader = make_leader(snapshot({waiting("j-1", {"j-8"}), waiting("j-2", {"j-9"})}));
+  send_heartbeat(leader, 1, 1);
   EXPECT_EQ(leader.advance(1).read_job_ends, (std::vector<std::string>{"j-8", "j-9"}));
-  EXPECT_TRUE(leader.advance(1.5).read_job_ends.empty()) << "asked already";
+  EXPECT_TRUE(leader.advance(1.5).read_job_ends.empty()) << "already requested";
   const auto found = [](const std::string& id, bool cancelled) {
     kv::ReadResult end;
     end.outcome = kv::Outcome::ok;
@@ -738,9 +761,9 @@
   absent.outcome = kv::Outcome::absent;
   leader.on_job_end_read("j-9", absent, 2);
   leader.on_job_end_read("j-8", found("j-8", false), 2);
-  hear(leader, 1, 2);
+  send_heartbeat(leader, 1, 2);
   const Effects first = leader.advance(2.2);
-  EXPECT_EQ(first.read_job_ends, (std::vector<std::string>{"j-9"})) << "asked again";
+  EXPECT_EQ(first.read_job_ends, (std::vector<std::string>{"j-9"})) << "requested again";
   ASSERT_TRUE(first.transaction);
   EXPECT_EQ(first.transaction->transaction.writes[0].key, "task/j-1/0-1");
   leader.on_transaction_completed(outcome(kv::Outcome::ok), 2.3);
@@ -751,10 +774,12 @@
   EXPECT_EQ(end->transaction.writes[0].value->at("cancelled"), true);
 }
 
-// "Malformed" to a first sending is certain. Sent again as it is, it would be refused for ever.
-TEST_F(LeaderTest, WhatIsTooLargeIsMadeSmallerAndHoldsNobodyUp) {
-  Leader leader = lead(snapshot({job_entry("j-1", 4), job_entry("j-2", 4), job_entry("j-3", 4)}));
-  for (int i = 0; i < 3; ++i) hear(leader, i, 1);
+// If the first attempt to send a transaction is rejected as malformed, it was certainly not
+// applied; sent again unchanged, it would be rejected forever.
+TEST_F(LeaderTest, ATooLargeTransactionIsSplitAndDoesNotBlockOthers) {
+  Leader leader =
+      make_leader(snapshot({job_entry("j-1", 4), job_entry("j-2", 4), job_entry("j-3", 4)}));
+  for (int i = 0; i < 3; ++i) send_heartbeat(leader, i, 1);
   auto batch = leader.advance(1).transaction;
   ASSERT_TRUE(batch);
   ASSERT_EQ(batch->transaction.writes.size(), 3u);
@@ -766,14 +791,15 @@
   leader.on_transaction_completed(outcome(kv::Outcome::malformed), 1.3);
   batch = leader.advance(1.4).transaction;
   ASSERT_TRUE(batch);
-  EXPECT_EQ(batch->transaction.writes.size(), 1u) << "the others go on";
+  EXPECT_EQ(batch->transaction.writes.size(), 1u) << "the other records are still written";
   EXPECT_NE(batch->transaction.writes[0].key, refused);
   EXPECT_FALSE(leader.advance(1.5).step_down);
 }
 
-// It says nothing of a first sending whose answer was lost: that one may have come in time.
-TEST_F(LeaderTest, MalformedAfterAnUnansweredTryMeansReadingAllAnew) {
-  Leader leader = lead(snapshot({job_entry("j-1", 1, true)}));
+// The same rejection of a later attempt says nothing about a first one whose answer was lost: that
+// one may have been applied.
+TEST_F(LeaderTest, MalformedAfterAnUnansweredAttemptMakesItStepDown) {
+  Leader leader = make_leader(snapshot({job_entry("j-1", 1, true)}));
   ASSERT_TRUE(leader.advance(1).transaction);
   leader.on_transaction_completed({}, 2);
   ASSERT_TRUE(leader.advance(3).transaction);
@@ -781,7 +807,7 @@
   EXPECT_TRUE(leader.advance(4).step_down);
 }
 
-TEST_F(LeaderTest, ItKeepsToTheNextRateOnceItIsTurnedAway) {
+TEST_F(LeaderTest, ItObeysTheAnnouncedRateOnceItIsThrottled) {
   settings::Platform lower = platform();
   lower.store_limits.write_rps = 40;
   lower.upcoming_store_limits = lower.store_limits;
@@ -805,9 +831,9 @@
   EXPECT_LT(writes(1), 25u);
 }
 
-// The first record in the finer cut is written beside the older one, which stays until the job
-// ends; whoever reads both gets every task's placement and done mark.
-TEST_F(LeaderTest, RecordsAreCutAnewOneByOneWithoutAGap) {
+// The first record in the finer partition of a job's tasks is written beside the older one, which
+// stays until the job ends. A reader of both gets every task's placement and completion.
+TEST_F(LeaderTest, RecordsAreRepartitionedOneByOneWithoutLoss) {
   settings::Platform p = platform();
   p.store_limits.value_kb = 4;
   p.upcoming_store_limits = {1000, 100, 1, 4};
@@ -822,7 +848,7 @@
   Leader leader(p, {}, kFencingToken, from, 0);
   EXPECT_EQ(leader.cluster().jobs[0]->task_ranges.size(), 1u);
   leader.on_all_upgraded();
-  workers::Heartbeat ended = report(1, 1);
+  workers::Heartbeat ended = heartbeat_of(1, 1);
   ended.tasks = {{"j-1", 1, 1, workers::TaskState::exited, workers::ExitReason::done},
                  {"j-1", 160, 1, workers::TaskState::running, workers::ExitReason::none}};
   std::map<std::string, kv::Entry> stored;
@@ -852,8 +878,8 @@
 }
 
 TEST_F(LeaderTest, AHigherFencingTokenDeposesIt) {
-  Leader leader = lead(snapshot({}));
-  workers::Heartbeat newer = report(1, 1);
+  Leader leader = make_leader(snapshot({}));
+  workers::Heartbeat newer = heartbeat_of(1, 1);
   newer.fencing_token = kFencingToken + 1;
   EXPECT_EQ(leader.on_heartbeat(
                 newer, [](const wire::Json&) {}, 1),
@@ -861,42 +887,44 @@
   EXPECT_TRUE(leader.deposed());
 }
 
-// hunt-7b89-3: with eight leaders in ten minutes all that waited always looked new, so nothing was
-// late, little was rented, and half of the arrays were not done in time.
+// Simulated run hunt-7b89-3: with eight leaders in ten minutes all waiting jobs always looked new,
+// so none counted as late, few machines were rented, and half of the arrays were not done in time.
 TEST_F(LeaderTest, JobsKeepTheirAgeThroughAChangeOfLeaders) {
   LeaderSnapshot first = snapshot({job_entry("j-1", 1)});
   first.stored_schema = kv::Entry{schema::kLevelKey, schema::encode_stored({4, 4, true}), 6};
   first.revision_clock.observe(3, -300);
-  first.revision_clock.observe(7, -200);  // its header's revision
+  first.revision_clock.observe(7, -200);  // revision of the job's header
   first.revision_clock.observe(20, 0);
-  Leader leader = lead(first);
+  Leader leader = make_leader(first);
   EXPECT_NEAR(leader.cluster().jobs[0]->unblocked_at, -200, 1);
 
-  // It tells what it knows in one write every few seconds, and whoever saw nothing goes by that.
-  std::optional<kv::Write> told;
+  // The leader stores the revision clock every few seconds; a leader that has observed nothing
+  // itself uses that record.
+  std::optional<kv::Write> clock_record;
   for (double now = 1; now < 12; now += 0.5) {
     leader.on_jobs_read_until(now);
     const Effects out = leader.advance(now);
     if (!out.transaction) continue;
     for (const kv::Write& write : out.transaction->transaction.writes) {
-      if (write.key == kv::kTimelineKey) told = write;
+      if (write.key == kv::kTimelineKey) clock_record = write;
     }
     leader.on_transaction_completed(outcome(kv::Outcome::ok, 40), now + 0.1);
   }
-  ASSERT_TRUE(told && told->value);
+  ASSERT_TRUE(clock_record && clock_record->value);
   LeaderSnapshot second = snapshot({job_entry("j-1", 1)});
-  second.stored_revision_clock = kv::Entry{told->key, *told->value, 41};
+  second.stored_revision_clock = kv::Entry{clock_record->key, *clock_record->value, 41};
   second.revision_clock.observe(41, 1000);
   const Leader next(platform(), {}, kFencingToken + 2, second, 1000);
   EXPECT_NEAR(next.cluster().jobs[0]->unblocked_at, 1000 - 207.5, 5);
 
   second.stored_revision_clock->value = "nonsense";
-  const Leader unsure(platform(), {}, kFencingToken + 2, second, 1000);
-  EXPECT_EQ(unsure.cluster().jobs[0]->unblocked_at, 1000);
+  const Leader without_clock(platform(), {}, kFencingToken + 2, second, 1000);
+  EXPECT_EQ(without_clock.cluster().jobs[0]->unblocked_at, 1000);
 }
 
-// A gang that ran under an earlier leader could not yield for 30 s after each change of leaders.
-TEST_F(LeaderTest, WhatRanBeforeIsTakenToRunSinceItWasPlaced) {
+// Regression: a gang that had run under an earlier leader could not be preempted for 30 s after
+// each change of leaders.
+TEST_F(LeaderTest, ATaskOfAnEarlierLeaderRunsSinceItsPlacement) {
   jobs::TaskRangeRecord record;
   record.placements = {{0, 1, "n-1"}};
   LeaderSnapshot from = snapshot(
@@ -904,8 +932,8 @@
       {{jobs::compact_task_range_key("j-1", 0, 1), jobs::encode_compact_task_range(record), 9}});
   from.revision_clock.observe(9, -50);
   from.revision_clock.observe(20, 0);
-  Leader leader = lead(from);
-  workers::Heartbeat running = report(1, 5);
+  Leader leader = make_leader(from);
+  workers::Heartbeat running = heartbeat_of(1, 5);
   running.tasks = {{"j-1", 0, 1, workers::TaskState::running, {}}};
   leader.on_heartbeat(
       running, [](const wire::Json&) {}, 3);
--- a/src/controller/pending_transaction_test.cpp
+++ b/src/controller/pending_transaction_test.cpp
@@ -12,16 +12,16 @@
 
 class PendingTransactionTest : public ::testing::Test {
  protected:
-  // As after a sending whose answer was lost.
+  // Begins a transaction whose first attempt gets no answer.
   void send_without_answer(const std::string& key) {
     TransactionBatch batch;
     batch.transaction.preconditions = {{key, kRevisionBefore}};
     batch.transaction.writes = {{key, kv::Json::object(), std::nullopt}};
     transaction_.begin(batch);
     EXPECT_FALSE(answer(Outcome::unknown, 0));
-    EXPECT_FALSE(transaction_.take_resend(0)) << "not at once";
+    EXPECT_FALSE(transaction_.take_resend(0)) << "not sent again at once";
     EXPECT_TRUE(transaction_.take_resend(1));
-    EXPECT_FALSE(transaction_.take_resend(1)) << "once";
+    EXPECT_FALSE(transaction_.take_resend(1)) << "sent again only once";
   }
   std::optional<PendingTransaction::Resolution> answer(Outcome outcome, double now) {
     kv::CommitResult committed;
@@ -41,7 +41,7 @@
   PendingTransaction transaction_;
 };
 
-TEST_F(PendingTransactionTest, AConflictAfterALostAnswerIsExplainedByTheRevisionOfALeadersKey) {
+TEST_F(PendingTransactionTest, AConflictAfterALostAnswerIsVerifiedByTheRevisionOfALeadersKey) {
   for (const std::uint64_t revision : {kRevisionBefore, kRevisionBefore + 1}) {
     send_without_answer(kKey);
     EXPECT_FALSE(answer(Outcome::conflict, 1));
@@ -56,9 +56,10 @@
   }
 }
 
-TEST_F(PendingTransactionTest, WithoutSuchAKeyTheOutcomeIsNotCertain) {
+TEST_F(PendingTransactionTest, WithoutAVerificationKeyTheOutcomeIsUncertain) {
   send_without_answer("job/j-1");
-  EXPECT_FALSE(answer(Outcome::refused, 1)) << "the first sending may have come before the limits";
+  EXPECT_FALSE(answer(Outcome::refused, 1))
+      << "the first attempt may have been applied before the limits were lowered";
   const auto resolution = answer(Outcome::conflict, 5);
   ASSERT_TRUE(resolution);
   EXPECT_FALSE(resolution->is_certain);
--- a/src/controller/server_bytes_test.cpp
+++ b/src/controller/server_bytes_test.cpp
@@ -1,5 +1,6 @@
-// The routes of a node's two doors, and what it sends to a worker that it has not heard: of a node
-// in a process of its own, with a key-value store, a cloud and a worker that are played.
+// Exact responses on a node's two listeners, the keys of its records, and its calls to a worker
+// that it has not heard from. The node runs in a process of its own; the key-value store, the cloud
+// and the worker are emulated.
 #include <unistd.h>
 
 #include <filesystem>
@@ -41,7 +42,7 @@
  protected:
   NodeBytes() { state_.open("node-0", platform_.store_address.port); }
 
-  // The answer once it is not that nobody leads yet.
+  // Repeats the request while the answer is 503 because no leader has been elected yet.
   static wire::CallResult ask(const wire::Address& at, const char* method, const std::string& path,
                               const char* body = nullptr) {
     wire::Client client(at, 0, wire::kMaxBody_bytes);
@@ -59,8 +60,8 @@
     EXPECT_EQ(answer.status, status);
     EXPECT_TRUE(is_written_as(answer.body, body));
   }
-  // As a literal cannot hold the token of the lead.
-  static wire::Json with_baton_40(wire::Json body) {
+  // Replaces the fencing token, which is assigned at run time, by 40, so that a literal matches.
+  static wire::Json with_fencing_token_40(wire::Json body) {
     EXPECT_TRUE(body.value("baton", wire::Json()).is_number_unsigned());
     body["baton"] = 40u;
     return body;
@@ -87,19 +88,19 @@
   }};
   test::PortReservations ports_;
   const settings::Platform platform_ = [this] {
-    settings::Platform made;
-    made.node_name = "node-0";
-    made.failure_domain = "a";
-    made.serve_on = {"127.0.0.1", ports_.reserve()};
-    made.cluster_listen = {"127.0.0.1", ports_.reserve()};
-    made.store_address = {"127.0.0.1", ports_.reserve()};
-    made.cloud_address = cloud_.at();
-    made.teams = {{"red", 0, 0, 0, 0}};
-    made.worker_timings = {1, 10, 15, 4, 30};
-    made.store_limits = {1000, 100, 4, 8};
-    made.upcoming_store_limits = made.store_limits;
-    made.cloud_limits = {10, 2};
-    return made;
+    settings::Platform platform;
+    platform.node_name = "node-0";
+    platform.failure_domain = "a";
+    platform.serve_on = {"127.0.0.1", ports_.reserve()};
+    platform.cluster_listen = {"127.0.0.1", ports_.reserve()};
+    platform.store_address = {"127.0.0.1", ports_.reserve()};
+    platform.cloud_address = cloud_.at();
+    platform.teams = {{"red", 0, 0, 0, 0}};
+    platform.worker_timings = {1, 10, 15, 4, 30};
+    platform.store_limits = {1000, 100, 4, 8};
+    platform.upcoming_store_limits = platform.store_limits;
+    platform.cloud_limits = {10, 2};
+    return platform;
   }();
 };
 
@@ -131,27 +132,27 @@
         std::to_string(++sequence_number) + R"(,"baton":0,"pieces":[]})";
     const wire::CallResult answer = ask(at, "POST", path, report.c_str());
     EXPECT_EQ(answer.status, 200) << path;
-    EXPECT_TRUE(is_written_as(with_baton_40(answer.body), R"({"baton":40,"orders":[]})"));
+    EXPECT_TRUE(is_written_as(with_fencing_token_40(answer.body), R"({"baton":40,"orders":[]})"));
   }
 }
 
-TEST_F(NodeBytes, RecordsStandUnderLiteralKeys) {
+TEST_F(NodeBytes, RecordsAreStoredUnderLiteralKeys) {
   const RunningNode node(platform_);
-  // Once it leads and has told the key-value store what it speaks.
+  // The records exist once the node is the leader and has written its claim.
   for (const char* key : {"leader", "member/node-0", "claim/node-0", "level", "catalog"}) {
-    bool stands = false;
-    for (int i = 0; i < 200 && !stands; ++i) {
-      stands = state_.with([&](const auto& model) {
+    bool exists = false;
+    for (int i = 0; i < 200 && !exists; ++i) {
+      exists = state_.with([&](const auto& model) {
         const auto entries = model.list(key);
         return !entries.empty() && entries.front().key == key;
       });
-      if (!stands) std::this_thread::sleep_for(std::chrono::milliseconds(100));
+      if (!exists) std::this_thread::sleep_for(std::chrono::milliseconds(100));
     }
-    EXPECT_TRUE(stands) << key;
+    EXPECT_TRUE(exists) << key;
   }
 }
 
-TEST_F(NodeBytes, WorkerThatWasNotHeardIsAskedAndToldAsLiteral) {
+TEST_F(NodeBytes, CallsToASilentWorkerAreWrittenAsLiteral) {
   const RunningNode node(platform_);
   std::vector<test::Asked> asked;
   for (int i = 0; i < 200 && asked.size() < 2; ++i) {
@@ -162,8 +163,8 @@
   EXPECT_EQ(asked[0].line, "GET /status");
   EXPECT_TRUE(asked[0].body.is_null());
   EXPECT_EQ(asked[1].line, "POST /orders");
-  EXPECT_TRUE(
-      is_written_as(with_baton_40(asked[1].body), R"({"baton":40,"tenure":4,"orders":[]})"));
+  EXPECT_TRUE(is_written_as(with_fencing_token_40(asked[1].body),
+                            R"({"baton":40,"tenure":4,"orders":[]})"));
 }
 
 }  // namespace
