--- a/src/controller/server.cpp
+++ b/src/controller/server.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int kProberThreads = 3;
-// Of the rate that the key-value store allows a node.
+// The part of a node's rate limit at the key-value store that this process uses.
 constexpr double kStoreRateFraction = 0.6;
 
 }  // namespace
@@ -19,9 +19,9 @@
     : platform_(platform),
       policy_(policy),
       store_(platform_.store_address, platform_.store_limits.rps * kStoreRateFraction),
-      supported_versions_{schema::kOldestLevel, schema::kNewestLevel, policy_.hold_at,
-                          REACHRAMP_VERSION},
-      version_tracker_(store_, platform_, supported_versions_),
+      supported_levels_{schema::kOldestLevel, schema::kNewestLevel, policy_.hold_at,
+                        REACHRAMP_VERSION},
+      version_tracker_(store_, platform_, supported_levels_),
       election_(
           store_, platform_, [this] { return version_tracker_.defers_leadership(); },
           [this](double silent_s, double lease_duration_s, std::uint64_t fencing_token) {
@@ -34,7 +34,7 @@
       catalog_(store_),
       jobs_(store_, platform_, members_, version_tracker_, recent_cancellations_,
             [this] { return catalog_.get(); }),
-      job_watcher_(platform_, policy_, supported_versions_, election_, store_, members_, events_),
+      job_watcher_(platform_, policy_, supported_levels_, election_, store_, members_, events_),
       transaction_sender_(election_, store_, events_),
       cancellation_poller_(election_, health_, events_),
       strong_reader_(election_, store_, events_),
@@ -51,8 +51,9 @@
   }
 }
 
-// The listeners first: whoever has not got them is a second process of this name, or there are too
-// few ports, and must not have said a word to the key-value store in its node's name.
+// The listeners are opened first. A process that cannot open them is a second one with this node's
+// name, or too few ports are free; it must not have sent anything to the key-value store under this
+// name.
 void Server::run() {
   wire::ConnectionLimiter connections(
       wire::max_connections_within({platform_.fd_limit, platform_.ram_mb, platform_.thread_limit}));
