--- a/src/controller/leader_hosts.cpp
+++ b/src/controller/leader_hosts.cpp
@@ -225,8 +225,8 @@
       format_duration(percent_99_heard_after_s_));
 }
 
-// Closes the pools that the operators' drain rules exclude and those in zones that have failed, and
-// opens all others.
+// Closes the pools that the operators' drain rules exclude and those in zones that are not healthy,
+// and opens all others.
 void Leader::update_closed_pools() {
   std::set<Pool> pools = zones_.closed_pools(cluster_);
   pools.merge(drains_.closed_pools(cluster_));
@@ -288,9 +288,9 @@
   }
 }
 
-// If one machine is silent, it has failed. If many fall silent together, a network partition is
-// more likely, and their tasks go on behind it: on a recorded day a leader returned all such
-// machines and lost half the fleet.
+// A single silent machine is presumed to have failed. If many fall silent together, a network
+// partition is more likely, and their tasks go on behind it: on a recorded day a leader returned
+// all such machines and lost half the fleet.
 bool Leader::are_many_hosts_silent(double now) const {
   const double limit_s = silence_limit_s(platform_.worker_timings);
   int up = 0, silent = 0;
