--- a/src/controller/leader_hosts.cpp
+++ b/src/controller/leader_hosts.cpp
@@ -307,9 +307,9 @@
   const Host* host = cluster_.hosts[index].get();
   if (host == nullptr || host->phase == HostPhase::terminating) return nullptr;
   // Machines of a zone that is silent as a whole are left to zones::ZoneMonitor, and their time
-  // counts anew when the zone is heard again. When they were judged one by one, a whole zone was
-  // returned within seconds: heartbeats are staggered, so never a third of the machines was silent
-  // together.
+  // counts anew when the zone is heard again. When each machine was judged by itself, a whole zone
+  // was returned within seconds: heartbeats are staggered, so less than a third of all machines was
+  // silent at any one time.
   const bool has_zone = host->zone != kNone;
   const zones::ZoneState zone = has_zone ? zones_.state(host->zone) : zones::ZoneState::healthy;
   if (zone == zones::ZoneState::suspected || zone == zones::ZoneState::lost) return nullptr;
--- a/src/controller/leader_test.cpp
+++ b/src/controller/leader_test.cpp
@@ -200,9 +200,9 @@
       << "heartbeats of a returned machine do not change the state";
 }
 
-// A rule that users have asked for: once its knowledge of cancellations is older than the bound,
-// the leader responds to no heartbeat, not even to a repeated one. A cancellation that another
-// member has confirmed is carried out with the next response.
+// A rule that users have asked for: once the leader's knowledge of cancellations is older than the
+// staleness bound, it responds to no heartbeat, not even to a repeated one. A cancellation that
+// another member has confirmed is carried out with the next response.
 TEST_F(LeaderTest, ItRespondsToWorkersOnlyWithinTheStalenessBound) {
   settings::Platform of_two = platform();
   of_two.members = {{"node-1", "a", {}}};
@@ -408,7 +408,7 @@
   EXPECT_FALSE(host.cordoned);
   leader.on_drains(kv::Entry{drains::kPolicyKey, record(5, "(machines (zone a))"), 63}, 8);
   EXPECT_TRUE(run(8, 30).empty()) << "its task still runs";
-  // The tasks end.
+  // All tasks on the machine end.
   std::vector<std::string> returned;
   for (double now = 30; now < 80 && returned.empty(); now += 2) {
     workers::Heartbeat idle = heartbeat_of(1, 100000 + static_cast<std::uint64_t>(now * 10));
@@ -549,9 +549,9 @@
   EXPECT_EQ(returned, 3) << "returned in the end";
 }
 
-// Found in a day of our own in the simulated cluster: a zone was cut off, and its machines exceeded
-// the silence limit one by one because their heartbeats are staggered. All 245 were returned within
-// seconds, since never a third was silent together.
+// A simulated day of our own showed this fault: a zone was cut off, and its machines exceeded the
+// silence limit one by one because their heartbeats are staggered. All 245 were returned within
+// seconds, since less than a third of all machines was silent at any one time.
 TEST_F(LeaderTest, ASilentZoneIsNotReturnedMachineByMachine) {
   Leader leader = make_leader(snapshot({job_entry("j-1", 80)}));
   const auto send_heartbeat_from_zone = [&](int machine, const char* zone, double now) {
@@ -576,7 +576,7 @@
   EXPECT_LE(returned, 5) << "at most one per second";
 }
 
-// A transaction that was answered only at the second attempt once blocked all later ones.
+// Regression: a transaction that was answered only at the second attempt blocked all later ones.
 TEST_F(LeaderTest, TransactionsContinueAfterAnUnansweredOne) {
   Leader leader = make_leader(snapshot({job_entry("j-1", 1, true)}));
   auto first = leader.advance(1).transaction;
@@ -592,8 +592,8 @@
   EXPECT_TRUE(leader.advance(4).transaction);
 }
 
-// Neither outcome is assumed before the key has been read. Where no key can tell, the leader steps
-// down and all state is read again.
+// If a conflict follows an unanswered attempt, neither outcome is assumed before a key that tells
+// has been read. Where no key can tell, the leader steps down and all state is read again.
 TEST_F(LeaderTest, AConflictAfterAnUnansweredAttemptMustBeVerified) {
   kv::CommitResult conflict = outcome(kv::Outcome::conflict);
   conflict.failed_keys = {"job/j-1"};
@@ -622,7 +622,8 @@
   EXPECT_TRUE(other_leader.advance(4).step_down);
 }
 
-// A cancelled job was considered finished while its stored attempts were not loaded yet.
+// Regression: a cancelled job was considered finished while its stored attempts were not loaded
+// yet.
 TEST_F(LeaderTest, ACancelledJobWithStoredAttemptsIsNotFinished) {
   jobs::TaskRangeRecord task_range;
   task_range.placements = {{0, 1, "n-9"}};
@@ -796,8 +797,8 @@
   EXPECT_FALSE(leader.advance(1.5).step_down);
 }
 
-// The same rejection of a later attempt says nothing about a first one whose answer was lost: that
-// one may have been applied.
+// If a later attempt is rejected as malformed, that says nothing about a first attempt whose answer
+// was lost: that one may have been applied.
 TEST_F(LeaderTest, MalformedAfterAnUnansweredAttemptMakesItStepDown) {
   Leader leader = make_leader(snapshot({job_entry("j-1", 1, true)}));
   ASSERT_TRUE(leader.advance(1).transaction);
