--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -134,7 +134,7 @@
   // The schema level of the stored state, as this leader knows it.
   const schema::StoredSchema& stored_schema() const { return schema_; }
   // Processes the outcome of the transaction that was last sent.
-  void on_transaction_completed(const kv::CommitResult& committed, double now);
+  void on_transaction_completed(const kv::CommitResult& result, double now);
   // Processes the strong reads that verify a transaction: first the key that the transaction
   // writes, then the leader's key. While the latter has our fencing token, no other leader can have
   // written the former.
--- a/src/controller/leader_transactions.cpp
+++ b/src/controller/leader_transactions.cpp
@@ -18,11 +18,11 @@
 
 }  // namespace
 
-void Leader::on_transaction_completed(const kv::CommitResult& committed, double now) {
+void Leader::on_transaction_completed(const kv::CommitResult& result, double now) {
   if (transaction_.is_empty()) return;
   recheck_deferred_responses_ = true;
-  write_budget_.note_throttled(committed.throttle_count, now);
-  if (const auto resolution = transaction_.on_commit_result(committed, now))
+  write_budget_.note_throttled(result.throttle_count, now);
+  if (const auto resolution = transaction_.on_commit_result(result, now))
     resolve_transaction(*resolution, now);
 }
 
--- a/src/controller/obsolete_records.cpp
+++ b/src/controller/obsolete_records.cpp
@@ -18,8 +18,8 @@
          !(value.is_object() && value.value("open", false));
 }
 
-constexpr auto kObsoleteChecks = {kv::is_stale,     jobs::is_stale,  shares::is_stale,
-                                  drains::is_stale, zones::is_stale, is_obsolete_pool};
+constexpr auto kObsoleteChecks = {kv::is_obsolete,     jobs::is_obsolete,  shares::is_obsolete,
+                                  drains::is_obsolete, zones::is_obsolete, is_obsolete_pool};
 
 }  // namespace
 
--- a/src/drains/drain_policy.cpp
+++ b/src/drains/drain_policy.cpp
@@ -126,7 +126,7 @@
 
 }  // namespace
 
-bool is_stale(const std::string& key, const wire::Json&, std::uint32_t level) {
+bool is_obsolete(const std::string& key, const wire::Json&, std::uint32_t level) {
   return (key == kPolicyKey || key == kUsageKey) && level < schema::kDrains;
 }
 
--- a/src/drains/drain_policy.h
+++ b/src/drains/drain_policy.h
@@ -21,7 +21,7 @@
 inline constexpr const char* kUsageKey = "drains/used";
 // Whether the key belongs to a record of this directory that the schema level does not have, or has
 // in another format.
-bool is_stale(const std::string& key, const wire::Json& value, std::uint32_t level);
+bool is_obsolete(const std::string& key, const wire::Json& value, std::uint32_t level);
 
 // Limits on the voluntary disruption of one team.
 struct DisruptionBudget {
--- a/src/jobs/spec.cpp
+++ b/src/jobs/spec.cpp
@@ -382,7 +382,7 @@
   return found;
 }
 
-bool is_stale(const std::string& key, const wire::Json&, std::uint32_t level) {
+bool is_obsolete(const std::string& key, const wire::Json&, std::uint32_t level) {
   const auto range = level >= schema::kTimeline ? parse_task_range_key(key) : std::nullopt;
   return range && range->format == TaskRecordFormat::legacy;
 }
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -140,6 +140,6 @@
 // None if the key is not one of a task range record.
 std::optional<TaskRangeKey> parse_task_range_key(const std::string& key);
 // Whether the key belongs to a task range record in a format that the schema level has replaced.
-bool is_stale(const std::string& key, const wire::Json& value, std::uint32_t level);
+bool is_obsolete(const std::string& key, const wire::Json& value, std::uint32_t level);
 
 }  // namespace reachramp::jobs
--- a/src/kv/revision_clock.cpp
+++ b/src/kv/revision_clock.cpp
@@ -127,7 +127,7 @@
   if (samples_.size() > kMaxSamples) compact(now);
 }
 
-bool is_stale(const std::string& key, const wire::Json&, std::uint32_t level) {
+bool is_obsolete(const std::string& key, const wire::Json&, std::uint32_t level) {
   return key == kTimelineKey && level < schema::kTimeline;
 }
 
--- a/src/kv/revision_clock.h
+++ b/src/kv/revision_clock.h
@@ -21,7 +21,7 @@
 inline constexpr const char* kTimelineKey = "timeline";
 // Whether the record belongs to this module and must be removed or rewritten at the schema level
 // `level`, because the level has no such record or stores it in another form.
-bool is_stale(const std::string& key, const wire::Json& value, std::uint32_t level);
+bool is_obsolete(const std::string& key, const wire::Json& value, std::uint32_t level);
 
 // Owns the samples of the store revision: at most 64, the sparser the older.
 //
--- a/src/shares/usage_accounts.cpp
+++ b/src/shares/usage_accounts.cpp
@@ -181,7 +181,7 @@
   return line;
 }
 
-bool is_stale(const std::string& key, const wire::Json&, std::uint32_t level) {
+bool is_obsolete(const std::string& key, const wire::Json&, std::uint32_t level) {
   return key == kSharesKey && level < schema::kShares;
 }
 
--- a/src/shares/usage_accounts.h
+++ b/src/shares/usage_accounts.h
@@ -16,7 +16,7 @@
 inline constexpr const char* kSharesKey = "shares";
 // Whether the key belongs to a record of this directory that the schema level does not have, or has
 // in another format.
-bool is_stale(const std::string& key, const wire::Json& value, std::uint32_t level);
+bool is_obsolete(const std::string& key, const wire::Json& value, std::uint32_t level);
 
 // Stored totals of one team or job class.
 struct UsageAccount {
--- a/src/zones/zone_monitor.cpp
+++ b/src/zones/zone_monitor.cpp
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-bool is_stale(const std::string& key, const wire::Json&, std::uint32_t level) {
+bool is_obsolete(const std::string& key, const wire::Json&, std::uint32_t level) {
   return key == kZonesKey && level < schema::kDrains;
 }
 
--- a/src/zones/zone_monitor.h
+++ b/src/zones/zone_monitor.h
@@ -28,7 +28,7 @@
 inline constexpr const char* kZonesKey = "zones";
 // Whether the key belongs to a record of this directory that the schema level does not have, or has
 // in another format.
-bool is_stale(const std::string& key, const wire::Json& value, std::uint32_t level);
+bool is_obsolete(const std::string& key, const wire::Json& value, std::uint32_t level);
 
 // The order is that of the numbers in the stored record.
 enum class ZoneState { healthy, suspected, lost, recovering };
