--- a/src/jobs/job_reader_test.cpp
+++ b/src/jobs/job_reader_test.cpp
@@ -69,11 +69,11 @@
       while (!stopping) {
         const int job = static_cast<int>(random() % kJobCount);
         const int before = stored[job];
-        const Lookup answer = reader.read_batched(job_id(job));
+        const Lookup result = reader.read_batched(job_id(job));
         ++asked;
-        undetermined += answer.state == JobState::undetermined;
-        absent += answer.state == JobState::absent;
-        older += answer.state != JobState::undetermined && progress(answer) < before;
+        undetermined += result.state == JobState::undetermined;
+        absent += result.state == JobState::absent;
+        older += result.state != JobState::undetermined && progress(result) < before;
         if (random() % 50 == 0) absent += reader.read_batched("j-none").state == JobState::live;
       }
     });
--- a/src/jobs/spec.cpp
+++ b/src/jobs/spec.cpp
@@ -233,7 +233,7 @@
   return done;
 }
 
-// Like wire::text, which refuses an empty text.
+// Like wire::text, but the text may be empty.
 const std::string& possibly_empty_text(const Json& record, const char* field) {
   const Json& value = wire::require(record, field);
   if (!value.is_string()) throw wire::BadMessage(std::string(field) + ": not text");
@@ -324,7 +324,7 @@
     groups[{placement.host, placement.attempt}].push_back(placement.task - range.first);
   }
   std::string_view common_prefix;
-  if (!groups.empty()) {  // sorted by name: a common prefix of the first and last is one of all
+  if (!groups.empty()) {  // sorted by name: a prefix that the first and last share is common to all
     const std::string_view low = groups.begin()->first.first;
     const std::string_view high = groups.rbegin()->first.first;
     const auto differ = std::mismatch(low.begin(), low.end(), high.begin(), high.end()).first;
--- a/src/peers/heartbeat_forwarder.cpp
+++ b/src/peers/heartbeat_forwarder.cpp
@@ -77,12 +77,12 @@
   const double now = kv::steady_now();
   const double available_s = std::min(timeout_s, deadline - now);
   if (available_s <= 0 || recently_unreachable(node, now)) return std::nullopt;
-  const wire::CallResult answer = clients_.at(node)->call(
+  const wire::CallResult response = clients_.at(node)->call(
       "POST", path, &heartbeat, std::chrono::milliseconds(static_cast<int>(available_s * 1000)));
-  if (answer.status == 200 || answer.status == kStatusMisdirectedRequest) {
-    return wire::Response{answer.status, answer.body};
+  if (response.status == 200 || response.status == kStatusMisdirectedRequest) {
+    return wire::Response{response.status, response.body};
   }
-  if (!answer.received_response && available_s == timeout_s) {
+  if (!response.received_response && available_s == timeout_s) {
     std::lock_guard lock(mutex_);
     unreachable_until_[node] = now + kUnreachableFor_s;
   }
@@ -97,14 +97,16 @@
   if (!known && !allow_intermediate_node) return std::nullopt;
   const Slot slot(*this);
   if (!slot.acquired()) return std::nullopt;
-  std::optional<wire::Response> answer;
-  if (known) answer = send_to(leader, kForwardToLeaderPath, heartbeat, kLeaderTimeout_s, deadline);
+  std::optional<wire::Response> response;
+  if (known)
+    response = send_to(leader, kForwardToLeaderPath, heartbeat, kLeaderTimeout_s, deadline);
   for (const auto& [name, other] : clients_) {
-    if (answer || !allow_intermediate_node) break;
+    if (response || !allow_intermediate_node) break;
     if (name != leader)
-      answer = send_to(name, kIntermediateHopPath, heartbeat, kIntermediateNodeTimeout_s, deadline);
+      response =
+          send_to(name, kIntermediateHopPath, heartbeat, kIntermediateNodeTimeout_s, deadline);
   }
-  return answer;
+  return response;
 }
 
 }  // namespace reachramp::peers
--- a/src/peers/readiness.cpp
+++ b/src/peers/readiness.cpp
@@ -88,15 +88,16 @@
 
 std::pair<std::size_t, bool> NodeHealth::poll_peers(std::size_t max_peers,
                                                     const ResponsePredicate& matches) {
-  std::size_t answered = 0;
+  std::size_t responded = 0;
   for (std::size_t i = 0; i < std::min(peers_.size(), max_peers); ++i) {
-    const wire::CallResult answer = peers_[i]->call("GET", kServedPath, nullptr, kPeerQueryTimeout);
-    answered += answer.received_response ? 1 : 0;
-    if (answer.status == 200 && answer.body.is_object() && matches(answer.body)) {
-      return {answered, true};
+    const wire::CallResult response =
+        peers_[i]->call("GET", kServedPath, nullptr, kPeerQueryTimeout);
+    responded += response.received_response ? 1 : 0;
+    if (response.status == 200 && response.body.is_object() && matches(response.body)) {
+      return {responded, true};
     }
   }
-  return {answered, false};
+  return {responded, false};
 }
 
 bool NodeHealth::leader_must_step_down(double since_lease_renewal_s, double lease_duration_s,
@@ -111,8 +112,8 @@
   // first refused the leader and then everybody, a leader that stepped down for that reason cost
   // all workers their leases.
   std::tie(evidence.peers_answered, evidence.successor_seen) =
-      poll_peers(peers_.size(), [&](const wire::Json& answer) {
-        const wire::Json* revision = wire::find(answer, "leader_stamp");
+      poll_peers(peers_.size(), [&](const wire::Json& response) {
+        const wire::Json* revision = wire::find(response, "leader_stamp");
         return revision != nullptr && revision->is_number_unsigned() &&
                revision->get<std::uint64_t>() > fencing_token;
       });
@@ -132,8 +133,8 @@
       unserved_s(now),
       [this] {
         return poll_peers(kMaxPeersPerReadinessCheck,
-                          [](const wire::Json& answer) {
-                            const wire::Json* served = wire::find(answer, "served");
+                          [](const wire::Json& response) {
+                            const wire::Json* served = wire::find(response, "served");
                             return served != nullptr && served->is_boolean() && served->get<bool>();
                           })
             .second;
@@ -171,15 +172,15 @@
 // The field `ago_s` is for older versions, which don't know `leader_stamp`.
 wire::Response NodeHealth::handle_served(const std::string& body, std::uint64_t leader_revision) {
   const double now = kv::steady_now();
-  wire::Json answer{{"served", unserved_s(now) == 0},
-                    {"ago_s", store_.seconds_since_served(now)},
-                    {"leader_stamp", leader_revision}};
+  wire::Json response{{"served", unserved_s(now) == 0},
+                      {"ago_s", store_.seconds_since_served(now)},
+                      {"leader_stamp", leader_revision}};
   if (!body.empty()) {
     const wire::Json asked = wire::decode_map(body);
-    answer["told"] = encode_recent_cancellations(
+    response["told"] = encode_recent_cancellations(
         recent_cancellations_.confirmed_within(wire::amount(asked, "told_within_s"), now));
   }
-  return {200, std::move(answer)};
+  return {200, std::move(response)};
 }
 
 }  // namespace reachramp::peers
--- a/src/peers/readiness_test.cpp
+++ b/src/peers/readiness_test.cpp
@@ -58,11 +58,11 @@
 // A response with an invalid list proves nothing, and the other members' lists still count.
 TEST(CancellationDigest, InvalidResponsesAreIgnored) {
   const auto digest = [](wire::Json body, int status = 200) {
-    wire::CallResult answer;
-    answer.received_response = true;
-    answer.status = status;
-    answer.body = std::move(body);
-    return decode_cancellation_digest(answer);
+    wire::CallResult response;
+    response.received_response = true;
+    response.status = status;
+    response.body = std::move(body);
+    return decode_cancellation_digest(response);
   };
   const wire::Json valid = {{"told", encode_recent_cancellations({7.5, {"j-1", "j-2"}})}};
   ASSERT_TRUE(digest(valid));
