--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kLargeOneIn = 10;
+constexpr std::size_t kMachinesPerLargeOne = 10;
 constexpr const char* kZones[] = {"a", "b", "c"};
 
 std::string machine_name(std::size_t i) {
@@ -14,7 +14,7 @@
   return "n-" + std::string(6 - digits.size(), '0') + digits;
 }
 
-jobs::Header array(std::size_t number, std::size_t tasks) {
+jobs::Header make_array_job(std::size_t number, std::size_t tasks) {
   jobs::Header made;
   made.spec.id = "j-" + std::to_string(100000 + number);
   made.spec.job_class = "render";
@@ -29,8 +29,8 @@
   return made;
 }
 
-jobs::Header gang(std::size_t number) {
-  jobs::Header made = array(number, 1 + number % 3);
+jobs::Header make_gang_job(std::size_t number) {
+  jobs::Header made = make_array_job(number, 1 + number % 3);
   made.spec.job_class = "tally";
   made.spec.shape = jobs::Shape::gang;
   made.spec.priority = jobs::Priority::normal;
@@ -63,28 +63,28 @@
           {"large", 32, 0, 128, 40, 0.5, 1.4, 0.5, 30, {"a", "b", "c"}}};
 }
 
-void fill(placement::Cluster& cluster, const Size& size, double now) {
+void fill_cluster(placement::Cluster& cluster, const FleetSize& size, double now) {
   cluster.set_catalog(catalog());
-  const std::size_t busy = static_cast<std::size_t>(size.filled * size.machines);
+  const std::size_t busy = static_cast<std::size_t>(size.busy_share * size.machines);
   std::size_t number = 0;
   Index array_job = placement::kNone;
   std::uint32_t task = 0;
   for (std::size_t i = 0; i < size.machines; ++i) {
     const Index host = cluster.add_host(machine_name(i), now);
-    const bool large = i % kLargeOneIn == 0;
+    const bool large = i % kMachinesPerLargeOne == 0;
     cluster.set_host_type(host, large ? "large" : "small", kZones[i % 3], i % 2 == 0);
     cluster.hosts[host]->phase = placement::HostPhase::up;
     cluster.hosts[host]->last_heartbeat_at = now;
     if (i >= busy) continue;
     if (large) {
-      jobs::Header header = gang(number);
+      jobs::Header header = make_gang_job(number);
       header.spec.tasks = 1;
       cluster.place(cluster.add_job(header, ++number, now), 0, 1, host, now);
       continue;
     }
     for (int core = 0; core < 4; ++core) {
-      if (array_job == placement::kNone || task == size.array_tasks) {
-        array_job = cluster.add_job(array(number, size.array_tasks), number + 1, now);
+      if (array_job == placement::kNone || task == size.tasks_per_array) {
+        array_job = cluster.add_job(make_array_job(number, size.tasks_per_array), number + 1, now);
         ++number;
         task = 0;
       }
@@ -99,15 +99,17 @@
       attempt.running_since = now;
     }
   }
-  for (std::size_t i = 0; i < size.waiting; ++i, ++number) {
-    cluster.add_job(i % 2 == 0 ? array(number, size.array_tasks) : gang(number), number + 1, now);
+  for (std::size_t i = 0; i < size.waiting_jobs; ++i, ++number) {
+    cluster.add_job(
+        i % 2 == 0 ? make_array_job(number, size.tasks_per_array) : make_gang_job(number),
+        number + 1, now);
   }
 }
 
-World::World(const Size& size) {
+FleetSnapshot::FleetSnapshot(const FleetSize& size) {
   const settings::Platform p = platform();
   placement::Cluster cluster(p, kFencingToken, jobs::TaskRecordFormat::compact);
-  fill(cluster, size, 0);
+  fill_cluster(cluster, size, 0);
   for (const auto& job : cluster.jobs) {
     snapshot.jobs.push_back({jobs::job_key(job->spec.id),
                              jobs::encode_header({job->spec, false, 0, 0, job->revision}),
@@ -124,13 +126,14 @@
   for (const auto& host : cluster.hosts) {
     const std::string& type = cluster.types[host->type];
     const std::string& zone = cluster.zones[host->zone];
-    listed.push_back({host->name, "", type, zone, host->spot, cloud::MachinePhase::running, 100});
+    listed_machines.push_back(
+        {host->name, "", type, zone, host->spot, cloud::MachinePhase::running, 100});
     workers::Heartbeat report{host->name, "", type, zone, host->spot, 1, 0, kFencingToken, {}, {}};
     for (const auto& ref : host->attempts) {
       report.tasks.push_back({cluster.jobs[ref.job]->spec.id, ref.task, 1,
                               workers::TaskState::running, workers::ExitReason::none});
     }
-    reports.push_back(std::move(report));
+    heartbeats.push_back(std::move(report));
   }
 }
 
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -10,26 +10,26 @@
 
 namespace reachramp::bench {
 
-struct Size {
+struct FleetSize {
   std::size_t machines = 0;
-  std::size_t waiting = 0;  // jobs without room: half arrays of 200 tasks, half gangs
-  std::size_t array_tasks = 200;
-  double filled = 1;  // share of the machines that have work
+  std::size_t waiting_jobs = 0;  // jobs without room: half arrays of 200 tasks, half gangs
+  std::size_t tasks_per_array = 200;
+  double busy_share = 1;  // share of the machines that have work
 };
 
 settings::Platform platform();
 cloud::Catalog catalog();
 
 // Places the work straight into a cluster.
-void fill(placement::Cluster& cluster, const Size& size, double now);
+void fill_cluster(placement::Cluster& cluster, const FleetSize& size, double now);
 
 // The same as records in the key-value store, and as workers and the cloud tell of it.
-struct World {
-  explicit World(const Size& size);
+struct FleetSnapshot {
+  explicit FleetSnapshot(const FleetSize& size);
 
   controller::LeaderSnapshot snapshot;
-  std::vector<cloud::ListedMachine> listed;
-  std::vector<workers::Heartbeat> reports;  // one a machine, without tick
+  std::vector<cloud::ListedMachine> listed_machines;
+  std::vector<workers::Heartbeat> heartbeats;  // one a machine, without tick
 
   static constexpr std::uint64_t kFencingToken = 1000000;
 };
--- a/bench/lab_bench.cpp
+++ b/bench/lab_bench.cpp
@@ -9,22 +9,22 @@
 namespace {
 
 constexpr std::uint16_t kPort = 18399;
-constexpr auto kLimit = std::chrono::milliseconds(2000);
+constexpr auto kCallTimeout = std::chrono::milliseconds(2000);
 
 lab::StateServer& server() {
   static lab::StateServer made({1e9, 1e9, 8, 8}, 1);
-  static const bool open = (made.open("node", kPort), true);
+  static const bool open = (made.listen_for_node("node", kPort), true);
   benchmark::DoNotOptimize(open);
   return made;
 }
 
 void read(benchmark::State& state) {
-  server().with([](lab::StateService& model) {
+  server().with_model([](lab::StateService& model) {
     model.commit({{}, {{"job/j-1", wire::Json{{"a", std::string(300, 'x')}}, std::nullopt}}});
   });
   wire::Client client({"127.0.0.1", kPort}, 1, wire::kMaxBody_bytes);
   for (auto _ : state) {
-    if (client.call("GET", "/keys/job/j-1", nullptr, kLimit).status != 200) {
+    if (client.call("GET", "/keys/job/j-1", nullptr, kCallTimeout).status != 200) {
       state.SkipWithError("no answer");
     }
   }
@@ -37,7 +37,7 @@
   const std::string key = "k/" + std::to_string(state.thread_index());
   for (auto _ : state) {
     const wire::Json body{{"then", {{{"write", key}, {"value", {{"a", std::string(300, 'x')}}}}}}};
-    if (client.call("POST", "/multi", &body, kLimit).status != 200) {
+    if (client.call("POST", "/multi", &body, kCallTimeout).status != 200) {
       state.SkipWithError("no answer");
     }
   }
--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -10,10 +10,10 @@
 namespace reachramp::bench {
 namespace {
 
-constexpr std::int64_t kWaiting = 100;
-constexpr double kWaited_s = 10;  // long enough for gangs to ask others to make room
+constexpr std::int64_t kWaitingJobs = 100;
+constexpr double kWaitTime_s = 10;  // long enough for gangs to ask others to make room
 
-Size size_of(const benchmark::State& state) {
+FleetSize size_of(const benchmark::State& state) {
   return {static_cast<std::size_t>(state.range(0)), static_cast<std::size_t>(state.range(1))};
 }
 
@@ -21,8 +21,8 @@
 void plan_full(benchmark::State& state) {
   const settings::Platform p = platform();
   placement::Cluster cluster(p, 1, jobs::TaskRecordFormat::compact);
-  fill(cluster, size_of(state), 0);
-  for (auto _ : state) benchmark::DoNotOptimize(placement::plan(cluster, kWaited_s));
+  fill_cluster(cluster, size_of(state), 0);
+  for (auto _ : state) benchmark::DoNotOptimize(placement::plan(cluster, kWaitTime_s));
   state.SetComplexityN(state.range(0));
 }
 
@@ -32,14 +32,14 @@
   for (auto _ : state) {
     state.PauseTiming();
     placement::Cluster cluster(p, 1, jobs::TaskRecordFormat::compact);
-    fill(cluster, size_of(state), 0);
+    fill_cluster(cluster, size_of(state), 0);
     for (std::size_t i = 1; i < cluster.hosts.size(); i += 100) {
       const auto attempts = cluster.hosts[i]->attempts;
       for (const auto& ref : attempts) cluster.mark_done(ref.job, ref.task, 0);
       for (const auto& ref : attempts) cluster.end_attempt(ref.job, ref.task, 0);
     }
     state.ResumeTiming();
-    benchmark::DoNotOptimize(placement::plan(cluster, kWaited_s));
+    benchmark::DoNotOptimize(placement::plan(cluster, kWaitTime_s));
   }
   state.SetComplexityN(state.range(0));
 }
@@ -47,9 +47,9 @@
 void buy(benchmark::State& state) {
   const settings::Platform p = platform();
   placement::Cluster cluster(p, 1, jobs::TaskRecordFormat::compact);
-  Size size = size_of(state);
-  size.filled = 0.9;  // some are idle and may go back
-  fill(cluster, size, 0);
+  FleetSize size = size_of(state);
+  size.busy_share = 0.9;  // some are idle and may go back
+  fill_cluster(cluster, size, 0);
   acquire::Autoscaler buyer{settings::Policy{}};
   buyer.record_prices(cluster, 0);
   for (auto _ : state) {
@@ -61,38 +61,38 @@
 }
 
 // A leader that has heard all of its machines.
-struct Led {
-  explicit Led(const Size& size)
-      : world(size), leader(platform(), {}, World::kFencingToken, world.snapshot, now) {
-    leader.on_host_list(world.listed, now, now);
-    for (std::size_t i = 0; i < world.reports.size(); ++i) hear(i);
+struct LeaderWithFleet {
+  explicit LeaderWithFleet(const FleetSize& size)
+      : fleet(size), leader(platform(), {}, FleetSnapshot::kFencingToken, fleet.snapshot, now) {
+    leader.on_host_list(fleet.listed_machines, now, now);
+    for (std::size_t i = 0; i < fleet.heartbeats.size(); ++i) deliver_heartbeat(i);
     leader.advance(now);
   }
-  void hear(std::size_t machine) {
-    workers::Heartbeat& report = world.reports[machine];
+  void deliver_heartbeat(std::size_t machine) {
+    workers::Heartbeat& report = fleet.heartbeats[machine];
     ++report.sequence_number;
     leader.on_heartbeat(
         report, [](const wire::Json&) {}, now);
   }
 
   double now = 0;
-  std::uint64_t store_revision = World::kFencingToken;
-  World world;
+  std::uint64_t store_revision = FleetSnapshot::kFencingToken;
+  FleetSnapshot fleet;
   controller::Leader leader;
 };
 
 // One second of reports, at the rate of the platform. The owner passes through its round after
 // each, as it does while it keeps up.
 void second(benchmark::State& state) {
-  Led led(size_of(state));
-  const std::size_t machines = led.world.reports.size();
+  LeaderWithFleet led(size_of(state));
+  const std::size_t machines = led.fleet.heartbeats.size();
   const double each_s = platform().worker_timings.report_interval_s / static_cast<double>(machines);
   std::size_t next = 0;
   for (auto _ : state) {
     for (const double end = led.now + 1; led.now < end;) {
       led.now += each_s;
       led.leader.on_jobs_read_until(led.now);
-      led.hear(next++ % machines);
+      led.deliver_heartbeat(next++ % machines);
       const auto out = led.leader.advance(led.now);
       if (!out.transaction) continue;
       kv::CommitResult stored;
@@ -105,10 +105,10 @@
 }
 
 void report(benchmark::State& state) {
-  Led led(size_of(state));
+  LeaderWithFleet led(size_of(state));
   std::size_t next = 0;
   for (auto _ : state) {
-    led.hear(next++ % led.world.reports.size());
+    led.deliver_heartbeat(next++ % led.fleet.heartbeats.size());
     state.PauseTiming();
     if (next % 64 == 0) led.leader.advance(led.now += 1);  // answers what is parked
     state.ResumeTiming();
@@ -118,13 +118,13 @@
 
 // From the records as read to every machine listed and heard under the new fencing token.
 void takeover(benchmark::State& state) {
-  Size size = size_of(state);
-  size.array_tasks = static_cast<std::size_t>(state.range(2));
-  World world(size);
+  FleetSize size = size_of(state);
+  size.tasks_per_array = static_cast<std::size_t>(state.range(2));
+  FleetSnapshot world(size);
   for (auto _ : state) {
-    controller::Leader leader(platform(), {}, World::kFencingToken, world.snapshot, 0);
-    leader.on_host_list(world.listed, 0, 0);
-    for (workers::Heartbeat& one : world.reports) {
+    controller::Leader leader(platform(), {}, FleetSnapshot::kFencingToken, world.snapshot, 0);
+    leader.on_host_list(world.listed_machines, 0, 0);
+    for (workers::Heartbeat& one : world.heartbeats) {
       ++one.sequence_number;
       leader.on_heartbeat(
           one, [](const wire::Json&) {}, 1);
@@ -137,7 +137,7 @@
 
 void sizes(benchmark::internal::Benchmark* bench) {
   for (const std::int64_t machines : {300, 600, 1300, 2500, 5000})
-    bench->Args({machines, kWaiting});
+    bench->Args({machines, kWaitingJobs});
   bench->Unit(benchmark::kMillisecond)->Complexity();
 }
 
--- a/lab/checker/event_history.cpp
+++ b/lab/checker/event_history.cpp
@@ -4,8 +4,8 @@
 
 namespace reachramp::lab {
 
-void EventHistory::note(double at, const std::string& subject, const std::string& what) {
-  if (events_.size() == most_events_) events_.pop_front();
+void EventHistory::record(double at, const std::string& subject, const std::string& what) {
+  if (events_.size() == max_events_) events_.pop_front();
   events_.push_back({at, subject, what});
 }
 
--- a/lab/checker/event_history.h
+++ b/lab/checker/event_history.h
@@ -12,12 +12,12 @@
 
 class EventHistory {
  public:
-  static constexpr std::size_t kMostEvents = 100'000;
+  static constexpr std::size_t kMaxEvents = 100'000;
 
-  explicit EventHistory(std::size_t most_events = kMostEvents) : most_events_(most_events) {}
+  explicit EventHistory(std::size_t most_events = kMaxEvents) : max_events_(most_events) {}
 
   // `subject`: whom it is about, such as a machine.
-  void note(double at, const std::string& subject, const std::string& what);
+  void record(double at, const std::string& subject, const std::string& what);
 
   // A line an event: time, subject, what happened.
   std::vector<std::string> lines() const;
@@ -32,7 +32,7 @@
   };
   static std::string line(const Event& event);
 
-  std::size_t most_events_;
+  std::size_t max_events_;
   std::deque<Event> events_;
 };
 
--- a/lab/checker/placing_rules.cpp
+++ b/lab/checker/placing_rules.cpp
@@ -6,101 +6,105 @@
 
 namespace reachramp::lab {
 
-void PlacingRules::note(const std::string& rule, const Field::TaskId& task, const std::string& how,
-                        std::set<std::string> machines, double now) {
+void PlacementChecker::add_violation(const std::string& rule, const SharedTaskState::TaskId& task,
+                                     const std::string& how, std::set<std::string> machines,
+                                     double now) {
   const std::string text =
       fmt::format("{} {}/{} {}, at {:.1f}", rule, task.job, task.task, how, now);
   violations_.push_back({text, std::move(machines), now});
 }
 
-std::vector<std::string> PlacingRules::broken() const {
+std::vector<std::string> PlacementChecker::violation_texts() const {
   std::vector<std::string> texts;
   for (const Violation& violation : violations_) texts.push_back(violation.text);
   return texts;
 }
 
-void PlacingRules::see(const Place& place,
-                       const std::vector<std::pair<Field::TaskId, std::uint64_t>>& holds,
-                       const Field& field, double now) {
-  places_[place.machine] = place;
-  std::set<Field::TaskId> present;
+void PlacementChecker::update_machine(
+    const MachineInfo& place,
+    const std::vector<std::pair<SharedTaskState::TaskId, std::uint64_t>>& holds,
+    const SharedTaskState& field, double now) {
+  machines_[place.name] = place;
+  std::set<SharedTaskState::TaskId> present;
   for (const auto& [task, attempt] : holds) present.insert(task);
-  std::set<Field::TaskId>& before = on_[place.machine];
-  for (const Field::TaskId& task : before) {
-    if (!present.contains(task)) machines_of_[task].erase(place.machine);
+  std::set<SharedTaskState::TaskId>& before = tasks_on_machine_[place.name];
+  for (const SharedTaskState::TaskId& task : before) {
+    if (!present.contains(task)) machines_of_task_[task].erase(place.name);
   }
   bool more = false;
-  for (const Field::TaskId& task : present) {
+  for (const SharedTaskState::TaskId& task : present) {
     if (before.contains(task)) continue;
     more = true;
-    started(place, task, field, now);
-    machines_of_[task].insert(place.machine);
+    check_start(place, task, field, now);
+    machines_of_task_[task].insert(place.name);
   }
   before = std::move(present);
-  if (more) check_limits(field, now);
+  if (more) check_team_limits(field, now);
 }
 
-void PlacingRules::gone(const std::string& machine) {
-  for (const Field::TaskId& task : on_[machine]) machines_of_[task].erase(machine);
-  on_.erase(machine);
-  places_.erase(machine);
+void PlacementChecker::remove_machine(const std::string& machine) {
+  for (const SharedTaskState::TaskId& task : tasks_on_machine_[machine])
+    machines_of_task_[task].erase(machine);
+  tasks_on_machine_.erase(machine);
+  machines_.erase(machine);
 }
 
-void PlacingRules::started(const Place& place, const Field::TaskId& task, const Field& field,
-                           double now) {
-  const jobs::Spec& spec = field.find(task.job)->spec;
-  for (const std::string& other : machines_of_[task]) {
-    note("ran_twice", task, "on " + place.machine + ", also on " + other, {place.machine, other},
-         now);
+void PlacementChecker::check_start(const MachineInfo& place, const SharedTaskState::TaskId& task,
+                                   const SharedTaskState& field, double now) {
+  const jobs::Spec& spec = field.find_job(task.job)->spec;
+  for (const std::string& other : machines_of_task_[task]) {
+    add_violation("ran_twice", task, "on " + place.name + ", also on " + other, {place.name, other},
+                  now);
   }
   const bool type_allowed = !spec.types || std::find(spec.types->begin(), spec.types->end(),
                                                      place.type) != spec.types->end();
   if (!type_allowed || (spec.zone && *spec.zone != place.zone) ||
       (place.spot && !spec.allow_spot)) {
-    note("wrong_place", task, "on " + place.machine + ", a " + place.type + " in " + place.zone,
-         {place.machine}, now);
+    add_violation("wrong_place", task,
+                  "on " + place.name + ", a " + place.type + " in " + place.zone, {place.name},
+                  now);
   }
   std::uint32_t in_zone = 1;
-  for (auto at = machines_of_.lower_bound({task.job, 0});
-       at != machines_of_.end() && at->first.job == task.job; ++at) {
+  for (auto at = machines_of_task_.lower_bound({task.job, 0});
+       at != machines_of_task_.end() && at->first.job == task.job; ++at) {
     for (const std::string& machine : at->second) {
-      const std::string& zone = places_.at(machine).zone;
+      const std::string& zone = machines_.at(machine).zone;
       if (spec.single_zone && zone != place.zone) {
-        note("wrong_place", task, "in " + place.zone + " beside tasks in " + zone,
-             {place.machine, machine}, now);
+        add_violation("wrong_place", task, "in " + place.zone + " beside tasks in " + zone,
+                      {place.name, machine}, now);
       }
       in_zone += zone == place.zone ? 1 : 0;
     }
   }
   if (spec.spread_over_zones && in_zone > (spec.tasks + 1) / 2) {
-    note("wrong_place", task, "with more than half of its job in " + place.zone, {place.machine},
-         now);
+    add_violation("wrong_place", task, "with more than half of its job in " + place.zone,
+                  {place.name}, now);
   }
   for (const std::string& need : spec.depends_on) {
-    const Field::Job* needed = field.find(need);
-    if (needed == nullptr || field.done_of(need) < needed->spec.tasks) {
-      note("too_early", task, "before " + need + " was done", {place.machine}, now);
+    const SharedTaskState::Job* needed = field.find_job(need);
+    if (needed == nullptr || field.done_count(need) < needed->spec.tasks) {
+      add_violation("too_early", task, "before " + need + " was done", {place.name}, now);
     }
   }
 }
 
-std::size_t PlacingRules::tasks_of(const std::string& job) const {
-  const auto end = machines_of_.upper_bound({job, std::numeric_limits<std::uint32_t>::max()});
+std::size_t PlacementChecker::held_task_count(const std::string& job) const {
+  const auto end = machines_of_task_.upper_bound({job, std::numeric_limits<std::uint32_t>::max()});
   return static_cast<std::size_t>(
-      std::count_if(machines_of_.lower_bound({job, 0}), end,
+      std::count_if(machines_of_task_.lower_bound({job, 0}), end,
                     [](const auto& entry) { return !entry.second.empty(); }));
 }
 
-void PlacingRules::check_limits(const Field& field, double now) {
+void PlacementChecker::check_team_limits(const SharedTaskState& field, double now) {
   struct Use {
     double cpus = 0;
     double gpus = 0;
   };
   std::map<std::string, Use> used;
-  Field::TaskId last;
-  for (const auto& [machine, tasks] : on_) {
-    for (const Field::TaskId& task : tasks) {
-      const jobs::Spec& spec = field.find(task.job)->spec;
+  SharedTaskState::TaskId last;
+  for (const auto& [machine, tasks] : tasks_on_machine_) {
+    for (const SharedTaskState::TaskId& task : tasks) {
+      const jobs::Spec& spec = field.find_job(task.job)->spec;
       used[spec.team].cpus += spec.cpus;
       used[spec.team].gpus += spec.gpus;
       last = task;
@@ -110,9 +114,10 @@
     const Use& use = used[team.name];
     if ((team.max_cpus > 0 && use.cpus > team.max_cpus + 1e-6) ||
         (team.max_gpus > 0 && use.gpus > team.max_gpus + 1e-6)) {
-      note("quota", last,
-           fmt::format("and others of {}: {} cpus, {} gpus", team.name, use.cpus, use.gpus), {},
-           now);
+      add_violation(
+          "quota", last,
+          fmt::format("and others of {}: {} cpus, {} gpus", team.name, use.cpus, use.gpus), {},
+          now);
     }
   }
 }
--- a/lab/checker/placing_rules.h
+++ b/lab/checker/placing_rules.h
@@ -10,23 +10,24 @@
 
 namespace reachramp::lab {
 
-class PlacingRules {
+class PlacementChecker {
  public:
-  struct Place {
-    std::string machine;
+  struct MachineInfo {
+    std::string name;
     std::string type;
     std::string zone;
     bool spot = false;
   };
 
-  explicit PlacingRules(std::vector<settings::Team> teams) : teams_(std::move(teams)) {}
+  explicit PlacementChecker(std::vector<settings::Team> teams) : teams_(std::move(teams)) {}
 
   // What is on the machine now.
-  void see(const Place& place, const std::vector<std::pair<Field::TaskId, std::uint64_t>>& holds,
-           const Field& field, double now);
-  void gone(const std::string& machine);
+  void update_machine(const MachineInfo& place,
+                      const std::vector<std::pair<SharedTaskState::TaskId, std::uint64_t>>& holds,
+                      const SharedTaskState& field, double now);
+  void remove_machine(const std::string& machine);
   // How many of the job's tasks are on machines.
-  std::size_t tasks_of(const std::string& job) const;
+  std::size_t held_task_count(const std::string& job) const;
   struct Violation {
     std::string text;                // "ran_twice j-1/3 on n-2, also on n-1, at 12.5"
     std::set<std::string> machines;  // that hold the task
@@ -34,18 +35,19 @@
   };
   // In the order in which rules were broken.
   const std::vector<Violation>& violations() const { return violations_; }
-  std::vector<std::string> broken() const;
+  std::vector<std::string> violation_texts() const;
 
  private:
-  void started(const Place& place, const Field::TaskId& task, const Field& field, double now);
-  void check_limits(const Field& field, double now);
-  void note(const std::string& rule, const Field::TaskId& task, const std::string& how,
-            std::set<std::string> machines, double now);
+  void check_start(const MachineInfo& place, const SharedTaskState::TaskId& task,
+                   const SharedTaskState& field, double now);
+  void check_team_limits(const SharedTaskState& field, double now);
+  void add_violation(const std::string& rule, const SharedTaskState::TaskId& task,
+                     const std::string& how, std::set<std::string> machines, double now);
 
   std::vector<settings::Team> teams_;
-  std::map<std::string, Place> places_;
-  std::map<std::string, std::set<Field::TaskId>> on_;  // by machine
-  std::map<Field::TaskId, std::set<std::string>> machines_of_;
+  std::map<std::string, MachineInfo> machines_;
+  std::map<std::string, std::set<SharedTaskState::TaskId>> tasks_on_machine_;  // by machine
+  std::map<SharedTaskState::TaskId, std::set<std::string>> machines_of_task_;
   std::vector<Violation> violations_;
 };
 
--- a/lab/cli/main.cpp
+++ b/lab/cli/main.cpp
@@ -24,33 +24,33 @@
 using namespace reachramp;
 using kv::steady_now;
 
-constexpr int kBroken = 1;  // a rule was broken, or a job has no end
-constexpr int kCannot = 2;  // wrong arguments, a port in use, no such program
+constexpr int kExitBroken = 1;     // a rule was broken, or a job has no end
+constexpr int kExitCannotRun = 2;  // wrong arguments, a port in use, no such program
 
 std::atomic<bool> stopping{false};
 void on_signal(int) { stopping = true; }
 
-struct Up {
+struct UpOptions {
   std::string program = "target/bin/reachramp";
   std::string folder;
   int nodes = 3;
   int machines = 40;
   int base_port = 18100;
   std::uint64_t seed = 1;
-  double for_s = 0;
-  double kill_leader_s = 0;
-  double rate = 0;
-  double load_s = 30;
+  double run_for_s = 0;
+  double kill_leader_after_s = 0;
+  double jobs_per_second = 0;
+  double submit_for_s = 30;
 };
 
 std::string node_name(int i) { return "rampnode-" + std::to_string(i); }
 
-std::string address(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
+std::string address_text(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
-wire::Address at(int port) { return {"127.0.0.1", static_cast<std::uint16_t>(port)}; }
+wire::Address loopback_address(int port) { return {"127.0.0.1", static_cast<std::uint16_t>(port)}; }
 
 // A night of its own, small and calm: its figures are the lab's, not of any site.
-settings::Platform common(const Up& up) {
+settings::Platform common_settings(const UpOptions& up) {
   settings::Platform p;
   p.teams = {{"crew", 0, 0, 0, 0}};
   p.worker_timings = {1, 10, 30, 5, 30};
@@ -58,12 +58,12 @@
   p.cloud_limits = {10, 2};
   p.fd_limit = 700;
   p.ram_mb = 128;
-  p.store_address = at(up.base_port);
-  p.cloud_address = at(up.base_port + 1);
+  p.store_address = loopback_address(up.base_port);
+  p.cloud_address = loopback_address(up.base_port + 1);
   return p;
 }
 
-lab::FleetSpec fleet_of(const Up& up, const settings::Platform& p) {
+lab::FleetSpec make_fleet_spec(const UpOptions& up, const settings::Platform& p) {
   lab::FleetSpec fleet;
   fleet.cloud.catalog = {{"small", 4, 0, 16, 30, 0.5, 0.2, 0.06, 5, {"north", "south"}},
                          {"large", 32, 0, 128, 60, 0.5, 1.4, 0.5, 8, {"north", "south"}}};
@@ -76,8 +76,8 @@
     }
   }
   fleet.cloud.limits = p.cloud_limits;
-  fleet.cloud.spot_per_hour = 1;
-  fleet.cloud.silent = 0.3;
+  fleet.cloud.spot_reclaims_per_hour = 1;
+  fleet.cloud.unannounced_reclaim_share = 0.3;
   fleet.workers = p.worker_timings;
   fleet.teams = p.teams;
   fleet.worker_port = static_cast<std::uint16_t>(up.base_port + 3);
@@ -85,63 +85,64 @@
 }
 
 // Who holds the leader's key; empty: nobody.
-std::string leader(lab::StateServer& state) {
-  return state.with([](const lab::StateService& model) {
+std::string leader_name(lab::StateServer& state) {
+  return state.with_model([](const lab::StateService& model) {
     const auto key = model.items().find("leader");
     return key == model.items().end() ? std::string() : key->second.value.value("node", "");
   });
 }
 
 struct Counts {
-  std::size_t jobs = 0, ended = 0, machines = 0;
-  double spent = 0;
+  std::size_t live_jobs = 0, ended_jobs = 0, machines = 0;
+  double total_cost = 0;
 };
 
-Counts count(lab::StateServer& state, lab::FleetServer& fleet) {
+Counts read_counts(lab::StateServer& state, lab::FleetServer& fleet) {
   Counts counts;
-  state.with([&](const lab::StateService& model) {
-    counts.jobs = model.list("job/").size();
-    counts.ended = model.list("end/").size();
+  state.with_model([&](const lab::StateService& model) {
+    counts.live_jobs = model.list("job/").size();
+    counts.ended_jobs = model.list("end/").size();
     return 0;
   });
   fleet.with_cloud([&](const lab::Cloud& cloud) {
     for (const auto& [name, machine] : cloud.machines()) {
-      counts.machines += machine.told_up && !machine.told_gone ? 1 : 0;
+      counts.machines += machine.up_reported && !machine.gone_reported ? 1 : 0;
     }
-    counts.spent = cloud.spent(steady_now());
+    counts.total_cost = cloud.total_cost(steady_now());
     return 0;
   });
   return counts;
 }
 
-void tell(const lab::Load::Result& result) {
+void print_result(const lab::LoadGenerator::Result& result) {
   std::cout << fmt::format(
       "users: {} submitted, {} accepted (50% within {:.0f} ms, 99% within {:.0f} ms), {} done (50% "
       "within {:.1f} s, 99% within {:.1f} s), {} withdrawn, {} without an end\n",
       result.submitted, result.accepted, result.accepted_p50_ms, result.accepted_p99_ms,
-      result.done, result.done_p50_s, result.done_p99_s, result.aborted, result.open);
-  for (const std::string& what : result.went_back) std::cout << "broken: " << what << "\n";
+      result.done, result.done_p50_s, result.done_p99_s, result.aborted, result.without_end);
+  for (const std::string& what : result.contradictions) std::cout << "broken: " << what << "\n";
 }
 
-bool good(const lab::Load::Result& result) {
-  return result.went_back.empty() && result.open == 0 && result.accepted == result.submitted;
+bool all_jobs_ended(const lab::LoadGenerator::Result& result) {
+  return result.contradictions.empty() && result.without_end == 0 &&
+         result.accepted == result.submitted;
 }
 
-int run_up(Up up) {
+int run_up(UpOptions up) {
   if (up.folder.empty()) {
     up.folder =
         (std::filesystem::temp_directory_path() / fmt::format("ramplab-{}", getpid())).string();
   }
   std::filesystem::create_directories(up.folder);
-  const settings::Platform p = common(up);
+  const settings::Platform p = common_settings(up);
   std::map<std::string, wire::Address> controllers;
   std::vector<settings::Platform> platforms;
   for (int i = 0; i < up.nodes; ++i) {
     settings::Platform one = p;
     one.node_name = node_name(i);
     one.failure_domain = i % 2 == 0 ? "north" : "south";
-    one.serve_on = at(up.base_port + 10 + 2 * i);
-    one.cluster_listen = at(up.base_port + 11 + 2 * i);
+    one.serve_on = loopback_address(up.base_port + 10 + 2 * i);
+    one.cluster_listen = loopback_address(up.base_port + 11 + 2 * i);
     controllers[one.node_name] = one.serve_on;
     platforms.push_back(one);
   }
@@ -153,50 +154,52 @@
     }
   }
   lab::StateServer state(p.store_limits, up.seed);
-  state.open("all", p.store_address.port);
-  lab::FleetSpec spec = fleet_of(up, p);
+  state.listen_for_node("all", p.store_address.port);
+  lab::FleetSpec spec = make_fleet_spec(up, p);
   spec.controllers = controllers;
   lab::FleetServer fleet(spec, p.cloud_address.port, up.seed);
   lab::Balancer balancer(
       static_cast<std::uint16_t>(up.base_port + 2), controllers, fleet,
       [](const jobs::Spec& job) { return std::max(job.estimated_duration_s, 0.1); });
-  lab::Nodes nodes(up.program, up.folder, platforms);
+  lab::ControllerProcesses nodes(up.program, up.folder, platforms);
   for (const auto& one : platforms) nodes.start(one.node_name);
 
-  std::cout << "users:         http://" << address(static_cast<std::uint16_t>(up.base_port + 2))
-            << "/submissions (MessagePack)\nstate service: http://" << address(p.store_address.port)
-            << "\ncloud:         http://" << address(p.cloud_address.port) << "\n";
+  std::cout << "users:         http://"
+            << address_text(static_cast<std::uint16_t>(up.base_port + 2))
+            << "/submissions (MessagePack)\nstate service: http://"
+            << address_text(p.store_address.port) << "\ncloud:         http://"
+            << address_text(p.cloud_address.port) << "\n";
   for (const auto& one : platforms) {
-    std::cout << one.node_name << ":    http://" << address(one.serve_on.port) << "\n";
+    std::cout << one.node_name << ":    http://" << address_text(one.serve_on.port) << "\n";
   }
   std::cout << "settings, logs: " << up.folder << "\nCtrl-C ends it.\n" << std::flush;
 
-  lab::Load::Result result;
-  std::atomic<bool> loaded{up.rate <= 0};
+  lab::LoadGenerator::Result result;
+  std::atomic<bool> loaded{up.jobs_per_second <= 0};
   std::thread users;
-  if (up.rate > 0) {
+  if (up.jobs_per_second > 0) {
     lab::LoadSpec load;
-    load.to = at(up.base_port + 2);
-    load.per_second = up.rate;
-    load.for_s = up.load_s;
+    load.address = loopback_address(up.base_port + 2);
+    load.jobs_per_second = up.jobs_per_second;
+    load.submit_for_s = up.submit_for_s;
     load.team = p.teams.front().name;
-    load.withdrawn = 0.05;
+    load.withdrawn_share = 0.05;
     users = std::thread([&, load] {
-      result = lab::Load(load, up.seed).run(stopping);
+      result = lab::LoadGenerator(load, up.seed).run(stopping);
       loaded = true;
     });
   }
   const double begin = steady_now();
-  bool killed = up.kill_leader_s <= 0;
+  bool killed = up.kill_leader_after_s <= 0;
   std::string restart;
   double restart_at = 0, told_at = begin;
   const bool terminal = isatty(STDOUT_FILENO) == 1;
-  while (!stopping && !(up.rate > 0 && loaded) &&
-         !(up.for_s > 0 && steady_now() - begin >= up.for_s)) {
+  while (!stopping && !(up.jobs_per_second > 0 && loaded) &&
+         !(up.run_for_s > 0 && steady_now() - begin >= up.run_for_s)) {
     poll(nullptr, 0, 200);
     const double passed = steady_now() - begin;
-    if (!killed && passed >= up.kill_leader_s) {
-      const std::string name = leader(state);
+    if (!killed && passed >= up.kill_leader_after_s) {
+      const std::string name = leader_name(state);
       if (!name.empty()) {
         std::cout << fmt::format("{:6.1f} s  {} leads and is killed\n", passed, name) << std::flush;
         nodes.kill(name);
@@ -209,36 +212,36 @@
       nodes.start(std::exchange(restart, ""));
     }
     for (const auto& one : platforms) {
-      if (one.node_name != restart && !nodes.runs(one.node_name)) {
+      if (one.node_name != restart && !nodes.is_running(one.node_name)) {
         std::cout << one.node_name << " has ended by itself; see its log\n";
         stopping = true;
       }
     }
     if (steady_now() - told_at >= (terminal ? 1 : 5)) {
       told_at = steady_now();
-      const Counts counts = count(state, fleet);
+      const Counts counts = read_counts(state, fleet);
       std::cout << fmt::format(
                        "{:6.1f} s  leader {:<12} jobs {:4} live {:4} ended  machines {:4}  spent "
                        "{:.4f}\n",
-                       passed, leader(state), counts.jobs, counts.ended, counts.machines,
-                       counts.spent)
+                       passed, leader_name(state), counts.live_jobs, counts.ended_jobs,
+                       counts.machines, counts.total_cost)
                 << std::flush;
     }
   }
   const bool by_hand = stopping.exchange(true);
   if (users.joinable()) users.join();
-  if (up.rate > 0) tell(result);
-  const std::vector<std::string> broken = fleet.broken_rules();
+  if (up.jobs_per_second > 0) print_result(result);
+  const std::vector<std::string> broken = fleet.rule_violations();
   for (const std::string& rule : broken) std::cout << "broken: " << rule << "\n";
   std::cout << (broken.empty() ? "no rule broken\n" : "");
-  if (!broken.empty()) return kBroken;
-  return up.rate > 0 && !by_hand && !good(result) ? kBroken : 0;
+  if (!broken.empty()) return kExitBroken;
+  return up.jobs_per_second > 0 && !by_hand && !all_jobs_ended(result) ? kExitBroken : 0;
 }
 
 int run_load(const lab::LoadSpec& spec, std::uint64_t seed) {
-  const lab::Load::Result result = lab::Load(spec, seed).run(stopping);
-  tell(result);
-  return good(result) ? 0 : kBroken;
+  const lab::LoadGenerator::Result result = lab::LoadGenerator(spec, seed).run(stopping);
+  print_result(result);
+  return all_jobs_ended(result) ? 0 : kExitBroken;
 }
 
 }  // namespace
@@ -248,7 +251,7 @@
   app.set_version_flag("--version", "ramplab " REACHRAMP_VERSION);
   app.require_subcommand(1);
   app.footer("Exit codes: 0 no rule broken and every job has its end, 1 otherwise, 2 cannot run.");
-  Up up;
+  UpOptions up;
   CLI::App* run = app.add_subcommand("up", "serve the models beside real controllers");
   run->add_option("--program", up.program, "the reachramp program")->check(CLI::ExistingFile);
   run->add_option("--folder", up.folder, "settings and logs of the nodes (default: a new one)");
@@ -258,10 +261,11 @@
   run->add_option("--base-port", up.base_port, "the first of some thirty ports that are used")
       ->check(CLI::Range(1024, 65000));
   run->add_option("--seed", up.seed, "of all that is drawn by lot");
-  run->add_option("--for", up.for_s, "seconds, then end (default: until Ctrl-C)");
-  run->add_option("--load", up.rate, "submit so many jobs a second, and end when all have theirs");
-  run->add_option("--load-for", up.load_s, "seconds during which jobs are submitted");
-  run->add_option("--kill-leader", up.kill_leader_s, "kill the leader after so many seconds");
+  run->add_option("--for", up.run_for_s, "seconds, then end (default: until Ctrl-C)");
+  run->add_option("--load", up.jobs_per_second,
+                  "submit so many jobs a second, and end when all have theirs");
+  run->add_option("--load-for", up.submit_for_s, "seconds during which jobs are submitted");
+  run->add_option("--kill-leader", up.kill_leader_after_s, "kill the leader after so many seconds");
   lab::LoadSpec load;
   load.team = "crew";
   std::string to = "127.0.0.1:18102";
@@ -269,19 +273,20 @@
   CLI::App* users =
       app.add_subcommand("load", "submit jobs to a running `up`, at a rate of their own");
   users->add_option("--to", to, "where users are served");
-  users->add_option("--rate", load.per_second, "jobs a second")->check(CLI::PositiveNumber);
-  users->add_option("--for", load.for_s, "seconds during which jobs are submitted");
-  users->add_option("--tasks", load.tasks, "tasks of a job")->check(CLI::Range(1, 100000));
-  users->add_option("--run", load.run_s, "seconds that a task runs")->check(CLI::PositiveNumber);
+  users->add_option("--rate", load.jobs_per_second, "jobs a second")->check(CLI::PositiveNumber);
+  users->add_option("--for", load.submit_for_s, "seconds during which jobs are submitted");
+  users->add_option("--tasks", load.tasks_per_job, "tasks of a job")->check(CLI::Range(1, 100000));
+  users->add_option("--run", load.task_run_time_s, "seconds that a task runs")
+      ->check(CLI::PositiveNumber);
   users->add_option("--team", load.team, "whose jobs they are");
-  users->add_option("--withdrawn", load.withdrawn, "share that is withdrawn")
+  users->add_option("--withdrawn", load.withdrawn_share, "share that is withdrawn")
       ->check(CLI::Range(0.0, 1.0));
-  users->add_option("--wait", load.wait_s, "seconds that a user waits for the end of a job");
+  users->add_option("--wait", load.max_wait_s, "seconds that a user waits for the end of a job");
   users->add_option("--seed", seed, "of all that is drawn by lot");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? 0 : kCannot;
+    return app.exit(error) == 0 ? 0 : kExitCannotRun;
   }
   spdlog::set_default_logger(spdlog::stderr_logger_mt("ramplab"));
   spdlog::set_level(spdlog::level::err);
@@ -290,10 +295,10 @@
   ::signal(SIGTERM, on_signal);
   try {
     if (run->parsed()) return run_up(up);
-    load.to = wire::parse_address(to);
+    load.address = wire::parse_address(to);
     return run_load(load, seed);
   } catch (const std::exception& error) {
     std::cerr << "ramplab: " << error.what() << "\n";
-    return kCannot;
+    return kExitCannotRun;
   }
 }
--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -12,24 +12,24 @@
 using wire::Json;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kKept = 256;
+constexpr std::size_t kMaxIdleUserConnections = 256;
 // PROTOCOL: what users wait for an answer, and for how long they repeat a submission.
-constexpr auto kSubmitLimit = 5000ms;
-constexpr auto kPollLimit = 2000ms;
-constexpr double kRepeatFor_s = 60;
-constexpr double kRepeatAfter_s = 1;
+constexpr auto kSubmitTimeout = 5000ms;
+constexpr auto kPollTimeout = 2000ms;
+constexpr double kResubmitFor_s = 60;
+constexpr double kResubmitDelay_s = 1;
 // Ten bins for each doubling: within 7% of the value.
-constexpr double kLeast = 0.01, kMost = 1e6;
-constexpr unsigned kBins = 266;
+constexpr double kHistogramMin = 0.01, kHistogramMax = 1e6;
+constexpr unsigned kHistogramBins = 266;
 
 void sleep(double seconds) {
   std::this_thread::sleep_for(std::chrono::duration<double>(std::max(0.0, seconds)));
 }
 
-auto make() {
+auto make_histogram() {
   return boost::histogram::make_histogram(
-      boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(kBins, kLeast,
-                                                                                      kMost));
+      boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(
+          kHistogramBins, kHistogramMin, kHistogramMax));
 }
 
 template <class Histogram>
@@ -45,20 +45,20 @@
 
 }  // namespace
 
-Load::Load(LoadSpec spec, std::uint64_t seed)
+LoadGenerator::LoadGenerator(LoadSpec spec, std::uint64_t seed)
     : spec_(std::move(spec)),
       random_(seed),
-      client_(spec_.to, kKept, wire::kMaxBody_bytes),
-      accepted_ms_(make()),
-      done_s_(make()) {}
+      client_(spec_.address, kMaxIdleUserConnections, wire::kMaxBody_bytes),
+      accepted_ms_(make_histogram()),
+      done_s_(make_histogram()) {}
 
-Json Load::job(const std::string& id) const {
+Json LoadGenerator::make_job(const std::string& id) const {
   return {{"ref", id},
           {"jobclass", "load"},
           {"owner", spec_.team},
           {"shape", "array"},
           {"urgency", "normal"},
-          {"pieces", spec_.tasks},
+          {"pieces", spec_.tasks_per_job},
           {"vcpus", 1.0},
           {"accelerators", 0.0},
           {"ram_gb", 1.0},
@@ -67,49 +67,52 @@
           {"together", false},
           {"scatter", false},
           {"loaner", true},
-          {"expected_s", spec_.run_s},
+          {"expected_s", spec_.task_run_time_s},
           {"snapshot_every_s", 0.0},
           {"snapshot_cost_s", 0.0}};
 }
 
-void Load::use(const std::string& id, double due, bool withdraws, const std::atomic<bool>& stop) {
-  const Json body = job(id);
-  const double give_up = due + spec_.wait_s;
+void LoadGenerator::run_user(const std::string& id, double due_at, bool withdraw,
+                             const std::atomic<bool>& stop) {
+  const Json body = make_job(id);
+  const double give_up = due_at + spec_.max_wait_s;
   bool accepted = false;
-  while (!stop && !accepted && steady_now() < due + kRepeatFor_s) {
-    const wire::CallResult answer = client_.call("POST", "/submissions", &body, kSubmitLimit);
+  while (!stop && !accepted && steady_now() < due_at + kResubmitFor_s) {
+    const wire::CallResult answer = client_.call("POST", "/submissions", &body, kSubmitTimeout);
     accepted = answer.status == 200 || answer.status == 201;
-    if (!accepted) sleep(std::max<double>(kRepeatAfter_s, answer.retry_after_s));
+    if (!accepted) sleep(std::max<double>(kResubmitDelay_s, answer.retry_after_s));
   }
   {
     std::lock_guard lock(mutex_);
     ++result_.submitted;
     if (accepted) {
       ++result_.accepted;
-      accepted_ms_(1000 * (steady_now() - due));
+      accepted_ms_(1000 * (steady_now() - due_at));
     }
   }
   while (accepted && !stop && steady_now() < give_up) {
     const std::string path = "/submissions/" + id;
     const wire::CallResult answer =
-        withdraws ? client_.call("POST", path + "/withdraw", nullptr, kSubmitLimit)
-                  : client_.call("GET", path, nullptr, kPollLimit);
+        withdraw ? client_.call("POST", path + "/withdraw", nullptr, kSubmitTimeout)
+                 : client_.call("GET", path, nullptr, kPollTimeout);
     const bool told = answer.status == 200 && answer.body.is_object();
-    if (take(id, answer.status, told ? answer.body.value("phase", "") : "", withdraws, due)) return;
-    sleep(spec_.poll_s);
+    if (record_answer(id, answer.status, told ? answer.body.value("phase", "") : "", withdraw,
+                      due_at))
+      return;
+    sleep(spec_.poll_interval_s);
   }
   std::lock_guard lock(mutex_);
-  ++result_.open;
+  ++result_.without_end;
 }
 
 // Whether that was the job's end.
-bool Load::take(const std::string& id, int status, const std::string& phase, bool withdraws,
-                double due) {
+bool LoadGenerator::record_answer(const std::string& id, int status, const std::string& phase,
+                                  bool withdraws, double due) {
   std::lock_guard lock(mutex_);
-  if (status == 404) result_.went_back.push_back(id + ": accepted, then not known");
+  if (status == 404) result_.contradictions.push_back(id + ": accepted, then not known");
   if (phase == "aborted") {
     ++result_.aborted;
-    if (!withdraws) result_.went_back.push_back(id + ": aborted, and nobody withdrew it");
+    if (!withdraws) result_.contradictions.push_back(id + ": aborted, and nobody withdrew it");
   } else if (phase == "done") {
     ++result_.done;
     done_s_(steady_now() - due);
@@ -117,20 +120,20 @@
   return phase == "aborted" || phase == "done";
 }
 
-Load::Result Load::run(const std::atomic<bool>& stop) {
+LoadGenerator::Result LoadGenerator::run(const std::atomic<bool>& stop) {
   const std::uint64_t run = random_();
-  std::exponential_distribution<double> gap(spec_.per_second);
-  std::bernoulli_distribution withdrawn(spec_.withdrawn);
+  std::exponential_distribution<double> gap(spec_.jobs_per_second);
+  std::bernoulli_distribution withdrawn(spec_.withdrawn_share);
   {
     wire::ThreadPool crew(1s);
     const double begin = steady_now();
     std::size_t number = 0;
-    for (double due = begin + gap(random_); due < begin + spec_.for_s && !stop;
+    for (double due = begin + gap(random_); due < begin + spec_.submit_for_s && !stop;
          due += gap(random_)) {
       sleep(due - steady_now());
       const std::string id = "j-" + std::to_string(run % 1000000) + "-" + std::to_string(++number);
       const bool withdraws = withdrawn(random_);
-      crew.run([this, id, due, withdraws, &stop] { use(id, due, withdraws, stop); });
+      crew.run([this, id, due, withdraws, &stop] { run_user(id, due, withdraws, stop); });
     }
   }  // all users have left
   result_.accepted_p50_ms = quantile(accepted_ms_, 0.5);
--- a/lab/load/load.h
+++ b/lab/load/load.h
@@ -16,28 +16,28 @@
 namespace reachramp::lab {
 
 struct LoadSpec {
-  wire::Address to;
-  double per_second = 1;
-  double for_s = 30;    // submissions come this long; their users stay until they have an end
-  double wait_s = 120;  // and no longer than this
-  double poll_s = 1;
-  double withdrawn = 0;  // share of jobs that are withdrawn soon after they were accepted
-  std::uint32_t tasks = 10;
-  double run_s = 5;
+  wire::Address address;
+  double jobs_per_second = 1;
+  double submit_for_s = 30;  // submissions come this long; their users stay until they have an end
+  double max_wait_s = 120;   // and no longer than this
+  double poll_interval_s = 1;
+  double withdrawn_share = 0;  // share of jobs that are withdrawn soon after they were accepted
+  std::uint32_t tasks_per_job = 10;
+  double task_run_time_s = 5;
   std::string team;
 };
 
-class Load {
+class LoadGenerator {
  public:
   struct Result {
-    std::size_t submitted = 0, accepted = 0, done = 0, aborted = 0, open = 0;
+    std::size_t submitted = 0, accepted = 0, done = 0, aborted = 0, without_end = 0;
     // What a user was told and what went back on an earlier answer.
-    std::vector<std::string> went_back;
+    std::vector<std::string> contradictions;
     double accepted_p50_ms = 0, accepted_p99_ms = 0;
     double done_p50_s = 0, done_p99_s = 0;
   };
 
-  Load(LoadSpec spec, std::uint64_t seed);
+  LoadGenerator(LoadSpec spec, std::uint64_t seed);
   // Blocks until all users have left, or `stop` is set.
   Result run(const std::atomic<bool>& stop);
 
@@ -45,10 +45,10 @@
   using Histogram = decltype(boost::histogram::make_histogram(
       boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(1, 1, 2)));
 
-  void use(const std::string& id, double due, bool withdraws, const std::atomic<bool>& stop);
-  bool take(const std::string& id, int status, const std::string& phase, bool withdraws,
-            double due);
-  wire::Json job(const std::string& id) const;
+  void run_user(const std::string& id, double due, bool withdraws, const std::atomic<bool>& stop);
+  bool record_answer(const std::string& id, int status, const std::string& phase, bool withdraws,
+                     double due);
+  wire::Json make_job(const std::string& id) const;
 
   LoadSpec spec_;
   std::mt19937_64 random_;
--- a/lab/loopback/balancer.cpp
+++ b/lab/loopback/balancer.cpp
@@ -6,26 +6,27 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMostConnections = 2000;
-constexpr std::size_t kKept = 64;
-constexpr std::size_t kTries = 3;  // PROTOCOL: up to three nodes in all
-constexpr auto kLimit = 5s;
+constexpr std::size_t kMaxUserConnections = 2000;
+constexpr std::size_t kMaxIdleConnectionsPerNode = 64;
+constexpr std::size_t kMaxNodesTried = 3;  // PROTOCOL: up to three nodes in all
+constexpr auto kForwardTimeout = 5s;
 
 }  // namespace
 
 Balancer::Balancer(std::uint16_t port, const std::map<std::string, wire::Address>& nodes,
                    FleetServer& fleet, RunTime run_time)
-    : fleet_(fleet), run_time_(std::move(run_time)), budget_(kMostConnections) {
+    : fleet_(fleet), run_time_(std::move(run_time)), connection_limiter_(kMaxUserConnections) {
   for (const auto& [name, address] : nodes) {
-    nodes_.push_back(std::make_unique<wire::Client>(address, kKept, wire::kMaxBody_bytes));
+    nodes_.push_back(
+        std::make_unique<wire::Client>(address, kMaxIdleConnectionsPerNode, wire::kMaxBody_bytes));
   }
-  door_ = std::make_unique<wire::Server>(
-      wire::Address{"127.0.0.1", port}, budget_, wire::ClientKind::user,
+  server_ = std::make_unique<wire::Server>(
+      wire::Address{"127.0.0.1", port}, connection_limiter_, wire::ClientKind::user,
       [](const wire::Request&) { return wire::ClientKind::user; },
-      [this](const wire::Request& request) { return serve(request); });
+      [this](const wire::Request& request) { return forward(request); });
 }
 
-wire::Response Balancer::serve(const wire::Request& request) {
+wire::Response Balancer::forward(const wire::Request& request) {
   std::optional<wire::Json> body;
   if (!request.body.empty()) body = wire::decode_map(request.body);
   if (request.path == "/submissions" && body) {
@@ -36,10 +37,10 @@
       // Nothing that a worker could fetch; the node says what is wrong.
     }
   }
-  for (std::size_t i = 0; i < std::min(kTries, nodes_.size()); ++i) {
-    wire::Client& node = *nodes_[next_++ % nodes_.size()];
+  for (std::size_t i = 0; i < std::min(kMaxNodesTried, nodes_.size()); ++i) {
+    wire::Client& node = *nodes_[next_node_++ % nodes_.size()];
     const wire::CallResult answer =
-        node.call(request.method.c_str(), request.path, body ? &*body : nullptr, kLimit);
+        node.call(request.method.c_str(), request.path, body ? &*body : nullptr, kForwardTimeout);
     if (answer.received_response) return {answer.status, answer.body, answer.retry_after_s};
     // What a node may have begun is not for another one to repeat: users do that, by the same id.
     if (answer.may_have_been_sent) break;
--- a/lab/loopback/balancer.h
+++ b/lab/loopback/balancer.h
@@ -20,14 +20,14 @@
            FleetServer& fleet, RunTime run_time);
 
  private:
-  wire::Response serve(const wire::Request& request);
+  wire::Response forward(const wire::Request& request);
 
   FleetServer& fleet_;
   RunTime run_time_;
   std::vector<std::unique_ptr<wire::Client>> nodes_;
-  std::atomic<std::size_t> next_{0};
-  wire::ConnectionLimiter budget_;
-  std::unique_ptr<wire::Server> door_;
+  std::atomic<std::size_t> next_node_{0};
+  wire::ConnectionLimiter connection_limiter_;
+  std::unique_ptr<wire::Server> server_;
 };
 
 }  // namespace reachramp::lab
--- a/lab/loopback/child_process.cpp
+++ b/lab/loopback/child_process.cpp
@@ -37,15 +37,15 @@
 }
 
 // The signal that comes with the limit is ignored, here and so in the child: writes fail instead.
-void limit_log(pid_t child, std::size_t most_bytes) {
-  const rlimit limit{most_bytes, most_bytes};
+void limit_file_size(pid_t child, std::size_t max_bytes) {
+  const rlimit limit{max_bytes, max_bytes};
   ::prlimit(child, RLIMIT_FSIZE, &limit, nullptr);
 }
 
 }  // namespace
 
 pid_t spawn(const ChildProgram& child) {
-  if (child.most_log_bytes > 0) ::signal(SIGXFSZ, SIG_IGN);
+  if (child.max_log_bytes > 0) ::signal(SIGXFSZ, SIG_IGN);
   std::vector<std::string> arguments = child.arguments;
   arguments.insert(arguments.begin(), child.program);
   std::vector<std::string> environment = environment_with(child.log_level);
@@ -57,14 +57,14 @@
   }
   posix_spawnattr_t attributes;
   posix_spawnattr_init(&attributes);
-  if (child.own_group) posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETPGROUP);
+  if (child.own_process_group) posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETPGROUP);
   pid_t pid = 0;
   const int error = posix_spawn(&pid, child.program.c_str(), &actions, &attributes,
                                 pointers_to(arguments).data(), pointers_to(environment).data());
   posix_spawn_file_actions_destroy(&actions);
   posix_spawnattr_destroy(&attributes);
   if (error != 0) throw std::system_error(error, std::generic_category(), child.program);
-  if (child.most_log_bytes > 0) limit_log(pid, child.most_log_bytes);
+  if (child.max_log_bytes > 0) limit_file_size(pid, child.max_log_bytes);
   return pid;
 }
 
--- a/lab/loopback/child_process.h
+++ b/lab/loopback/child_process.h
@@ -14,8 +14,8 @@
   std::vector<std::string> arguments = {};  // without the program's own name
   std::string log_file = {};                // standard error is appended to it; empty: ours
   std::string log_level = {};               // LOG_LEVEL; empty: ours
-  bool own_group = false;                   // a Ctrl-C does not reach it
-  std::size_t most_log_bytes = 0;           // what is written past it is lost; 0: no limit
+  bool own_process_group = false;           // a Ctrl-C does not reach it
+  std::size_t max_log_bytes = 0;            // what is written past it is lost; 0: no limit
 };
 
 // Throws std::system_error if the program cannot be started.
--- a/lab/loopback/fleet_server.cpp
+++ b/lab/loopback/fleet_server.cpp
@@ -13,29 +13,29 @@
 using kv::steady_now;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMostConnections = 4000;
-constexpr auto kAnswerLimit = 4000ms;  // PROTOCOL
-constexpr double kLookAtLeast_s = 1;
-constexpr double kLookAtMostEvery_s = 0.002;
-constexpr auto kThreadsStay = 2s;
+constexpr std::size_t kMaxFleetConnections = 4000;
+constexpr auto kReportTimeout = 4000ms;  // PROTOCOL
+constexpr double kMaxClockWait_s = 1;
+constexpr double kMinClockWait_s = 0.002;
+constexpr auto kThreadIdleTime = 2s;
 // Of the history: reports that were answered sooner, with 200 and no order, are not noted; so much
 // before a rule is broken, and after it, is told with it.
-constexpr double kNotedReport_s = 0.5;
-constexpr double kToldBefore_s = 20;
-constexpr double kToldAfter_s = 2;
+constexpr double kSlowReport_s = 0.5;
+constexpr double kHistoryBefore_s = 20;
+constexpr double kHistoryAfter_s = 2;
 
-wire::Server::ClientClassifier anybody() {
+wire::Server::ClientClassifier classify_all_as_users() {
   return [](const wire::Request&) { return wire::ClientKind::user; };
 }
 
-std::chrono::duration<double> until(double due, double now) {
-  return std::chrono::duration<double>(std::clamp(due - now, kLookAtMostEvery_s, kLookAtLeast_s));
+std::chrono::duration<double> clamped_wait(double due, double now) {
+  return std::chrono::duration<double>(std::clamp(due - now, kMinClockWait_s, kMaxClockWait_s));
 }
 
 // Each worker has an address of its own: 127.0.0.0/8 has room for all.
 CloudSpec with_addresses(CloudSpec spec, std::uint16_t port) {
   if (port == 0) return spec;
-  spec.address = [port](const std::string& machine) {
+  spec.worker_address = [port](const std::string& machine) {
     const unsigned long number = std::stoul(machine.substr(machine.find('-') + 1));
     return fmt::format("127.16.{}.{}:{}", number / 250, 1 + number % 250, port);
   };
@@ -48,47 +48,48 @@
     : spec_(std::move(spec)),
       random_(seed),
       cloud_(with_addresses(spec_.cloud, spec_.worker_port), seed),
-      field_(spec_.workers),
-      rules_(spec_.teams),
-      budget_(kMostConnections),
-      door_(std::make_unique<wire::Server>(
-          wire::Address{"127.0.0.1", cloud_port}, budget_, wire::ClientKind::user, anybody(),
-          [this](const wire::Request& request) { return serve_cloud(request); })),
-      crew_(kThreadsStay),
-      clock_([this] { keep_time(); }) {}
+      shared_state_(spec_.workers),
+      placement_checker_(spec_.teams),
+      connection_limiter_(kMaxFleetConnections),
+      cloud_server_(std::make_unique<wire::Server>(
+          wire::Address{"127.0.0.1", cloud_port}, connection_limiter_, wire::ClientKind::user,
+          classify_all_as_users(),
+          [this](const wire::Request& request) { return handle_cloud_request(request); })),
+      worker_threads_(kThreadIdleTime),
+      clock_thread_([this] { run_clock(); }) {}
 
 FleetServer::~FleetServer() {
-  std::map<std::string, Shared> members;
+  std::map<std::string, WorkerPtr> members;
   {
     std::lock_guard lock(mutex_);
     stopping_ = true;
     changed_.notify_one();
-    members = members_;
+    members = workers_;
     for (auto& [name, member] : members) {
       member->gone = true;
       member->changed.notify_all();
     }
   }
-  clock_.join();
-  door_.reset();
-  for (auto& [name, member] : members) member->door.reset();
-  left_.clear();
+  clock_thread_.join();
+  cloud_server_.reset();
+  for (auto& [name, member] : members) member->order_server.reset();
+  removed_workers_.clear();
 }
 
-void FleetServer::upload(const Field::Job& job) {
+void FleetServer::upload(const SharedTaskState::Job& job) {
   std::lock_guard lock(mutex_);
-  field_.upload(job);
+  shared_state_.upload(job);
 }
 
-std::size_t FleetServer::tasks_of(const std::string& job) {
+std::size_t FleetServer::held_task_count(const std::string& job) {
   const std::lock_guard lock(mutex_);
   expire_leases(steady_now());
-  return rules_.tasks_of(job);
+  return placement_checker_.held_task_count(job);
 }
 
-std::vector<std::string> FleetServer::broken_rules() {
+std::vector<std::string> FleetServer::rule_violations() {
   std::lock_guard lock(mutex_);
-  return rules_.broken();
+  return placement_checker_.violation_texts();
 }
 
 std::vector<std::string> FleetServer::history() {
@@ -96,38 +97,38 @@
   return history_.lines();
 }
 
-std::vector<std::string> FleetServer::history_of_broken_rules() {
+std::vector<std::string> FleetServer::history_of_violations() {
   std::lock_guard lock(mutex_);
   std::vector<std::string> told;
-  for (const PlacingRules::Violation& violation : rules_.violations()) {
+  for (const PlacementChecker::Violation& violation : placement_checker_.violations()) {
     told.push_back(violation.text + ":");
-    const auto lines = history_.lines_about(violation.machines, violation.at - kToldBefore_s,
-                                            violation.at + kToldAfter_s);
+    const auto lines = history_.lines_about(violation.machines, violation.at - kHistoryBefore_s,
+                                            violation.at + kHistoryAfter_s);
     told.insert(told.end(), lines.begin(), lines.end());
   }
   return told;
 }
 
-void FleetServer::note_cloud_request(const wire::Request& request, const wire::Response& reply,
-                                     double now) {
+void FleetServer::record_cloud_request(const wire::Request& request, const wire::Response& reply,
+                                       double now) {
   if (request.method != "POST" || reply.status == 400) return;
   const wire::Json body = wire::decode_map(request.body);
   const auto hosts = body.find("hosts");
   if (hosts == body.end()) {
-    history_.note(now, "cloud",
-                  fmt::format("{} -> {} {}", body.dump(), reply.status, reply.body.dump()));
+    history_.record(now, "cloud",
+                    fmt::format("{} -> {} {}", body.dump(), reply.status, reply.body.dump()));
     return;
   }
   for (const wire::Json& host : *hosts) {
-    history_.note(now, host.get<std::string>(), fmt::format("returned: {}", reply.status));
+    history_.record(now, host.get<std::string>(), fmt::format("returned: {}", reply.status));
   }
 }
 
-wire::Response FleetServer::serve_cloud(const wire::Request& request) {
+wire::Response FleetServer::handle_cloud_request(const wire::Request& request) {
   std::lock_guard lock(mutex_);
   const double now = steady_now();
-  wire::Response reply = cloud_.ask(request, now);
-  note_cloud_request(request, reply, now);
+  wire::Response reply = cloud_.handle_request(request, now);
+  record_cloud_request(request, reply, now);
   // Before the answer: by then what was returned is gone.
   handle_cloud_events(now);
   changed_.notify_one();
@@ -137,8 +138,8 @@
 std::size_t FleetServer::hang_machines_of(const std::string& job) {
   const std::lock_guard lock(mutex_);
   std::size_t hung = 0;
-  for (auto& [name, member] : members_) {
-    const auto holds = member->worker->holds();
+  for (auto& [name, member] : workers_) {
+    const auto holds = member->worker->held_tasks();
     if (std::none_of(holds.begin(), holds.end(),
                      [&](const auto& held) { return held.first.job == job; })) {
       continue;
@@ -149,159 +150,161 @@
   return hung;
 }
 
-wire::Response FleetServer::serve_worker(Member& member, const wire::Request& request) {
+wire::Response FleetServer::handle_worker_request(RunningWorker& member,
+                                                  const wire::Request& request) {
   std::unique_lock lock(mutex_);
-  member.changed.wait(lock, [&] { return member.gone || !member.worker->hangs(); });
+  member.changed.wait(lock, [&] { return member.gone || !member.worker->is_hung(); });
   if (member.gone) return {503, {{"error", "gone"}}};
   const double now = steady_now();
-  wire::Response reply = member.worker->ask(request, now);
+  wire::Response reply = member.worker->handle_request(request, now);
   if (request.method == "POST") {
-    history_.note(
-        now, member.place.machine,
+    history_.record(
+        now, member.machine.name,
         fmt::format("told directly {} -> {}", wire::decode_map(request.body).dump(), reply.status));
   }
-  look(member, now);
+  check_after_change(member, now);
   member.changed.notify_one();
   return reply;
 }
 
 // Under the lock, after everything that may have changed what is on the machine.
-void FleetServer::look(Member& member, double now) {
+void FleetServer::check_after_change(RunningWorker& member, double now) {
   expire_leases(now);
-  observe(member, now);
+  record_and_check(member, now);
 }
 
 // Whatever a worker's own thread waits for, its lease ends at its time: before anybody else can be
 // found to hold one of its tasks.
 void FleetServer::expire_leases(double now) {
   if (now <= next_lease_end_) return;
-  next_lease_end_ = kForever;
-  for (const auto& [name, member] : members_) {
+  next_lease_end_ = kInfinity_s;
+  for (const auto& [name, member] : workers_) {
     Worker& worker = *member->worker;
     if (worker.lease_ends_at() < now) {
       worker.expire_lease(now);
-      observe(*member, now);
+      record_and_check(*member, now);
     }
     next_lease_end_ = std::min(next_lease_end_, worker.lease_ends_at());
   }
 }
 
-void FleetServer::observe(Member& member, double now) {
+void FleetServer::record_and_check(RunningWorker& member, double now) {
   if (member.gone) return;
-  note_changes(member, now);
-  rules_.see(member.place, member.noted.holds, field_, now);
+  record_changes(member, now);
+  placement_checker_.update_machine(member.machine, member.last_recorded.held_tasks, shared_state_,
+                                    now);
 }
 
-void FleetServer::note_changes(Member& member, double now) {
+void FleetServer::record_changes(RunningWorker& member, double now) {
   const Worker& worker = *member.worker;
-  const std::string& machine = member.place.machine;
-  Observed seen{worker.holds(), worker.incarnation(), worker.fencing_token()};
-  Observed& before = member.noted;
+  const std::string& machine = member.machine.name;
+  WorkerSnapshot seen{worker.held_tasks(), worker.incarnation(), worker.fencing_token()};
+  WorkerSnapshot& before = member.last_recorded;
   if (seen.incarnation != before.incarnation || seen.fencing_token != before.fencing_token) {
-    history_.note(now, machine,
-                  fmt::format("incarnation {}, fencing token {}, lease since {:.4f}",
-                              seen.incarnation, seen.fencing_token, worker.lease_since()));
+    history_.record(now, machine,
+                    fmt::format("incarnation {}, fencing token {}, lease since {:.4f}",
+                                seen.incarnation, seen.fencing_token, worker.lease_starts_at()));
   }
   const auto note_missing = [&](const auto& from, const auto& in, const char* what) {
     for (const auto& held : from) {
       if (std::find(in.begin(), in.end(), held) != in.end()) continue;
-      history_.note(now, machine,
-                    fmt::format("{} {}/{} attempt {}, incarnation {}, lease since {:.4f}", what,
-                                held.first.job, held.first.task, held.second, seen.incarnation,
-                                worker.lease_since()));
+      history_.record(now, machine,
+                      fmt::format("{} {}/{} attempt {}, incarnation {}, lease since {:.4f}", what,
+                                  held.first.job, held.first.task, held.second, seen.incarnation,
+                                  worker.lease_starts_at()));
     }
   };
-  note_missing(before.holds, seen.holds, "ended");
-  note_missing(seen.holds, before.holds, "holds");
+  note_missing(before.held_tasks, seen.held_tasks, "ended");
+  note_missing(seen.held_tasks, before.held_tasks, "holds");
   before = std::move(seen);
 }
 
-void FleetServer::note_report(const Member& member, const std::string& node, double sent_at,
-                              const wire::CallResult& answer, double now) {
+void FleetServer::record_report(const RunningWorker& member, const std::string& node,
+                                double sent_at, const wire::CallResult& answer, double now) {
   const bool ordinary = answer.received_response && answer.status == 200 &&
-                        now - sent_at < kNotedReport_s && answer.body.is_object() &&
+                        now - sent_at < kSlowReport_s && answer.body.is_object() &&
                         answer.body.value("orders", wire::Json::array()).empty();
   if (ordinary) return;
-  history_.note(now, member.place.machine,
-                fmt::format("report to {} sent {:.4f} -> {} {}", node, sent_at, answer.status,
-                            answer.body.dump()));
+  history_.record(now, member.machine.name,
+                  fmt::format("report to {} sent {:.4f} -> {} {}", node, sent_at, answer.status,
+                              answer.body.dump()));
 }
 
 void FleetServer::handle_cloud_events(double now) {
-  for (const Cloud::Event& event : cloud_.pass(now)) {
-    const auto at = members_.find(event.machine);
-    if (event.what == Cloud::What::up) {
-      come_up(event.machine, now);
-    } else if (event.what == Cloud::What::gone) {
-      go(event.machine, now);
-    } else if (at != members_.end()) {
-      at->second->worker->notice(event.notice_s, now);
+  for (const Cloud::Event& event : cloud_.advance(now)) {
+    const auto at = workers_.find(event.machine);
+    if (event.kind == Cloud::EventKind::up) {
+      add_worker(event.machine, now);
+    } else if (event.kind == Cloud::EventKind::gone) {
+      remove_worker(event.machine, now);
+    } else if (at != workers_.end()) {
+      at->second->worker->on_reclaim_notice(event.reclaim_in_s, now);
       at->second->changed.notify_one();
     }
   }
 }
 
-void FleetServer::keep_time() {
+void FleetServer::run_clock() {
   std::unique_lock lock(mutex_);
   while (!stopping_) {
     handle_cloud_events(steady_now());
-    if (!left_.empty()) {
+    if (!removed_workers_.empty()) {
       // A door closes once its threads are done, which may wait for the lock.
-      const std::vector<Shared> left = std::exchange(left_, {});
+      const std::vector<WorkerPtr> left = std::exchange(removed_workers_, {});
       lock.unlock();
-      for (const Shared& member : left) member->door.reset();
+      for (const WorkerPtr& member : left) member->order_server.reset();
       lock.lock();
     }
-    changed_.wait_for(lock, until(cloud_.due(), steady_now()));
+    changed_.wait_for(lock, clamped_wait(cloud_.next_event_at(), steady_now()));
   }
 }
 
-void FleetServer::come_up(const std::string& name, double now) {
+void FleetServer::add_worker(const std::string& name, double now) {
   const Cloud::Machine& rented = cloud_.machines().at(name);
   const auto type = std::find_if(spec_.cloud.catalog.begin(), spec_.cloud.catalog.end(),
                                  [&](const auto& one) { return one.name == rented.type; });
-  auto member = std::make_shared<Member>();
-  member->place = {name, rented.type, rented.zone, rented.spot};
+  auto member = std::make_shared<RunningWorker>();
+  member->machine = {name, rented.type, rented.zone, rented.spot};
   if (spec_.worker_port != 0) {
-    member->door = std::make_unique<wire::Server>(
-        wire::parse_address(rented.address), budget_, wire::ClientKind::user, anybody(),
-        [this, raw = member.get()](const wire::Request& request) {
-          return serve_worker(*raw, request);
+    member->order_server = std::make_unique<wire::Server>(
+        wire::parse_address(rented.address), connection_limiter_, wire::ClientKind::user,
+        classify_all_as_users(), [this, raw = member.get()](const wire::Request& request) {
+          return handle_worker_request(*raw, request);
         });
   }
   std::vector<std::string> nodes;
   for (const auto& [node, where] : spec_.controllers) nodes.push_back(node);
   member->worker = std::make_unique<Worker>(
       Worker::Machine{name, rented.address, *type, rented.zone, rented.spot, 1, false},
-      spec_.workers, std::move(nodes), field_, random_(), now);
-  members_[name] = member;
+      spec_.workers, std::move(nodes), shared_state_, random_(), now);
+  workers_[name] = member;
   next_lease_end_ = std::min(next_lease_end_, member->worker->lease_ends_at());
-  crew_.run([this, member] { run(member); });
+  worker_threads_.run([this, member] { run_worker(member); });
 }
 
-void FleetServer::go(const std::string& name, double now) {
-  const auto at = members_.find(name);
-  if (at == members_.end()) return;
-  const Shared member = at->second;
-  members_.erase(at);
+void FleetServer::remove_worker(const std::string& name, double now) {
+  const auto at = workers_.find(name);
+  if (at == workers_.end()) return;
+  const WorkerPtr member = at->second;
+  workers_.erase(at);
   member->gone = true;
-  member->worker->end(now);
-  rules_.gone(name);
-  history_.note(now, name, "gone");
+  member->worker->terminate(now);
+  placement_checker_.remove_machine(name);
+  history_.record(now, name, "gone");
   member->changed.notify_all();
-  left_.push_back(member);
+  removed_workers_.push_back(member);
 }
 
 // The worker's own thread: reports, and waits for their answers.
-void FleetServer::run(const Shared& member) {
+void FleetServer::run_worker(const WorkerPtr& member) {
   std::map<std::string, std::unique_ptr<wire::Client>> clients;
   std::unique_lock lock(mutex_);
   while (!member->gone) {
     const double now = steady_now();
-    const auto sending = member->worker->pass(now);
-    look(*member, now);
+    const auto sending = member->worker->advance(now);
+    check_after_change(*member, now);
     if (!sending) {
-      member->changed.wait_for(lock, until(member->worker->due(), now));
+      member->changed.wait_for(lock, clamped_wait(member->worker->next_event_at(), now));
       continue;
     }
     auto& client = clients[sending->node];
@@ -311,13 +314,13 @@
     }
     lock.unlock();
     const wire::CallResult answer =
-        client->call("POST", "/v1/report", &sending->report, kAnswerLimit);
+        client->call("POST", "/v1/report", &sending->report, kReportTimeout);
     lock.lock();
     if (member->gone) break;
     const double heard = steady_now();
-    note_report(*member, sending->node, now, answer, heard);
-    member->worker->answered(answer, heard);
-    look(*member, heard);
+    record_report(*member, sending->node, now, answer, heard);
+    member->worker->on_report_answer(answer, heard);
+    check_after_change(*member, heard);
   }
 }
 
--- a/lab/loopback/fleet_server.h
+++ b/lab/loopback/fleet_server.h
@@ -35,7 +35,7 @@
   FleetServer(const FleetServer&) = delete;
 
   // As users do, beside submitting it.
-  void upload(const Field::Job& job);
+  void upload(const SharedTaskState::Job& job);
   // Something done to the cloud, or asked of it, while nothing else is.
   template <class Use>
   auto with_cloud(Use use) {
@@ -46,61 +46,61 @@
     } woken{changed_};
     return use(cloud_);
   }
-  std::vector<std::string> broken_rules();
+  std::vector<std::string> rule_violations();
   // All that machines did and were told, and what led to each broken rule.
   std::vector<std::string> history();
-  std::vector<std::string> history_of_broken_rules();
-  std::size_t tasks_of(const std::string& job);  // on machines
+  std::vector<std::string> history_of_violations();
+  std::size_t held_task_count(const std::string& job);  // on machines
   // Lets every machine hang that holds a task of the job, until it is returned; how many.
   std::size_t hang_machines_of(const std::string& job);
 
  private:
-  struct Observed {
-    std::vector<std::pair<Field::TaskId, std::uint64_t>> holds;
+  struct WorkerSnapshot {
+    std::vector<std::pair<SharedTaskState::TaskId, std::uint64_t>> held_tasks;
     std::uint64_t incarnation = 0;
     std::uint64_t fencing_token = 0;
   };
-  struct Member {
+  struct RunningWorker {
     std::unique_ptr<Worker> worker;
-    PlacingRules::Place place;
-    std::unique_ptr<wire::Server> door;
+    PlacementChecker::MachineInfo machine;
+    std::unique_ptr<wire::Server> order_server;
     std::condition_variable changed;
     bool gone = false;
-    Observed noted;  // as the history has it
+    WorkerSnapshot last_recorded;  // as the history has it
   };
-  using Shared = std::shared_ptr<Member>;
+  using WorkerPtr = std::shared_ptr<RunningWorker>;
 
-  wire::Response serve_cloud(const wire::Request& request);
-  wire::Response serve_worker(Member& member, const wire::Request& request);
-  void keep_time();
-  void come_up(const std::string& machine, double now);
-  void go(const std::string& machine, double now);
-  void run(const Shared& member);
+  wire::Response handle_cloud_request(const wire::Request& request);
+  wire::Response handle_worker_request(RunningWorker& member, const wire::Request& request);
+  void run_clock();
+  void add_worker(const std::string& machine, double now);
+  void remove_worker(const std::string& machine, double now);
+  void run_worker(const WorkerPtr& member);
   void handle_cloud_events(double now);
   void expire_leases(double now);
-  void look(Member& member, double now);
-  void observe(Member& member, double now);
-  void note_changes(Member& member, double now);
-  void note_report(const Member& member, const std::string& node, double sent_at,
-                   const wire::CallResult& answer, double now);
-  void note_cloud_request(const wire::Request& request, const wire::Response& reply, double now);
+  void check_after_change(RunningWorker& member, double now);
+  void record_and_check(RunningWorker& member, double now);
+  void record_changes(RunningWorker& member, double now);
+  void record_report(const RunningWorker& member, const std::string& node, double sent_at,
+                     const wire::CallResult& answer, double now);
+  void record_cloud_request(const wire::Request& request, const wire::Response& reply, double now);
 
   FleetSpec spec_;
   std::mutex mutex_;
   std::condition_variable changed_;
   std::mt19937_64 random_;
   Cloud cloud_;
-  Field field_;
-  PlacingRules rules_;
+  SharedTaskState shared_state_;
+  PlacementChecker placement_checker_;
   EventHistory history_;
-  std::map<std::string, Shared> members_;
-  double next_lease_end_ = kForever;  // no lease of a member ends before
-  std::vector<Shared> left_;          // whose doors are still to be closed
+  std::map<std::string, WorkerPtr> workers_;
+  double next_lease_end_ = kInfinity_s;     // no lease of a member ends before
+  std::vector<WorkerPtr> removed_workers_;  // whose doors are still to be closed
   bool stopping_ = false;
-  wire::ConnectionLimiter budget_;
-  std::unique_ptr<wire::Server> door_;
-  wire::ThreadPool crew_;
-  std::thread clock_;
+  wire::ConnectionLimiter connection_limiter_;
+  std::unique_ptr<wire::Server> cloud_server_;
+  wire::ThreadPool worker_threads_;
+  std::thread clock_thread_;
 };
 
 }  // namespace reachramp::lab
--- a/lab/loopback/fleet_server_test.cpp
+++ b/lab/loopback/fleet_server_test.cpp
@@ -6,7 +6,7 @@
 #include <sys/socket.h>
 
 #include "kv/steady_clock.h"
-#include "ports.h"
+#include "port_reservations.h"
 
 namespace reachramp::lab {
 namespace {
@@ -79,9 +79,9 @@
   const std::vector<std::string> machines = rent(1);
   start(machines[0], 0);
   const double up = steady_now();  // the lease began before
-  ASSERT_EQ(fleet_->tasks_of("j-1"), 1u);
+  ASSERT_EQ(fleet_->held_task_count("j-1"), 1u);
   while (steady_now() <= up + kLease_s) std::this_thread::sleep_for(5ms);
-  EXPECT_EQ(fleet_->tasks_of("j-1"), 0u);
+  EXPECT_EQ(fleet_->held_task_count("j-1"), 0u);
 }
 
 // By the time the cloud answers a return, the machine and everything on it is gone. The stand-in
@@ -95,9 +95,9 @@
   for (int i = 0; i < kMachines; ++i) {
     const Json body{{"hosts", {machines[i]}}};
     start(machines[i], i);
-    const std::size_t before = fleet_->tasks_of("j-1");
+    const std::size_t before = fleet_->held_task_count("j-1");
     ASSERT_EQ(cloud_->call("POST", "/hosts/return", &body, 3000ms).status, 200);
-    EXPECT_EQ(fleet_->tasks_of("j-1"), before - 1) << machines[i];
+    EXPECT_EQ(fleet_->held_task_count("j-1"), before - 1) << machines[i];
   }
 }
 
--- a/lab/loopback/nodes.cpp
+++ b/lab/loopback/nodes.cpp
@@ -12,22 +12,22 @@
 
 namespace {
 
-std::string text(const wire::Address& address) {
+std::string toml_address(const wire::Address& address) {
   return fmt::format("\"{}:{}\"", address.host, address.port);
 }
 
 }  // namespace
 
-std::string platform_file(const settings::Platform& p) {
-  std::string file =
-      fmt::format("node_name = \"{}\"\ndomain = \"{}\"\nserve_on = {}\ncluster_listen = {}\n",
-                  p.node_name, p.failure_domain, text(p.serve_on), text(p.cluster_listen));
+std::string platform_toml(const settings::Platform& p) {
+  std::string file = fmt::format(
+      "node_name = \"{}\"\ndomain = \"{}\"\nserve_on = {}\ncluster_listen = {}\n", p.node_name,
+      p.failure_domain, toml_address(p.serve_on), toml_address(p.cluster_listen));
   for (const settings::Member& member : p.members) {
     file += fmt::format("[[members]]\nnode_name = \"{}\"\ndomain = \"{}\"\naddr = {}\n",
-                        member.name, member.failure_domain, text(member.address));
+                        member.name, member.failure_domain, toml_address(member.address));
   }
-  file += fmt::format("[services]\ncloud = {}\nstate = {}\n", text(p.cloud_address),
-                      text(p.store_address));
+  file += fmt::format("[services]\ncloud = {}\nstate = {}\n", toml_address(p.cloud_address),
+                      toml_address(p.store_address));
   for (const settings::Team& team : p.teams) {
     file += fmt::format(
         "[[facts.teams]]\nname = \"{}\"\ncpus = {}\ncpus_max = {}\ngpus = {}\ngpus_max = {}\n",
@@ -47,38 +47,38 @@
   return file;
 }
 
-Nodes::Nodes(std::string program, std::string folder,
-             const std::vector<settings::Platform>& platforms)
+ControllerProcesses::ControllerProcesses(std::string program, std::string folder,
+                                         const std::vector<settings::Platform>& platforms)
     : program_(std::move(program)), folder_(std::move(folder)) {
   for (const settings::Platform& platform : platforms) {
     std::ofstream file(folder_ + "/" + platform.node_name + ".toml");
-    file << platform_file(platform);
+    file << platform_toml(platform);
     if (!file.flush()) throw std::system_error(errno, std::generic_category(), folder_);
     pids_[platform.node_name] = 0;
   }
 }
 
-Nodes::~Nodes() {
+ControllerProcesses::~ControllerProcesses() {
   for (const auto& [name, pid] : pids_) kill(name);
 }
 
-void Nodes::start(const std::string& name) {
+void ControllerProcesses::start(const std::string& name) {
   const std::string config = folder_ + "/" + name + ".toml";
   // A Ctrl-C is for the lab, which then ends its children itself.
   pids_.at(name) = spawn({.program = program_,
                           .arguments = {"serve", "--config", config},
                           .log_file = folder_ + "/" + name + ".log",
-                          .own_group = true});
+                          .own_process_group = true});
 }
 
-void Nodes::kill(const std::string& name) {
+void ControllerProcesses::kill(const std::string& name) {
   pid_t& pid = pids_.at(name);
   if (pid == 0) return;
   kill_and_wait(pid);
   pid = 0;
 }
 
-bool Nodes::runs(const std::string& name) {
+bool ControllerProcesses::is_running(const std::string& name) {
   pid_t& pid = pids_.at(name);
   if (pid != 0 && ::waitpid(pid, nullptr, WNOHANG) == pid) pid = 0;
   return pid != 0;
--- a/lab/loopback/nodes.h
+++ b/lab/loopback/nodes.h
@@ -11,17 +11,18 @@
 
 namespace reachramp::lab {
 
-class Nodes {
+class ControllerProcesses {
  public:
   // The platform's file of each node is written to `folder`, and so is its log.
-  Nodes(std::string program, std::string folder, const std::vector<settings::Platform>& platforms);
-  ~Nodes();  // ends those that run
-  Nodes(const Nodes&) = delete;
+  ControllerProcesses(std::string program, std::string folder,
+                      const std::vector<settings::Platform>& platforms);
+  ~ControllerProcesses();  // ends those that run
+  ControllerProcesses(const ControllerProcesses&) = delete;
 
   // Throws std::system_error if the program cannot be started.
   void start(const std::string& name);
   void kill(const std::string& name);
-  bool runs(const std::string& name);
+  bool is_running(const std::string& name);
 
  private:
   std::string program_;
@@ -30,6 +31,6 @@
 };
 
 // The platform's file, as the platform would hand it over.
-std::string platform_file(const settings::Platform& platform);
+std::string platform_toml(const settings::Platform& platform);
 
 }  // namespace reachramp::lab
--- a/lab/loopback/state_server.h
+++ b/lab/loopback/state_server.h
@@ -23,7 +23,7 @@
   StateServer(const StateServer&) = delete;
 
   // Throws std::system_error if the port cannot be had.
-  void open(const std::string& node, std::uint16_t port);
+  void listen_for_node(const std::string& node, std::uint16_t port);
 
   // From now on what the filter names is not carried out and gets 503, whoever asks.
   void refuse_if(std::function<bool(const wire::Request&)> filter) {
@@ -33,7 +33,7 @@
 
   // Something done to the model, or asked of it, while nothing else is.
   template <class Use>
-  auto with(Use use) {
+  auto with_model(Use use) {
     const std::lock_guard lock(mutex_);
     struct Woken {
       std::condition_variable& changed;
@@ -49,24 +49,24 @@
   }
 
  private:
-  wire::Response serve(const std::string& node, const wire::Request& request);
-  void keep_time();
-  void tell(double now);
+  wire::Response handle_request(const std::string& node, const wire::Request& request);
+  void run_clock();
+  void deliver_watch_replies(double now);
 
-  static constexpr std::size_t kMostConnections = 4000;
+  static constexpr std::size_t kMaxStateConnections = 4000;
   // With their values, each up to the 64 KiB of a message, usually some hundred bytes.
-  static constexpr std::size_t kMostTransactionsNoted = 10'000;
+  static constexpr std::size_t kMaxRecordedTransactions = 10'000;
 
   std::mutex mutex_;
   std::condition_variable changed_;
   StateService model_;
-  EventHistory history_{kMostTransactionsNoted};
+  EventHistory history_{kMaxRecordedTransactions};
   std::function<bool(const wire::Request&)> refuse_if_;
-  std::map<std::uint64_t, std::promise<wire::Response>> watches_;
+  std::map<std::uint64_t, std::promise<wire::Response>> watch_promises_;
   bool stopping_ = false;
-  wire::ConnectionLimiter budget_{kMostConnections};
-  std::vector<std::unique_ptr<wire::Server>> doors_;
-  std::thread clock_;
+  wire::ConnectionLimiter connection_limiter_{kMaxStateConnections};
+  std::vector<std::unique_ptr<wire::Server>> servers_;
+  std::thread clock_thread_;
 };
 
 }  // namespace reachramp::lab
--- a/lab/model/cloud.cpp
+++ b/lab/model/cloud.cpp
@@ -16,34 +16,34 @@
 namespace {
 
 // All from PROTOCOL.
-constexpr std::uint64_t kMostPerHire = 50;
-constexpr std::uint64_t kMostPerList = 500;
-constexpr double kBurst_s = 2;
-constexpr double kQuickBoot = 0.6, kLongBoot = 1.5;
-constexpr double kPriceMoves = 1.0 / 3;
-constexpr double kLeastCharge_s = 60;
-constexpr double kDeathShowsAfter_s = 30;
-constexpr double kNoticeSpread = 0.5;  // half as long to half as long again
+constexpr std::uint64_t kMaxMachinesPerRent = 50;
+constexpr std::uint64_t kMaxMachinesPerListPage = 500;
+constexpr double kRequestBurst_s = 2;
+constexpr double kMinBootFactor = 0.6, kMaxBootFactor = 1.5;
+constexpr double kSpotPriceAmplitude = 1.0 / 3;
+constexpr double kMinCharge_s = 60;
+constexpr double kCrashListedAfter_s = 30;
+constexpr double kNoticeJitter = 0.5;  // half as long to half as long again
 // Ours: how fast prices swing, and how often a list is older than its lag.
-constexpr double kPricePeriod_s = 900;
-constexpr double kOldLists = 0.2;
-constexpr double kForever = std::numeric_limits<double>::infinity();
+constexpr double kSpotPricePeriod_s = 900;
+constexpr double kStaleListShare = 0.2;
+constexpr double kInfinity_s = std::numeric_limits<double>::infinity();
 
 }  // namespace
 
 Cloud::Cloud(CloudSpec spec, std::uint64_t seed)
     : spec_(std::move(spec)),
-      requests_(spec_.limits.rps, spec_.limits.rps * kBurst_s),
+      request_bucket_(spec_.limits.rps, spec_.limits.rps * kRequestBurst_s),
       random_(seed),
-      phase_(between(0, 2 * std::numbers::pi)) {}
+      price_phase_(random_between(0, 2 * std::numbers::pi)) {}
 
-double Cloud::between(double low, double high) {
+double Cloud::random_between(double low, double high) {
   return std::uniform_real_distribution<double>(low, high)(random_);
 }
 
-Response Cloud::ask(const Request& request, double now) {
-  if (stopped_) return {503, {{"error", "trouble"}}};
-  if (requests_.take(1, now) > 0) return {429, {{"error", "too many requests"}}};
+Response Cloud::handle_request(const Request& request, double now) {
+  if (in_outage_) return {503, {{"error", "trouble"}}};
+  if (request_bucket_.take(1, now) > 0) return {429, {{"error", "too many requests"}}};
   try {
     const bool get = request.method == "GET";
     const bool post = request.method == "POST";
@@ -52,11 +52,12 @@
       for (auto& type : catalog) type.spot_price_per_hour = spot_price(type, now);
       return {200, cloud::encode_catalog(catalog)};
     }
-    if (post && request.path == "/hosts") return hire(wire::decode_map(request.body), now);
+    if (post && request.path == "/hosts")
+      return handle_rent_request(wire::decode_map(request.body), now);
     if (post && request.path == "/hosts/return") {
-      return give_back(wire::decode_map(request.body), now);
+      return handle_return_request(wire::decode_map(request.body), now);
     }
-    if (get && request.path == "/hosts") return list(request, now);
+    if (get && request.path == "/hosts") return handle_list_request(request, now);
   } catch (const wire::BadMessage& bad) {
     return {400, {{"error", bad.what()}}};
   }
@@ -69,67 +70,70 @@
                                   [&](const auto& other) { return other.name == type.name; });
   const double shift = static_cast<double>(place - spec_.catalog.begin());
   return type.spot_price_per_hour *
-         (1 + kPriceMoves * std::sin(phase_ + shift + 2 * std::numbers::pi * now / kPricePeriod_s));
+         (1 + kSpotPriceAmplitude *
+                  std::sin(price_phase_ + shift + 2 * std::numbers::pi * now / kSpotPricePeriod_s));
 }
 
-const cloud::MachineType* Cloud::type_of(const std::string& name) const {
+const cloud::MachineType* Cloud::find_type(const std::string& name) const {
   const auto at = std::find_if(spec_.catalog.begin(), spec_.catalog.end(),
                                [&](const auto& type) { return type.name == name; });
   return at == spec_.catalog.end() ? nullptr : &*at;
 }
 
-int Cloud::rented(const PoolName& pool, double now) const {
+int Cloud::rented_count(const PoolKey& pool, double now) const {
   return static_cast<int>(std::count_if(machines_.begin(), machines_.end(), [&](const auto& entry) {
     const Machine& machine = entry.second;
-    return PoolName{machine.type, machine.zone, machine.spot} == pool &&
-           std::min(machine.gone_at, machine.died_at) > now;
+    return PoolKey{machine.type, machine.zone, machine.spot} == pool &&
+           std::min(machine.terminated_at, machine.crashed_at) > now;
   }));
 }
 
-Response Cloud::hire(const Json& body, double now) {
+Response Cloud::handle_rent_request(const Json& body, double now) {
   const std::string name = wire::text(body, "hire");
-  const auto known = hires_.find(name);
-  if (known != hires_.end()) return {200, {{"hosts", known->second}}};
-  const PoolName pool{wire::text(body, "rig"), wire::text(body, "hall"),
-                      wire::flag(body, "loaner")};
+  const auto known = granted_requests_.find(name);
+  if (known != granted_requests_.end()) return {200, {{"hosts", known->second}}};
+  const PoolKey pool{wire::text(body, "rig"), wire::text(body, "hall"), wire::flag(body, "loaner")};
   const std::uint64_t wanted = wire::count(body, "how_many");
-  const auto* type = type_of(std::get<0>(pool));
-  if (wanted < 1 || wanted > kMostPerHire || type == nullptr ||
+  const auto* type = find_type(std::get<0>(pool));
+  if (wanted < 1 || wanted > kMaxMachinesPerRent || type == nullptr ||
       std::find(type->zones.begin(), type->zones.end(), std::get<1>(pool)) == type->zones.end()) {
     return {400, {{"error", "no such machines"}}};
   }
   const auto capacity = spec_.capacity.find(pool);
-  const int room = capacity == spec_.capacity.end() ? 0 : capacity->second - rented(pool, now);
+  const int room =
+      capacity == spec_.capacity.end() ? 0 : capacity->second - rented_count(pool, now);
   // Not remembered: the same request can be sent again.
   if (room <= 0) return {503, {{"error", "no capacity"}}};
   std::vector<std::string> names;
   for (int i = 0; i < std::min(room, static_cast<int>(wanted)); ++i) {
-    names.push_back(rent(*type, pool, now).name);
+    names.push_back(create_machine(*type, pool, now).name);
   }
-  hires_[name] = names;
+  granted_requests_[name] = names;
   return {200, {{"hosts", std::move(names)}}};
 }
 
-Cloud::Machine& Cloud::rent(const cloud::MachineType& type, const PoolName& pool, double now) {
+Cloud::Machine& Cloud::create_machine(const cloud::MachineType& type, const PoolKey& pool,
+                                      double now) {
   const std::string digits = std::to_string(machines_.size() + 1);
   Machine machine;
   machine.name = "n-" + std::string(digits.size() < 6 ? 6 - digits.size() : 0, '0') + digits;
-  if (spec_.address) machine.address = spec_.address(machine.name);
+  if (spec_.worker_address) machine.address = spec_.worker_address(machine.name);
   std::tie(machine.type, machine.zone, machine.spot) = pool;
   machine.rented_at = now;
-  double boot = type.boot_s * between(kQuickBoot, kLongBoot);
-  if (chance(spec_.slow_boots)) boot *= spec_.slow_boot_times;
-  machine.up_at = chance(spec_.never_boots) ? kForever : now + boot;
-  machine.taken_at = machine.died_at = machine.gone_at = kForever;
-  if (machine.spot && spec_.spot_per_hour > 0) {
-    machine.taken_at =
-        now + std::exponential_distribution<double>(spec_.spot_per_hour / 3600)(random_);
-    machine.noticed = chance(spec_.silent);  // as good as told: none will come
+  double boot = type.boot_s * random_between(kMinBootFactor, kMaxBootFactor);
+  if (random_chance(spec_.slow_boot_share)) boot *= spec_.slow_boot_factor;
+  machine.up_at = random_chance(spec_.failed_boot_share) ? kInfinity_s : now + boot;
+  machine.reclaimed_at = machine.crashed_at = machine.terminated_at = kInfinity_s;
+  if (machine.spot && spec_.spot_reclaims_per_hour > 0) {
+    machine.reclaimed_at =
+        now + std::exponential_distribution<double>(spec_.spot_reclaims_per_hour / 3600)(random_);
+    machine.notice_settled =
+        random_chance(spec_.unannounced_reclaim_share);  // as good as told: none will come
   }
   return machines_[machine.name] = machine;
 }
 
-Response Cloud::give_back(const Json& body, double now) {
+Response Cloud::handle_return_request(const Json& body, double now) {
   const Json& names = wire::list(body, "hosts");
   if (names.size() > cloud::kMaxMachinesPerReturn) return {400, {{"error", "hosts: too many"}}};
   for (const Json& name : names) {
@@ -137,32 +141,35 @@
   }
   for (const Json& name : names) {
     const auto at = machines_.find(name.get<std::string>());
-    if (at != machines_.end()) at->second.gone_at = std::min(at->second.gone_at, now);
+    if (at != machines_.end()) at->second.terminated_at = std::min(at->second.terminated_at, now);
   }
   return {200, Json::object()};
 }
 
-Response Cloud::list(const Request& request, double now) {
-  const std::string after = parameter(request.query, "after");
-  const std::uint64_t most =
-      std::min(number_or(parameter(request.query, "limit"), "limit", kMostPerList), kMostPerList);
+Response Cloud::handle_list_request(const Request& request, double now) {
+  const std::string after = query_parameter(request.query, "after");
+  const std::uint64_t max_machines = std::min(
+      parse_count_or(query_parameter(request.query, "limit"), "limit", kMaxMachinesPerListPage),
+      kMaxMachinesPerListPage);
   const double lag =
-      spec_.limits.list_lag_s * (chance(kOldLists) ? between(1, 2) : between(0.5, 1));
+      spec_.limits.list_lag_s *
+      (random_chance(kStaleListShare) ? random_between(1, 2) : random_between(0.5, 1));
   const double as_of = now - lag;
   Json hosts = Json::array();
   bool truncated = false;
   for (auto at = machines_.upper_bound(after); at != machines_.end(); ++at) {
     Machine& machine = at->second;
     // Once listed, a machine stays listed until it is gone.
-    if ((machine.rented_at > as_of && !machine.listed) || machine.gone_at <= as_of) continue;
-    if (hosts.size() == most) {
+    if ((machine.rented_at > as_of && !machine.was_listed) || machine.terminated_at <= as_of)
+      continue;
+    if (hosts.size() == max_machines) {
       truncated = true;
       break;
     }
-    machine.listed = true;
-    const char* phase = machine.died_at + kDeathShowsAfter_s <= as_of ? "failed"
-                        : machine.up_at <= as_of                      ? "running"
-                                                                      : "starting";
+    machine.was_listed = true;
+    const char* phase = machine.crashed_at + kCrashListedAfter_s <= as_of ? "failed"
+                        : machine.up_at <= as_of                          ? "running"
+                                                                          : "starting";
     hosts.push_back({{"ref", machine.name},
                      {"address", machine.address.empty() ? Json() : Json(machine.address)},
                      {"rig", machine.type},
@@ -174,60 +181,61 @@
   return {200, {{"hosts", std::move(hosts)}, {"truncated", truncated}}};
 }
 
-void Cloud::kill(const std::string& name, double now) {
+void Cloud::crash_machine(const std::string& name, double now) {
   Machine& machine = machines_.at(name);
-  machine.died_at = std::min(machine.died_at, now);
+  machine.crashed_at = std::min(machine.crashed_at, now);
 }
 
-void Cloud::take_back(const std::string& name, double notice_s, double now) {
+void Cloud::reclaim_machine(const std::string& name, double notice_s, double now) {
   Machine& machine = machines_.at(name);
-  machine.taken_at = std::min(machine.taken_at, now + notice_s);
-  machine.noticed = notice_s <= 0;
+  machine.reclaimed_at = std::min(machine.reclaimed_at, now + notice_s);
+  machine.notice_settled = notice_s <= 0;
 }
 
-std::vector<Cloud::Event> Cloud::pass(double now) {
+std::vector<Cloud::Event> Cloud::advance(double now) {
   std::vector<Event> events;
   for (auto& [name, machine] : machines_) {
-    if (machine.told_gone) continue;
-    const double warn_at = machine.taken_at - spec_.notice_s;
-    if (!machine.noticed && warn_at <= now) {
-      machine.noticed = true;
-      const double left =
-          std::max(machine.taken_at - now, 0.0) * between(1 - kNoticeSpread, 1 + kNoticeSpread);
-      machine.taken_at = now + left;
-      if (machine.told_up) events.push_back({What::notice, name, now, left});
+    if (machine.gone_reported) continue;
+    const double warn_at = machine.reclaimed_at - spec_.nominal_notice_s;
+    if (!machine.notice_settled && warn_at <= now) {
+      machine.notice_settled = true;
+      const double left = std::max(machine.reclaimed_at - now, 0.0) *
+                          random_between(1 - kNoticeJitter, 1 + kNoticeJitter);
+      machine.reclaimed_at = now + left;
+      if (machine.up_reported) events.push_back({EventKind::reclaim_notice, name, now, left});
     }
-    if (machine.taken_at <= now) machine.gone_at = std::min(machine.gone_at, machine.taken_at);
-    const double end = std::min(machine.gone_at, machine.died_at);
-    if (!machine.told_up && machine.up_at <= now && machine.up_at < end) {
-      machine.told_up = true;
-      events.push_back({What::up, name, machine.up_at, 0});
+    if (machine.reclaimed_at <= now)
+      machine.terminated_at = std::min(machine.terminated_at, machine.reclaimed_at);
+    const double end = std::min(machine.terminated_at, machine.crashed_at);
+    if (!machine.up_reported && machine.up_at <= now && machine.up_at < end) {
+      machine.up_reported = true;
+      events.push_back({EventKind::up, name, machine.up_at, 0});
     }
     if (end > now) continue;
-    machine.told_gone = true;
-    if (machine.told_up) events.push_back({What::gone, name, end, 0});
+    machine.gone_reported = true;
+    if (machine.up_reported) events.push_back({EventKind::gone, name, end, 0});
   }
   std::stable_sort(events.begin(), events.end(),
                    [](const Event& a, const Event& b) { return a.at < b.at; });
   return events;
 }
 
-double Cloud::due() const {
-  double due = kForever;
+double Cloud::next_event_at() const {
+  double due = kInfinity_s;
   for (const auto& [name, machine] : machines_) {
-    if (machine.told_gone) continue;
-    if (!machine.told_up) due = std::min(due, machine.up_at);
-    due = std::min({due, machine.gone_at, machine.died_at, machine.taken_at});
-    if (!machine.noticed) due = std::min(due, machine.taken_at - spec_.notice_s);
+    if (machine.gone_reported) continue;
+    if (!machine.up_reported) due = std::min(due, machine.up_at);
+    due = std::min({due, machine.terminated_at, machine.crashed_at, machine.reclaimed_at});
+    if (!machine.notice_settled) due = std::min(due, machine.reclaimed_at - spec_.nominal_notice_s);
   }
   return due;
 }
 
-double Cloud::charge(const Machine& machine, double now) const {
-  const auto* type = type_of(machine.type);
-  const double end = std::min({machine.gone_at, machine.died_at, now});
+double Cloud::cost_of(const Machine& machine, double now) const {
+  const auto* type = find_type(machine.type);
+  const double end = std::min({machine.terminated_at, machine.crashed_at, now});
   double seconds = std::max(0.0, end - machine.rented_at);
-  if (machine.gone_at <= now) seconds = std::max(seconds, kLeastCharge_s);
+  if (machine.terminated_at <= now) seconds = std::max(seconds, kMinCharge_s);
   if (!machine.spot) return seconds * type->price_per_hour / 3600;
   // Spot machines are charged the current price all along: its mean over the time.
   constexpr int kSteps = 16;
@@ -238,9 +246,9 @@
   return seconds * mean / 3600;
 }
 
-double Cloud::spent(double now) const {
+double Cloud::total_cost(double now) const {
   double money = 0;
-  for (const auto& [name, machine] : machines_) money += charge(machine, now);
+  for (const auto& [name, machine] : machines_) money += cost_of(machine, now);
   return money;
 }
 
--- a/lab/model/cloud.h
+++ b/lab/model/cloud.h
@@ -17,31 +17,31 @@
 namespace reachramp::lab {
 
 // Type, zone, spot.
-using PoolName = std::tuple<std::string, std::string, bool>;
+using PoolKey = std::tuple<std::string, std::string, bool>;
 
 // What a night says of its cloud. Times in seconds; shares between 0 and 1.
 struct CloudSpec {
   cloud::Catalog catalog;  // prices are the nominal ones
-  std::map<PoolName, int> capacity;
+  std::map<PoolKey, int> capacity;
   settings::CloudLimits limits;
-  double slow_boots = 0;  // share of machines that take `slow_boot_times` as long
-  double slow_boot_times = 3;
-  double never_boots = 0;    // share of machines that stay `starting`
-  double spot_per_hour = 0;  // how often a spot machine is taken back
-  double notice_s = 25;      // nominal
-  double silent = 0;         // share that is taken without notice
+  double slow_boot_share = 0;  // share of machines that take `slow_boot_times` as long
+  double slow_boot_factor = 3;
+  double failed_boot_share = 0;          // share of machines that stay `starting`
+  double spot_reclaims_per_hour = 0;     // how often a spot machine is taken back
+  double nominal_notice_s = 25;          // nominal
+  double unannounced_reclaim_share = 0;  // share that is taken without notice
   // Where a machine's worker is reached, by the machine's name; empty: nowhere.
-  std::function<std::string(const std::string&)> address;
+  std::function<std::string(const std::string&)> worker_address;
 };
 
 class Cloud {
  public:
-  enum class What { up, notice, gone };
+  enum class EventKind { up, reclaim_notice, gone };
   struct Event {
-    What what = What::up;
+    EventKind kind = EventKind::up;
     std::string machine;
     double at = 0;
-    double notice_s = 0;  // with a notice: until it is taken
+    double reclaim_in_s = 0;  // with a notice: until it is taken
   };
   struct Machine {
     std::string name;
@@ -51,53 +51,53 @@
     bool spot = false;
     double rented_at = 0;
     double up_at = 0;
-    double taken_at = 0;  // by the cloud; the infinite future: never
-    double died_at = 0;   // by itself
-    double gone_at = 0;   // returned, or taken
-    bool noticed = false;
-    bool told_up = false;
-    bool told_gone = false;
-    bool listed = false;
+    double reclaimed_at = 0;   // by the cloud; the infinite future: never
+    double crashed_at = 0;     // by itself
+    double terminated_at = 0;  // returned, or taken
+    bool notice_settled = false;
+    bool up_reported = false;
+    bool gone_reported = false;
+    bool was_listed = false;
   };
 
   Cloud(CloudSpec spec, std::uint64_t seed);
 
-  wire::Response ask(const wire::Request& request, double now);
+  wire::Response handle_request(const wire::Request& request, double now);
   // What has happened to machines since, in the order of time.
-  std::vector<Event> pass(double now);
-  double due() const;
+  std::vector<Event> advance(double now);
+  double next_event_at() const;
 
   // Troubles.
-  void stop() { stopped_ = true; }
-  void go_on() { stopped_ = false; }
-  void room(const PoolName& pool, int machines) { spec_.capacity[pool] = machines; }
-  void kill(const std::string& machine, double now);
+  void begin_outage() { in_outage_ = true; }
+  void end_outage() { in_outage_ = false; }
+  void set_capacity(const PoolKey& pool, int machines) { spec_.capacity[pool] = machines; }
+  void crash_machine(const std::string& machine, double now);
   // With a notice, or at once if `notice_s` is 0.
-  void take_back(const std::string& machine, double notice_s, double now);
+  void reclaim_machine(const std::string& machine, double notice_s, double now);
 
   const std::map<std::string, Machine>& machines() const { return machines_; }
   double spot_price(const cloud::MachineType& type, double now) const;
   // Money charged until now.
-  double spent(double now) const;
+  double total_cost(double now) const;
 
  private:
-  wire::Response hire(const wire::Json& body, double now);
-  wire::Response give_back(const wire::Json& body, double now);
-  wire::Response list(const wire::Request& request, double now);
-  const cloud::MachineType* type_of(const std::string& name) const;
-  int rented(const PoolName& pool, double now) const;
-  Machine& rent(const cloud::MachineType& type, const PoolName& pool, double now);
-  double charge(const Machine& machine, double now) const;
-  double between(double low, double high);
-  bool chance(double share) { return between(0, 1) < share; }
+  wire::Response handle_rent_request(const wire::Json& body, double now);
+  wire::Response handle_return_request(const wire::Json& body, double now);
+  wire::Response handle_list_request(const wire::Request& request, double now);
+  const cloud::MachineType* find_type(const std::string& name) const;
+  int rented_count(const PoolKey& pool, double now) const;
+  Machine& create_machine(const cloud::MachineType& type, const PoolKey& pool, double now);
+  double cost_of(const Machine& machine, double now) const;
+  double random_between(double low, double high);
+  bool random_chance(double share) { return random_between(0, 1) < share; }
 
   CloudSpec spec_;
-  kv::TokenBucket requests_;
+  kv::TokenBucket request_bucket_;
   std::mt19937_64 random_;
-  double phase_;
+  double price_phase_;
   std::map<std::string, Machine> machines_;  // the names' order is that of creation
-  std::map<std::string, std::vector<std::string>> hires_;
-  bool stopped_ = false;
+  std::map<std::string, std::vector<std::string>> granted_requests_;
+  bool in_outage_ = false;
 };
 
 }  // namespace reachramp::lab
--- a/lab/model/cloud_test.cpp
+++ b/lab/model/cloud_test.cpp
@@ -11,8 +11,8 @@
 
 using wire::Json;
 
-const PoolName kSpot{"small", "a", true};
-const PoolName kOrdinary{"small", "a", false};
+const PoolKey kSpot{"small", "a", true};
+const PoolKey kOrdinary{"small", "a", false};
 
 CloudSpec spec() {
   CloudSpec made;
@@ -23,10 +23,10 @@
 }
 
 wire::Response post(Cloud& model, const std::string& path, const Json& body, double now) {
-  return model.ask({"POST", path, "", wire::encode(body)}, now);
+  return model.handle_request({"POST", path, "", wire::encode(body)}, now);
 }
 
-wire::Response hire(Cloud& model, const std::string& name, int count, const PoolName& pool,
+wire::Response hire(Cloud& model, const std::string& name, int count, const PoolKey& pool,
                     double now) {
   const auto& [type, zone, spot] = pool;
   return post(model, "/hosts", cloud::encode_scale_out({name, type, zone, spot, count}), now);
@@ -40,8 +40,8 @@
   std::vector<cloud::ListedMachine> found;
   for (bool more = true; more;) {
     const std::string after = found.empty() ? "" : found.back().name;
-    const wire::Response reply =
-        model.ask({"GET", "/hosts", "after=" + after + "&limit=" + std::to_string(limit), ""}, now);
+    const wire::Response reply = model.handle_request(
+        {"GET", "/hosts", "after=" + after + "&limit=" + std::to_string(limit), ""}, now);
     for (const Json& item : reply.body.at("hosts"))
       found.push_back(cloud::decode_listed_machine(item));
     more = reply.body.at("truncated").get<bool>();
@@ -103,18 +103,19 @@
 TEST(CloudModel, MachinesComeUpWithinTheirTimesAndSpotOnesAreTaken) {
   CloudSpec harsh = spec();
   harsh.capacity[kSpot] = 50;
-  harsh.spot_per_hour = 30;
-  harsh.silent = 0.4;
+  harsh.spot_reclaims_per_hour = 30;
+  harsh.unannounced_reclaim_share = 0.4;
   Cloud model(harsh, 7);
   ASSERT_EQ(names(hire(model, "r-1", 50, kSpot, 0)).size(), 50u);
   std::map<std::string, double> up, noticed, gone;
-  for (double now = 0; now < 2000; now = std::max(now + 0.001, model.due())) {
-    for (const Cloud::Event& event : model.pass(now)) {
-      if (event.what == Cloud::What::up) up[event.machine] = event.at;
-      if (event.what == Cloud::What::notice) noticed[event.machine] = event.at + event.notice_s;
-      if (event.what == Cloud::What::gone) gone[event.machine] = event.at;
+  for (double now = 0; now < 2000; now = std::max(now + 0.001, model.next_event_at())) {
+    for (const Cloud::Event& event : model.advance(now)) {
+      if (event.kind == Cloud::EventKind::up) up[event.machine] = event.at;
+      if (event.kind == Cloud::EventKind::reclaim_notice)
+        noticed[event.machine] = event.at + event.reclaim_in_s;
+      if (event.kind == Cloud::EventKind::gone) gone[event.machine] = event.at;
     }
-    if (!std::isfinite(model.due())) break;
+    if (!std::isfinite(model.next_event_at())) break;
   }
   EXPECT_GT(up.size(), 30u) << "those that are not taken while they boot";
   for (const auto& [machine, at] : up) {
@@ -133,13 +134,13 @@
 TEST(CloudModel, ADeadMachineShowsLate) {
   Cloud model(spec(), 1);
   const std::string name = names(hire(model, "r-1", 1, kOrdinary, 0)).front();
-  model.pass(100);
-  model.kill(name, 100);
+  model.advance(100);
+  model.crash_machine(name, 100);
   EXPECT_EQ(list(model, 120).front().phase, cloud::MachinePhase::running);
   EXPECT_EQ(list(model, 140).front().phase, cloud::MachinePhase::failed);
-  const double spent = model.spent(140);
+  const double spent = model.total_cost(140);
   EXPECT_NEAR(spent, 0.1, 1e-6) << "100 s at 3.6 an hour";
-  EXPECT_NEAR(model.spent(1000), spent, 1e-9) << "no longer charged";
+  EXPECT_NEAR(model.total_cost(1000), spent, 1e-9) << "no longer charged";
   post(model, "/hosts/return", {{"hosts", {name}}}, 150);
   EXPECT_TRUE(list(model, 170).empty());
 }
@@ -147,9 +148,9 @@
 TEST(CloudModel, ChargesAtLeastAMinuteForWhatIsReturned) {
   Cloud model(spec(), 1);
   const std::string name = names(hire(model, "r-1", 1, kOrdinary, 0)).front();
-  EXPECT_NEAR(model.spent(10), 0.01, 1e-6);
+  EXPECT_NEAR(model.total_cost(10), 0.01, 1e-6);
   post(model, "/hosts/return", {{"hosts", {name}}}, 10);
-  EXPECT_NEAR(model.spent(10), 0.06, 1e-6);
+  EXPECT_NEAR(model.total_cost(10), 0.06, 1e-6);
 }
 
 TEST(CloudModel, RefusesWhatItCannotTake) {
@@ -164,13 +165,14 @@
   EXPECT_EQ(post(model, "/hosts/return", {{"hosts", std::vector<std::string>(101, "n")}}, 0).status,
             400);
   EXPECT_EQ(post(model, "/hosts/return", {{"hosts", {7}}}, 0).status, 400);
-  EXPECT_EQ(model.ask({"GET", "/hosts", "limit=x", ""}, 0).status, 400);
-  EXPECT_EQ(model.ask({"POST", "/hosts", "", "no map"}, 0).status, 400);
-  EXPECT_EQ(model.ask({"GET", "/catalog", "", ""}, 0).status, 200);
-  EXPECT_EQ(model.ask({"GET", "/catalog", "", ""}, 0).status, 429) << "two seconds' worth is gone";
-  EXPECT_EQ(model.ask({"GET", "/catalog", "", ""}, 1).status, 200);
-  model.stop();
-  const wire::Response out = model.ask({"GET", "/catalog", "", ""}, 9);
+  EXPECT_EQ(model.handle_request({"GET", "/hosts", "limit=x", ""}, 0).status, 400);
+  EXPECT_EQ(model.handle_request({"POST", "/hosts", "", "no map"}, 0).status, 400);
+  EXPECT_EQ(model.handle_request({"GET", "/catalog", "", ""}, 0).status, 200);
+  EXPECT_EQ(model.handle_request({"GET", "/catalog", "", ""}, 0).status, 429)
+      << "two seconds' worth is gone";
+  EXPECT_EQ(model.handle_request({"GET", "/catalog", "", ""}, 1).status, 200);
+  model.begin_outage();
+  const wire::Response out = model.handle_request({"GET", "/catalog", "", ""}, 9);
   EXPECT_EQ(out.status, 503);
   EXPECT_EQ(out.body.at("error"), "trouble");
 }
@@ -179,7 +181,7 @@
   Cloud model(spec(), 3);
   double low = 9, high = 0;
   for (double now = 0; now < 3000; now += 10) {
-    const auto reply = model.ask({"GET", "/catalog", "", ""}, now);
+    const auto reply = model.handle_request({"GET", "/catalog", "", ""}, now);
     const double price = cloud::decode_catalog(reply.body).front().spot_price_per_hour;
     low = std::min(low, price);
     high = std::max(high, price);
--- a/lab/model/query.cpp
+++ b/lab/model/query.cpp
@@ -6,7 +6,7 @@
 
 namespace reachramp::lab {
 
-std::string parameter(const std::string& query, const std::string& name) {
+std::string query_parameter(const std::string& query, const std::string& name) {
   const std::string padded = "&" + query;
   const auto at = padded.find("&" + name + "=");
   if (at == std::string::npos) return "";
@@ -14,7 +14,7 @@
   return padded.substr(begin, padded.find('&', begin) - begin);
 }
 
-std::uint64_t number(const std::string& text, const char* field) {
+std::uint64_t parse_count(const std::string& text, const char* field) {
   std::uint64_t value = 0;
   const char* end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, value);
@@ -23,8 +23,8 @@
   return value;
 }
 
-std::uint64_t number_or(const std::string& text, const char* field, std::uint64_t otherwise) {
-  return text.empty() ? otherwise : number(text, field);
+std::uint64_t parse_count_or(const std::string& text, const char* field, std::uint64_t fallback) {
+  return text.empty() ? fallback : parse_count(text, field);
 }
 
 }  // namespace reachramp::lab
--- a/lab/model/query.h
+++ b/lab/model/query.h
@@ -7,9 +7,9 @@
 namespace reachramp::lab {
 
 // Empty if it is not there.
-std::string parameter(const std::string& query, const std::string& name);
+std::string query_parameter(const std::string& query, const std::string& name);
 // Throws wire::BadMessage for what is no count.
-std::uint64_t number(const std::string& text, const char* field);
-std::uint64_t number_or(const std::string& text, const char* field, std::uint64_t otherwise);
+std::uint64_t parse_count(const std::string& text, const char* field);
+std::uint64_t parse_count_or(const std::string& text, const char* field, std::uint64_t otherwise);
 
 }  // namespace reachramp::lab
--- a/lab/model/state_service.cpp
+++ b/lab/model/state_service.cpp
@@ -15,31 +15,31 @@
 namespace {
 
 // All from PROTOCOL.
-constexpr std::size_t kLogLength = 10000;
-constexpr std::size_t kMostEntries = 1000;
-constexpr std::size_t kMostListBytes = 512 * 1024;
-constexpr std::size_t kMostTransactionBytes = 64 * 1024;
-constexpr std::size_t kLongestKey = 200;
-constexpr std::size_t kConditionsPerOp = 4;
-constexpr double kLatestExpiry_s = 0.1;
-constexpr std::uint64_t kLeastLife_ms = 100;
-constexpr std::uint64_t kMostLife_ms = 600000;
-constexpr std::uint64_t kMostHold_ms = 60000;
-
-Response malformed(const std::string& why) { return {400, {{"error", why}}}; }
+constexpr std::size_t kMaxLogEntries = 10000;
+constexpr std::size_t kMaxListEntries = 1000;
+constexpr std::size_t kMaxList_bytes = 512 * 1024;
+constexpr std::size_t kMaxTransaction_bytes = 64 * 1024;
+constexpr std::size_t kMaxKey_bytes = 200;
+constexpr std::size_t kMaxPreconditionsPerOp = 4;
+constexpr double kMaxExpiryDelay_s = 0.1;
+constexpr std::uint64_t kMinLeaseLifetime_ms = 100;
+constexpr std::uint64_t kMaxLeaseLifetime_ms = 600000;
+constexpr std::uint64_t kMaxWatchWait_ms = 60000;
+
+Response bad_request(const std::string& why) { return {400, {{"error", why}}}; }
 
 bool is_key(const std::string& key) {
-  return !key.empty() && key.size() <= kLongestKey && key.find(' ') == std::string::npos;
+  return !key.empty() && key.size() <= kMaxKey_bytes && key.find(' ') == std::string::npos;
 }
 
-std::string key_of(const Json& item, const char* field) {
+std::string require_key(const Json& item, const char* field) {
   std::string key = wire::text(item, field);
   if (!is_key(key)) throw wire::BadMessage(std::string(field) + ": not a key");
   return key;
 }
 
 // A list that may be left out; its items are maps.
-const Json& items_of(const Json& body, const char* field) {
+const Json& optional_map_list(const Json& body, const char* field) {
   static const Json none = Json::array();
   if (wire::find(body, field) == nullptr) return none;
   const Json& list = wire::list(body, field);
@@ -51,15 +51,15 @@
 
 kv::Transaction decode(const Json& body) {
   kv::Transaction transaction;
-  for (const Json& item : items_of(body, "if")) {
-    transaction.preconditions.emplace_back(key_of(item, "k"), wire::count(item, "stamp"));
+  for (const Json& item : optional_map_list(body, "if")) {
+    transaction.preconditions.emplace_back(require_key(item, "k"), wire::count(item, "stamp"));
   }
-  for (const Json& item : items_of(body, "then")) {
+  for (const Json& item : optional_map_list(body, "then")) {
     if (wire::find(item, "remove") != nullptr) {
-      transaction.writes.push_back({key_of(item, "remove"), std::nullopt, std::nullopt});
+      transaction.writes.push_back({require_key(item, "remove"), std::nullopt, std::nullopt});
       continue;
     }
-    kv::Write write{key_of(item, "write"), wire::require(item, "value"), std::nullopt};
+    kv::Write write{require_key(item, "write"), wire::require(item, "value"), std::nullopt};
     if (wire::find(item, "permit") != nullptr) write.lease_id = wire::count(item, "permit");
     transaction.writes.push_back(std::move(write));
   }
@@ -70,31 +70,33 @@
 
 StateService::StateService(const settings::StoreLimits& limits, std::uint64_t seed)
     : limits_(limits),
-      requests_(limits.rps, limits.rps),
-      writes_(limits.write_rps, limits.write_rps),
+      request_bucket_(limits.rps, limits.rps),
+      write_bucket_(limits.write_rps, limits.write_rps),
       random_(seed) {}
 
-void StateService::limit(const settings::StoreLimits& limits) {
-  if (limits.rps != limits_.rps) requests_ = kv::TokenBucket(limits.rps, limits.rps);
+void StateService::set_limits(const settings::StoreLimits& limits) {
+  if (limits.rps != limits_.rps) request_bucket_ = kv::TokenBucket(limits.rps, limits.rps);
   if (limits.write_rps != limits_.write_rps) {
-    writes_ = kv::TokenBucket(limits.write_rps, limits.write_rps);
+    write_bucket_ = kv::TokenBucket(limits.write_rps, limits.write_rps);
   }
   limits_ = limits;
 }
 
-void StateService::go_on(double now) {
-  if (!stopped_at_) return;
-  stopped_at_.reset();
-  for (auto& [id, lease_id] : leases_) lease_id.ends_at = end_of(lease_id, now);
+void StateService::end_outage(double now) {
+  if (!outage_since_) return;
+  outage_since_.reset();
+  for (auto& [id, lease_id] : leases_) lease_id.expires_at = draw_expiry(lease_id, now);
 }
 
-void StateService::refuse(const std::string& node, bool yes) { refused_[node] = yes; }
+void StateService::set_refused(const std::string& node, bool refused) {
+  refused_nodes_[node] = refused;
+}
 
 void StateService::restore(Backup backup) {
   items_ = std::move(backup.items);
   store_revision_ = backup.store_revision;
-  log_ = std::move(backup.log);
-  forgotten_ = log_.empty() ? store_revision_ : log_.front().revision - 1;
+  change_log_ = std::move(backup.change_log);
+  last_dropped_revision_ = change_log_.empty() ? store_revision_ : change_log_.front().revision - 1;
   // Permits are of the service's own memory: those that hold nothing any more just run out.
   for (auto& [key, item] : items_) {
     if (item.lease_id != 0 && !leases_.contains(item.lease_id)) item.lease_id = 0;
@@ -102,35 +104,37 @@
 }
 
 // Late by up to a tenth of a second, never early.
-double StateService::end_of(const Permit& lease_id, double now) {
-  return now + lease_id.life_s +
-         std::uniform_real_distribution<double>(0, kLatestExpiry_s)(random_);
+double StateService::draw_expiry(const Lease& lease, double now) {
+  return now + lease.lifetime_s +
+         std::uniform_real_distribution<double>(0, kMaxExpiryDelay_s)(random_);
 }
 
-std::variant<Response, StateService::Watching> StateService::ask(const std::string& from,
-                                                                 const Request& request,
-                                                                 double now) {
-  ++asked_;
-  const auto refused = refused_.find(from);
-  if (stopped_at_ || (refused != refused_.end() && refused->second)) {
+std::variant<Response, StateService::PendingWatch> StateService::handle_request(
+    const std::string& node, const Request& request, double now) {
+  ++request_count_;
+  const auto refused = refused_nodes_.find(node);
+  if (outage_since_ || (refused != refused_nodes_.end() && refused->second)) {
     return Response{503, {{"error", "trouble"}}};
   }
-  if (requests_.take(1, now) > 0) return Response{429, {{"error", "too many requests"}}};
+  if (request_bucket_.take(1, now) > 0) return Response{429, {{"error", "too many requests"}}};
   try {
     const bool get = request.method == "GET";
-    if (get && request.path.starts_with("/keys/")) return read(request.path.substr(6));
-    if (get && request.path == "/keys") return read_many(request);
-    if (get && request.path == "/follow") return follow(request, now);
-    if (request.method == "POST" && request.path == "/multi") return multi(request, now);
-    if (!get && (request.path + "/").starts_with("/holds/")) return leases(request, now);
+    if (get && request.path.starts_with("/keys/"))
+      return handle_read_request(request.path.substr(6));
+    if (get && request.path == "/keys") return handle_list_request(request);
+    if (get && request.path == "/follow") return handle_watch_request(request, now);
+    if (request.method == "POST" && request.path == "/multi")
+      return handle_transaction_request(request, now);
+    if (!get && (request.path + "/").starts_with("/holds/"))
+      return handle_lease_request(request, now);
   } catch (const wire::BadMessage& bad) {
-    return malformed(bad.what());
+    return bad_request(bad.what());
   }
-  return malformed("no such request");
+  return bad_request("no such request");
 }
 
-Response StateService::read(const std::string& key) const {
-  if (!is_key(key)) return malformed("not a key");
+Response StateService::handle_read_request(const std::string& key) const {
+  if (!is_key(key)) return bad_request("not a key");
   const auto at = items_.find(key);
   if (at == items_.end()) return {404, {{"epoch", store_revision_}}};
   Response reply{200, {{"k", key}, {"value", at->second.value}, {"stamp", at->second.revision}}};
@@ -138,35 +142,37 @@
   return reply;
 }
 
-Response StateService::read_many(const Request& request) const {
-  const std::string prefix = parameter(request.query, "starts");
-  const std::string after = parameter(request.query, "after");
-  const auto most = std::min<std::uint64_t>(
-      number_or(parameter(request.query, "limit"), "limit", kMostEntries), kMostEntries);
+Response StateService::handle_list_request(const Request& request) const {
+  const std::string prefix = query_parameter(request.query, "starts");
+  const std::string after = query_parameter(request.query, "after");
+  const auto max_entries = std::min<std::uint64_t>(
+      parse_count_or(query_parameter(request.query, "limit"), "limit", kMaxListEntries),
+      kMaxListEntries);
   auto at =
       after.empty() ? items_.lower_bound(prefix) : items_.upper_bound(std::max(after, prefix));
   if (!after.empty() && after < prefix) at = items_.lower_bound(prefix);
   Json entries = Json::array();
   std::size_t bytes = 0;
   const auto more = [&] { return at != items_.end() && at->first.starts_with(prefix); };
-  for (; more() && entries.size() < most; ++at) {
+  for (; more() && entries.size() < max_entries; ++at) {
     Json entry{{"k", at->first}, {"value", at->second.value}, {"stamp", at->second.revision}};
     bytes += wire::json_size(entry);
-    if (bytes > kMostListBytes && !entries.empty()) break;
+    if (bytes > kMaxList_bytes && !entries.empty()) break;
     entries.push_back(std::move(entry));
   }
   return {200,
           {{"entries", std::move(entries)}, {"truncated", more()}, {"epoch", store_revision_}}};
 }
 
-Response StateService::multi(const Request& request, double now) {
+Response StateService::handle_transaction_request(const Request& request, double now) {
   const Json body = wire::decode_map(request.body);
-  if (wire::json_size(body) > kMostTransactionBytes) return malformed("too large");
+  if (wire::json_size(body) > kMaxTransaction_bytes) return bad_request("too large");
   const kv::Transaction transaction = decode(body);
-  if (too_large(transaction)) return malformed("too large");
+  if (too_large(transaction)) return bad_request("too large");
   // Transactions whose conditions fail are counted as well.
   const auto writes = static_cast<double>(transaction.writes.size());
-  if (writes > 0 && writes_.take(writes, now) > 0) return {429, {{"error", "too many changes"}}};
+  if (writes > 0 && write_bucket_.take(writes, now) > 0)
+    return {429, {{"error", "too many changes"}}};
   const kv::CommitResult committed = commit(transaction);
   switch (committed.outcome) {
     case Outcome::ok:
@@ -174,14 +180,14 @@
     case Outcome::conflict:
       return {409, {{"failed", committed.failed_keys}, {"epoch", committed.store_revision}}};
     default:
-      return malformed("no such lease");
+      return bad_request("no such lease");
   }
 }
 
 bool StateService::too_large(const kv::Transaction& transaction) const {
   const auto ops = static_cast<std::size_t>(limits_.txn_ops);
   return transaction.writes.size() > ops ||
-         transaction.preconditions.size() > kConditionsPerOp * ops ||
+         transaction.preconditions.size() > kMaxPreconditionsPerOp * ops ||
          std::any_of(transaction.writes.begin(), transaction.writes.end(), [&](const auto& write) {
            return write.value && !kv::fits(*write.value, limits_.value_kb);
          });
@@ -211,9 +217,9 @@
   for (const kv::Write& write : transaction.writes) {
     if (write.value) {
       items_[write.key] = {*write.value, store_revision_, write.lease_id.value_or(0)};
-      remember({write.key, write.value, store_revision_});
+      append_change({write.key, write.value, store_revision_});
     } else {
-      erase(write.key);
+      erase_item(write.key);
     }
   }
   result.outcome = Outcome::ok;
@@ -221,15 +227,15 @@
   return result;
 }
 
-void StateService::erase(const std::string& key) {
-  if (items_.erase(key) > 0) remember({key, std::nullopt, store_revision_});
+void StateService::erase_item(const std::string& key) {
+  if (items_.erase(key) > 0) append_change({key, std::nullopt, store_revision_});
 }
 
-void StateService::remember(kv::KeyChange change) {
-  log_.push_back(std::move(change));
-  if (log_.size() <= kLogLength) return;
-  forgotten_ = log_.front().revision;
-  log_.pop_front();
+void StateService::append_change(kv::KeyChange change) {
+  change_log_.push_back(std::move(change));
+  if (change_log_.size() <= kMaxLogEntries) return;
+  last_dropped_revision_ = change_log_.front().revision;
+  change_log_.pop_front();
 }
 
 std::vector<kv::Entry> StateService::list(const std::string& prefix) const {
@@ -241,73 +247,76 @@
   return found;
 }
 
-std::optional<std::vector<kv::KeyChange>> StateService::changes(const std::string& prefix,
-                                                                std::uint64_t after) const {
-  if (after < forgotten_) return std::nullopt;
+std::optional<std::vector<kv::KeyChange>> StateService::changes_after(const std::string& prefix,
+                                                                      std::uint64_t after) const {
+  if (after < last_dropped_revision_) return std::nullopt;
   std::vector<kv::KeyChange> found;
-  const auto from = std::partition_point(
-      log_.begin(), log_.end(), [&](const auto& change) { return change.revision <= after; });
-  std::copy_if(from, log_.end(), std::back_inserter(found),
+  const auto from =
+      std::partition_point(change_log_.begin(), change_log_.end(),
+                           [&](const auto& change) { return change.revision <= after; });
+  std::copy_if(from, change_log_.end(), std::back_inserter(found),
                [&](const auto& change) { return change.key.starts_with(prefix); });
   return found;
 }
 
-std::uint64_t StateService::hold(double life_s, double now) {
-  Permit lease_id{life_s, 0};
-  lease_id.ends_at = end_of(lease_id, now);
+std::uint64_t StateService::grant_lease(double life_s, double now) {
+  Lease lease_id{life_s, 0};
+  lease_id.expires_at = draw_expiry(lease_id, now);
   leases_[++last_lease_id_] = lease_id;
   return last_lease_id_;
 }
 
-void StateService::release(std::uint64_t lease_id) {
+void StateService::revoke_lease(std::uint64_t lease_id) {
   if (leases_.erase(lease_id) == 0) return;
   std::vector<std::string> attached;
   for (const auto& [key, item] : items_) {
     if (item.lease_id == lease_id) attached.push_back(key);
   }
   if (!attached.empty()) ++store_revision_;
-  for (const std::string& key : attached) erase(key);
+  for (const std::string& key : attached) erase_item(key);
 }
 
-Response StateService::leases(const Request& request, double now) {
+Response StateService::handle_lease_request(const Request& request, double now) {
   if (request.path == "/holds") {
-    if (request.method != "POST") return malformed("no such request");
+    if (request.method != "POST") return bad_request("no such request");
     const std::uint64_t life = wire::count(wire::decode_map(request.body), "life_ms");
-    if (life < kLeastLife_ms || life > kMostLife_ms) return malformed("life_ms: out of range");
-    return {200, {{"permit", hold(static_cast<double>(life) / 1000, now)}}};
+    if (life < kMinLeaseLifetime_ms || life > kMaxLeaseLifetime_ms)
+      return bad_request("life_ms: out of range");
+    return {200, {{"permit", grant_lease(static_cast<double>(life) / 1000, now)}}};
   }
   std::string id = request.path.substr(std::string("/holds/").size());
   static const std::string renew = "/renew";
   const bool renews = request.method == "POST" && id.ends_with(renew);
   if (renews) id.resize(id.size() - renew.size());
-  if (!renews && request.method != "DELETE") return malformed("no such request");
-  const auto at = leases_.find(number(id, "permit"));
+  if (!renews && request.method != "DELETE") return bad_request("no such request");
+  const auto at = leases_.find(parse_count(id, "permit"));
   // One that is over is gone, also if its keys are not removed yet.
   if (at == leases_.end()) return {404, Json::object()};
   if (renews) {
-    at->second.ends_at = end_of(at->second, now);
+    at->second.expires_at = draw_expiry(at->second, now);
   } else {
-    release(at->first);
+    revoke_lease(at->first);
   }
   return {200, Json::object()};
 }
 
-std::variant<Response, StateService::Watching> StateService::follow(const Request& request,
-                                                                    double now) {
-  const std::uint64_t hold = number_or(parameter(request.query, "hold_ms"), "hold_ms", 0);
-  if (hold > kMostHold_ms) return malformed("hold_ms: out of range");
-  const Watch watch{parameter(request.query, "starts"),
-                    number_or(parameter(request.query, "after"), "after", 0),
+std::variant<Response, StateService::PendingWatch> StateService::handle_watch_request(
+    const Request& request, double now) {
+  const std::uint64_t hold =
+      parse_count_or(query_parameter(request.query, "hold_ms"), "hold_ms", 0);
+  if (hold > kMaxWatchWait_ms) return bad_request("hold_ms: out of range");
+  const Watch watch{query_parameter(request.query, "starts"),
+                    parse_count_or(query_parameter(request.query, "after"), "after", 0),
                     now + static_cast<double>(hold) / 1000};
-  const auto found = changes(watch.prefix, watch.after);
+  const auto found = changes_after(watch.prefix, watch.after_revision);
   if (!found) return Response{410, {{"epoch", store_revision_}}};
-  if (!found->empty() || hold == 0) return watched(watch);
-  watches_[++last_watch_] = watch;
-  return Watching{last_watch_};
+  if (!found->empty() || hold == 0) return watch_response(watch);
+  watches_[++last_watch_id_] = watch;
+  return PendingWatch{last_watch_id_};
 }
 
-Response StateService::watched(const Watch& watch) const {
-  const auto found = changes(watch.prefix, watch.after);
+Response StateService::watch_response(const Watch& watch) const {
+  const auto found = changes_after(watch.prefix, watch.after_revision);
   if (!found) return {410, {{"epoch", store_revision_}}};
   Json log = Json::array();
   for (const kv::KeyChange& change : *found) {
@@ -321,32 +330,32 @@
 }
 
 // During an outage leases do not end, and open watches stay open.
-std::vector<StateService::Told> StateService::pass(double now) {
-  std::vector<Told> told;
-  if (stopped_at_) return told;
+std::vector<StateService::WatchReply> StateService::advance(double now) {
+  std::vector<WatchReply> told;
+  if (outage_since_) return told;
   std::vector<std::uint64_t> over;
   for (const auto& [id, lease_id] : leases_) {
-    if (lease_id.ends_at <= now) over.push_back(id);
+    if (lease_id.expires_at <= now) over.push_back(id);
   }
-  for (const std::uint64_t id : over) release(id);
+  for (const std::uint64_t id : over) revoke_lease(id);
   for (auto at = watches_.begin(); at != watches_.end();) {
     const Watch& watch = at->second;
-    const auto found = changes(watch.prefix, watch.after);
-    if (found && found->empty() && now < watch.until) {
+    const auto found = changes_after(watch.prefix, watch.after_revision);
+    if (found && found->empty() && now < watch.answer_by) {
       ++at;
       continue;
     }
-    told.push_back({at->first, watched(watch)});
+    told.push_back({at->first, watch_response(watch)});
     at = watches_.erase(at);
   }
   return told;
 }
 
-double StateService::due() const {
+double StateService::next_event_at() const {
   double due = std::numeric_limits<double>::infinity();
-  if (stopped_at_) return due;
-  for (const auto& [id, lease_id] : leases_) due = std::min(due, lease_id.ends_at);
-  for (const auto& [id, watch] : watches_) due = std::min(due, watch.until);
+  if (outage_since_) return due;
+  for (const auto& [id, lease_id] : leases_) due = std::min(due, lease_id.expires_at);
+  for (const auto& [id, watch] : watches_) due = std::min(due, watch.answer_by);
   return due;
 }
 
--- a/lab/model/state_service.h
+++ b/lab/model/state_service.h
@@ -24,10 +24,10 @@
     std::uint64_t lease_id = 0;  // 0: none
   };
   // A watch that has nothing to tell yet; its reply comes out of pass().
-  struct Watching {
+  struct PendingWatch {
     std::uint64_t id = 0;
   };
-  struct Told {
+  struct WatchReply {
     std::uint64_t id = 0;
     wire::Response reply;
   };
@@ -35,74 +35,76 @@
   struct Backup {
     std::map<std::string, Item> items;
     std::uint64_t store_revision = 0;
-    std::deque<kv::KeyChange> log;
+    std::deque<kv::KeyChange> change_log;
   };
 
   StateService(const settings::StoreLimits& limits, std::uint64_t seed);
 
-  std::variant<wire::Response, Watching> ask(const std::string& from, const wire::Request& request,
-                                             double now);
+  std::variant<wire::Response, PendingWatch> handle_request(const std::string& from,
+                                                            const wire::Request& request,
+                                                            double now);
   // Lets time pass: leases end, watches are answered. All replies that are due.
-  std::vector<Told> pass(double now);
+  std::vector<WatchReply> advance(double now);
   // By when time has to pass again; the infinite future if nothing waits.
-  double due() const;
+  double next_event_at() const;
 
   // Troubles.
-  void limit(const settings::StoreLimits& limits);
-  void stop(double now) { stopped_at_ = now; }
-  void go_on(double now);
-  void refuse(const std::string& node, bool yes);
-  Backup backup() const { return {items_, store_revision_, log_}; }
+  void set_limits(const settings::StoreLimits& limits);
+  void begin_outage(double now) { outage_since_ = now; }
+  void end_outage(double now);
+  void set_refused(const std::string& node, bool yes);
+  Backup backup() const { return {items_, store_revision_, change_log_}; }
   void restore(Backup backup);
 
   // The same without HTTP, rates and outages, for what drives decisions directly.
   kv::CommitResult commit(const kv::Transaction& transaction);
   std::vector<kv::Entry> list(const std::string& prefix) const;
   // Nothing if the position is too old.
-  std::optional<std::vector<kv::KeyChange>> changes(const std::string& prefix,
-                                                    std::uint64_t after) const;
-  std::uint64_t hold(double life_s, double now);
-  void release(std::uint64_t lease_id);
+  std::optional<std::vector<kv::KeyChange>> changes_after(const std::string& prefix,
+                                                          std::uint64_t after) const;
+  std::uint64_t grant_lease(double life_s, double now);
+  void revoke_lease(std::uint64_t lease_id);
   const std::map<std::string, Item>& items() const { return items_; }
   std::uint64_t store_revision() const { return store_revision_; }
-  std::uint64_t asked() const { return asked_; }  // requests so far
+  std::uint64_t request_count() const { return request_count_; }  // requests so far
 
  private:
-  struct Permit {
-    double life_s = 0;
-    double ends_at = 0;
+  struct Lease {
+    double lifetime_s = 0;
+    double expires_at = 0;
   };
   struct Watch {
     std::string prefix;
-    std::uint64_t after = 0;
-    double until = 0;
+    std::uint64_t after_revision = 0;
+    double answer_by = 0;
   };
 
-  wire::Response read(const std::string& key) const;
-  wire::Response read_many(const wire::Request& request) const;
-  wire::Response multi(const wire::Request& request, double now);
-  wire::Response leases(const wire::Request& request, double now);
-  std::variant<wire::Response, Watching> follow(const wire::Request& request, double now);
-  wire::Response watched(const Watch& watch) const;
+  wire::Response handle_read_request(const std::string& key) const;
+  wire::Response handle_list_request(const wire::Request& request) const;
+  wire::Response handle_transaction_request(const wire::Request& request, double now);
+  wire::Response handle_lease_request(const wire::Request& request, double now);
+  std::variant<wire::Response, PendingWatch> handle_watch_request(const wire::Request& request,
+                                                                  double now);
+  wire::Response watch_response(const Watch& watch) const;
   bool too_large(const kv::Transaction& transaction) const;
-  void remember(kv::KeyChange change);
-  void erase(const std::string& key);
-  double end_of(const Permit& lease_id, double now);
+  void append_change(kv::KeyChange change);
+  void erase_item(const std::string& key);
+  double draw_expiry(const Lease& lease_id, double now);
 
   settings::StoreLimits limits_;
-  kv::TokenBucket requests_, writes_;
+  kv::TokenBucket request_bucket_, write_bucket_;
   std::mt19937_64 random_;
   std::map<std::string, Item> items_;
-  std::deque<kv::KeyChange> log_;
+  std::deque<kv::KeyChange> change_log_;
   std::uint64_t store_revision_ = 0;
-  std::uint64_t asked_ = 0;
-  std::uint64_t forgotten_ = 0;  // changes up to here are no longer in the log
-  std::map<std::uint64_t, Permit> leases_;
+  std::uint64_t request_count_ = 0;
+  std::uint64_t last_dropped_revision_ = 0;  // changes up to here are no longer in the log
+  std::map<std::uint64_t, Lease> leases_;
   std::map<std::uint64_t, Watch> watches_;
   std::uint64_t last_lease_id_ = 0;
-  std::uint64_t last_watch_ = 0;
-  std::map<std::string, bool> refused_;
-  std::optional<double> stopped_at_;
+  std::uint64_t last_watch_id_ = 0;
+  std::map<std::string, bool> refused_nodes_;
+  std::optional<double> outage_since_;
 };
 
 }  // namespace reachramp::lab
--- a/lab/model/state_service_test.cpp
+++ b/lab/model/state_service_test.cpp
@@ -22,7 +22,7 @@
 }
 
 wire::CallResult ask(StateService& service, const wire::Request& what, double now = 0) {
-  return answer(std::get<wire::Response>(service.ask("node", what, now)));
+  return answer(std::get<wire::Response>(service.handle_request("node", what, now)));
 }
 
 kv::CommitResult commit(StateService& service, const kv::Transaction& transaction, double now = 0) {
@@ -117,14 +117,14 @@
   const double renewed_at = life * 0.9;
   const std::string renew = "/holds/" + std::to_string(lease_id) + "/renew";
   RC_ASSERT(ask(service, request("POST", renew, "", Json::object()), renewed_at).status == 200);
-  service.pass(renewed_at + life - 0.001);
+  service.advance(renewed_at + life - 0.001);
   RC_ASSERT(service.items().contains("leader"));
-  service.pass(renewed_at + life + 0.1);
+  service.advance(renewed_at + life + 0.1);
   RC_ASSERT(!service.items().contains("leader"));
   RC_ASSERT(service.items().contains("other"));
   RC_ASSERT(ask(service, request("POST", renew, "", Json::object()), 99).status == 404);
   RC_ASSERT(commit(service, put("leader", 1, 0, lease_id), 99).outcome == Outcome::unknown_lease);
-  RC_ASSERT(service.changes("lead", 0)->back().revision == service.store_revision());
+  RC_ASSERT(service.changes_after("lead", 0)->back().revision == service.store_revision());
 }
 
 TEST(StateServiceModel, AnOutageRefusesAllAndGivesLeasesTheirFullTime) {
@@ -132,25 +132,26 @@
   const std::uint64_t lease_id = hold(service, 1000, 0);
   commit(service, put("leader", 1, 0, lease_id));
   auto watching =
-      service.ask("node", request("GET", "/follow", "starts=x&after=1&hold_ms=2000"), 0);
-  ASSERT_TRUE(std::holds_alternative<StateService::Watching>(watching));
-  service.stop(0.5);
+      service.handle_request("node", request("GET", "/follow", "starts=x&after=1&hold_ms=2000"), 0);
+  ASSERT_TRUE(std::holds_alternative<StateService::PendingWatch>(watching));
+  service.begin_outage(0.5);
   EXPECT_EQ(commit(service, put("leader", 2, 1)).outcome, Outcome::refused);
-  EXPECT_TRUE(service.pass(30).empty()) << "open watches stay open";
-  service.go_on(30);
-  service.pass(30.9);
+  EXPECT_TRUE(service.advance(30).empty()) << "open watches stay open";
+  service.end_outage(30);
+  service.advance(30.9);
   EXPECT_TRUE(service.items().contains("leader"));
-  EXPECT_EQ(service.pass(31.2).size(), 0u) << "answered when it went on";
+  EXPECT_EQ(service.advance(31.2).size(), 0u) << "answered when it went on";
   EXPECT_FALSE(service.items().contains("leader"));
 }
 
 TEST(StateServiceModel, OneNodeCanBeRefusedAlone) {
   StateService service(kWide, 1);
-  service.refuse("node", true);
+  service.set_refused("node", true);
   EXPECT_EQ(ask(service, request("GET", "/keys/a")).status, 503);
-  EXPECT_EQ(
-      answer(std::get<wire::Response>(service.ask("other", request("GET", "/keys/a"), 0))).status,
-      404);
+  EXPECT_EQ(answer(std::get<wire::Response>(
+                       service.handle_request("other", request("GET", "/keys/a"), 0)))
+                .status,
+            404);
 }
 
 // A position that is too old is told so, rather than given a part of what changed.
--- a/lab/model/worker.h
+++ b/lab/model/worker.h
@@ -28,95 +28,96 @@
     bool faulty = false;  // fails every task that it starts
   };
   // A report that is to be sent now to that node; answered() tells what came of it.
-  struct Sending {
+  struct OutgoingReport {
     std::string node;
     wire::Json report;
   };
 
   // `nodes`: the names of all controllers.
   Worker(Machine machine, const settings::WorkerTimings& rules, std::vector<std::string> nodes,
-         Field& field, std::uint64_t seed, double now);
+         SharedTaskState& field, std::uint64_t seed, double now);
 
   // Kills and forgets all tasks if the lease has ended by now. pass(), answered() and ask() do so
   // first; whoever judges what is on a machine between them has to.
   void expire_lease(double now);
-  std::optional<Sending> pass(double now);
+  std::optional<OutgoingReport> advance(double now);
   // The answer to the report in flight; not answered: none within 4 s, or no connection.
-  void answered(const wire::CallResult& answer, double now);
+  void on_report_answer(const wire::CallResult& answer, double now);
   // /orders and /status.
-  wire::Response ask(const wire::Request& request, double now);
-  double due() const;
+  wire::Response handle_request(const wire::Request& request, double now);
+  double next_event_at() const;
 
   // Troubles.
-  void notice(double left_s, double now) { reclaim_at_ = now + left_s; }
+  void on_reclaim_notice(double left_s, double now) { reclaim_at_ = now + left_s; }
   void hang(double now);
-  void go_on(double now);
-  bool hangs() const { return hangs_; }
-  void be(double speed, bool faulty);
+  void resume(double now);
+  bool is_hung() const { return hung_; }
+  void set_condition(double speed, bool faulty);
   // The machine and all on it are gone.
-  void end(double now);
+  void terminate(double now);
 
   // Tasks that are on the machine: from the image on until they exit.
-  std::vector<std::pair<Field::TaskId, std::uint64_t>> holds() const;
+  std::vector<std::pair<SharedTaskState::TaskId, std::uint64_t>> held_tasks() const;
   std::uint64_t incarnation() const { return incarnation_; }
   std::uint64_t fencing_token() const { return fencing_token_; }
   // When the report was sent that its lease counts from.
-  double lease_since() const { return leased_at_; }
+  double lease_starts_at() const { return lease_starts_at_; }
   // By then tasks are lost, if no answer comes; the infinite future while it hangs or is gone.
   double lease_ends_at() const;
 
  private:
   enum class State { fetching, waiting, running, saving, exited };
-  struct Piece {
+  struct Attempt {
     State state = State::fetching;
-    std::string cause;
-    bool kept = false;
-    double since = 0;     // running: progress counts from here; saving: it ends then
-    double progress = 0;  // at `since`
+    std::string exit_cause;
+    bool progress_saved = false;
+    double state_time = 0;  // running: progress counts from here; saving: it ends then
+    double progress_s = 0;  // at `since`
   };
   struct Image {
-    double left_gb = 0;  // 0: it is here
-    double used_at = 0;
+    double remaining_gb = 0;  // 0: it is here
+    double last_used_at = 0;
   };
-  using Key = std::pair<Field::TaskId, std::uint64_t>;
+  using AttemptKey = std::pair<SharedTaskState::TaskId, std::uint64_t>;
 
-  void execute(const wire::Json& order, double now);
-  void start(const Key& key, double now);
-  void stop(const Key& key, Piece& piece, double wind_down_s, double now);
-  void exit(const Key& key, Piece& piece, const std::string& cause, bool kept = false);
-  void fetch(double now);
-  void drop_images(double need_gb);
-  void has_image(const Key& key, Piece& piece, double now);
-  void work(double now);
-  void lose_lease(double now);
-  double progress(const Key& key, const Piece& piece, double now) const;
+  void execute_order(const wire::Json& order, double now);
+  void start_task(const AttemptKey& key, double now);
+  void stop_task(const AttemptKey& key, Attempt& piece, double wind_down_s, double now);
+  void exit_task(const AttemptKey& key, Attempt& piece, const std::string& cause,
+                 bool kept = false);
+  void advance_fetches(double now);
+  void evict_images(double need_gb);
+  void on_image_ready(const AttemptKey& key, Attempt& piece, double now);
+  void advance_tasks(double now);
+  void begin_next_incarnation(double now);
+  double progress_at(const AttemptKey& key, const Attempt& piece, double now) const;
   bool lease_has_ended(double now) const;
-  wire::Json report(double now);
-  void next_node(double now);
-  bool is_gang(const Key& key) const;
+  wire::Json make_report(double now);
+  void switch_node(double now);
+  bool is_gang_task(const AttemptKey& key) const;
 
   Machine machine_;
-  settings::WorkerTimings rules_;
+  settings::WorkerTimings timings_;
   std::vector<std::string> nodes_;
-  Field& field_;
+  SharedTaskState& shared_state_;
   std::mt19937_64 random_;
-  std::map<Key, Piece> pieces_;
+  std::map<AttemptKey, Attempt> attempts_;
   std::map<std::string, Image> images_;
-  double moved_at_;
+  double fetches_advanced_at_;
   std::uint64_t incarnation_ = 1, tick_ = 0, fencing_token_ = 0;
-  double leased_at_;
-  double reclaim_at_ = kForever;
-  std::size_t node_ = 0;
-  bool in_flight_ = false;
+  double lease_starts_at_;
+  double reclaim_at_ = kInfinity_s;
+  std::size_t current_node_ = 0;
+  bool report_in_flight_ = false;
   std::uint64_t sent_incarnation_ = 0;
-  double sent_at_ = 0;
-  double report_at_;
-  double not_before_ = -kForever;  // after a node that did not answer
-  double last_report_at_ = -kForever;
-  double told_fencing_token_at_ = -kForever;
-  bool changed_ = false;
-  bool hangs_ = false;
-  bool over_ = false;
+  double report_sent_at_ = 0;
+  double next_report_at_;
+  double no_report_before_ = -kInfinity_s;  // after a node that did not answer
+  double last_report_at_ = -kInfinity_s;
+  double fencing_token_reported_at_ = -kInfinity_s;
+  bool unreported_change_ = false;
+  bool hung_ = false;
+  bool terminated_ = false;
 };
 
 }  // namespace reachramp::lab
--- a/lab/model/worker_test.cpp
+++ b/lab/model/worker_test.cpp
@@ -29,7 +29,7 @@
 
   void upload(const std::string& id, jobs::Shape shape, std::uint32_t tasks, double run_s,
               double checkpoint_s = 0, double cpus = 1, const std::string& image = "img") {
-    Field::Job job;
+    SharedTaskState::Job job;
     job.spec.id = id;
     job.spec.shape = shape;
     job.spec.tasks = tasks;
@@ -38,7 +38,7 @@
     job.spec.image_gb = 2;
     job.spec.checkpoint_interval_s = checkpoint_s;
     job.spec.checkpoint_duration_s = 3;
-    job.run_s = run_s;
+    job.run_time_s = run_s;
     field_.upload(job);
   }
 
@@ -54,7 +54,7 @@
     looked_at_.insert(&worker);
     pass(now);
     const Json body{{"baton", fencing_token}, {"tenure", worker.incarnation()}, {"orders", orders}};
-    return worker.ask({"POST", "/orders", "", wire::encode(body)}, now).status;
+    return worker.handle_request({"POST", "/orders", "", wire::encode(body)}, now).status;
   }
 
   // Lets time pass for all workers that were looked at; their reports are answered, so that no
@@ -66,15 +66,15 @@
     for (Worker* worker : looked_at_) report(*worker, now);
   }
   static void report(Worker& worker, double now) {
-    if (!worker.pass(now)) return;
-    worker.answered(
+    if (!worker.advance(now)) return;
+    worker.on_report_answer(
         {true, true, 200, {{"baton", worker.fencing_token()}, {"orders", Json::array()}}, 0}, now);
   }
 
   std::map<std::string, std::string> pieces(Worker& worker, double now) {
     looked_at_.insert(&worker);
     pass(now);
-    const wire::Response status = worker.ask({"GET", "/status", "", ""}, now);
+    const wire::Response status = worker.handle_request({"GET", "/status", "", ""}, now);
     workers::decode_heartbeat(status.body);
     std::map<std::string, std::string> found;
     for (const Json& piece : status.body.at("pieces")) {
@@ -89,7 +89,7 @@
     return found.contains(piece) ? found.at(piece) : "none";
   }
 
-  Field field_;
+  SharedTaskState field_;
   std::set<Worker*> looked_at_;
   double now_ = 0;
 };
@@ -119,12 +119,12 @@
   EXPECT_EQ(at(one, "j-1/2", 1), "full");
   EXPECT_EQ(at(one, "j-9/0", 1), "no_such");
   EXPECT_EQ(at(one, "j-1/9", 1), "no_such");
-  EXPECT_EQ(one.holds().size(), 0u) << "still fetching";
+  EXPECT_EQ(one.held_tasks().size(), 0u) << "still fetching";
   pieces(one, 3);
-  EXPECT_EQ(one.holds().size(), 2u);
+  EXPECT_EQ(one.held_tasks().size(), 2u);
   tell(one, {order("stop", "j-1/0", 1, 9)}, 4);
   EXPECT_EQ(at(one, "j-1/1", 4.1), "running");
-  EXPECT_EQ(one.holds().size(), 1u) << "without checkpoints it ends at once";
+  EXPECT_EQ(one.held_tasks().size(), 1u) << "without checkpoints it ends at once";
   EXPECT_EQ(tell(one, {}, 5, 0), 409) << "a token that is lower than the highest seen";
 }
 
@@ -146,20 +146,20 @@
   upload("j-1", jobs::Shape::array, 1, 100);
   Worker one = worker();
   const Json body{{"baton", 4}, {"tenure", 1}, {"orders", {order("start", "j-1/0", 1)}}};
-  ASSERT_EQ(one.ask({"POST", "/orders", "", wire::encode(body)}, 0).status, 200);
-  const auto first = one.pass(0);
+  ASSERT_EQ(one.handle_request({"POST", "/orders", "", wire::encode(body)}, 0).status, 200);
+  const auto first = one.advance(0);
   ASSERT_TRUE(first);
-  EXPECT_FALSE(one.pass(1.5)) << "one report in flight at a time";
-  one.answered({}, 4);
-  EXPECT_FALSE(one.pass(4.5));
-  const auto next = one.pass(5.1);
+  EXPECT_FALSE(one.advance(1.5)) << "one report in flight at a time";
+  one.on_report_answer({}, 4);
+  EXPECT_FALSE(one.advance(4.5));
+  const auto next = one.advance(5.1);
   ASSERT_TRUE(next);
   EXPECT_NE(next->node, first->node) << "the next node, a second later";
-  one.answered({true, true, 200, {{"baton", 3}, {"orders", Json::array()}}, 0}, 5.2);
+  one.on_report_answer({true, true, 200, {{"baton", 3}, {"orders", Json::array()}}, 0}, 5.2);
   EXPECT_EQ(one.incarnation(), 1u);
-  const auto fresh = one.pass(10.1);
+  const auto fresh = one.advance(10.1);
   EXPECT_EQ(one.incarnation(), 2u) << "the answer with the lower token did not renew it";
-  EXPECT_TRUE(one.holds().empty());
+  EXPECT_TRUE(one.held_tasks().empty());
   ASSERT_TRUE(fresh);
   EXPECT_EQ(workers::decode_heartbeat(fresh->report).incarnation, 2u);
   EXPECT_TRUE(workers::decode_heartbeat(fresh->report).tasks.empty());
@@ -171,25 +171,25 @@
   const Json start{{"baton", 4}, {"tenure", 1}, {"orders", {order("start", "j-1/0", 1)}}};
   for (const bool answer : {true, false}) {
     Worker one = worker();
-    ASSERT_EQ(one.ask({"POST", "/orders", "", wire::encode(start)}, 0).status, 200);
-    ASSERT_TRUE(one.pass(8));
-    EXPECT_EQ(one.holds().size(), 1u);
+    ASSERT_EQ(one.handle_request({"POST", "/orders", "", wire::encode(start)}, 0).status, 200);
+    ASSERT_TRUE(one.advance(8));
+    EXPECT_EQ(one.held_tasks().size(), 1u);
     if (answer) {
-      one.answered({true, true, 200, {{"baton", 4}, {"orders", Json::array()}}, 0}, 10.1);
+      one.on_report_answer({true, true, 200, {{"baton", 4}, {"orders", Json::array()}}, 0}, 10.1);
     } else {
-      EXPECT_EQ(one.ask({"POST", "/orders", "", wire::encode(start)}, 10.1).status, 409);
+      EXPECT_EQ(one.handle_request({"POST", "/orders", "", wire::encode(start)}, 10.1).status, 409);
     }
     EXPECT_EQ(one.incarnation(), 2u);
-    EXPECT_TRUE(one.holds().empty());
+    EXPECT_TRUE(one.held_tasks().empty());
   }
 }
 
 TEST_F(WorkerModel, FollowsTheNodeItIsSentTo) {
   Worker one = worker();
-  const std::string was = one.pass(0)->node;
+  const std::string was = one.advance(0)->node;
   const std::string other = was == "node-0" ? "node-1" : "node-0";
-  one.answered({true, true, 421, {{"upstream", other}}, 0}, 0.1);
-  const auto again = one.pass(0.7);
+  one.on_report_answer({true, true, 421, {{"upstream", other}}, 0}, 0.1);
+  const auto again = one.advance(0.7);
   ASSERT_TRUE(again);
   EXPECT_EQ(again->node, other);
 }
@@ -220,10 +220,10 @@
 TEST_F(GangModel, LosesItsMatesAndFallsBackToItsCheckpoint) {
   begin();
   pieces(one_, 26);
-  two_.end(26);
+  two_.terminate(26);
   EXPECT_EQ(at(one_, "j-1/0", 26.1), "running");
   EXPECT_EQ(at(one_, "j-1/0", 30), "mates_gone") << "within gang_peer_s";
-  EXPECT_DOUBLE_EQ(field_.saved({"j-1", 0}), 10) << "of 11.5";
+  EXPECT_DOUBLE_EQ(field_.saved_progress_s({"j-1", 0}), 10) << "of 11.5";
 }
 
 TEST_F(GangModel, StopsInOrderWhenAllAreToldInTime) {
@@ -234,7 +234,8 @@
   EXPECT_EQ(at(one_, "j-1/0", 23.5), "flushing") << "it has saved, and waits for the other";
   EXPECT_EQ(at(two_, "j-1/1", 25.1), "halted");
   EXPECT_EQ(at(one_, "j-1/0", 25.1), "halted");
-  EXPECT_DOUBLE_EQ(field_.saved({"j-1", 0}), 8.5) << "progress stopped with the first stop";
+  EXPECT_DOUBLE_EQ(field_.saved_progress_s({"j-1", 0}), 8.5)
+      << "progress stopped with the first stop";
 }
 
 TEST_F(GangModel, ASaveFailsIfOneIsNotToldInTime) {
@@ -243,7 +244,7 @@
   pieces(one_, 24.1);
   tell(two_, {order("stop", "j-1/1", 1, 4)}, 24.5);
   EXPECT_EQ(at(one_, "j-1/0", 27), "mates_gone");
-  EXPECT_DOUBLE_EQ(field_.saved({"j-1", 0}), 5) << "of 8.5";
+  EXPECT_DOUBLE_EQ(field_.saved_progress_s({"j-1", 0}), 5) << "of 8.5";
 }
 
 TEST_F(GangModel, IsIncompleteWithoutAMateAndTakesAReplacement) {
@@ -251,7 +252,7 @@
   tell(two_, {order("start", "j-1/1", 1)}, 0);
   EXPECT_EQ(at(one_, "j-1/0", 1), "fetching");
   pieces(two_, 1);
-  two_.end(1.5);
+  two_.terminate(1.5);
   EXPECT_EQ(at(one_, "j-1/0", 5), "waiting");
   EXPECT_EQ(at(one_, "j-1/0", 16.9), "waiting");
   Worker three = worker("n-3");
@@ -269,17 +270,17 @@
 
 // Each rule about places, broken once, and a history that breaks none.
 TEST_F(WorkerModel, TheCheckerSeesEachRuleBroken) {
-  const auto tasks = [](std::initializer_list<Field::TaskId> ids) {
-    std::vector<std::pair<Field::TaskId, std::uint64_t>> held;
+  const auto tasks = [](std::initializer_list<SharedTaskState::TaskId> ids) {
+    std::vector<std::pair<SharedTaskState::TaskId, std::uint64_t>> held;
     for (const auto& id : ids) held.emplace_back(id, 1);
     return held;
   };
-  Field::Job job;
+  SharedTaskState::Job job;
   job.spec.tasks = 4;
   job.spec.team = "red";
   job.spec.cpus = 2;
   const auto add = [&](const std::string& id, auto change) {
-    Field::Job made = job;
+    SharedTaskState::Job made = job;
     made.spec.id = id;
     change(made.spec);
     field_.upload(made);
@@ -289,44 +290,53 @@
   add("j-3", [](jobs::Spec& spec) { spec.spread_over_zones = true; });
   add("j-4", [](jobs::Spec& spec) { spec.depends_on = {"j-1"}; });
   add("j-5", [](jobs::Spec& spec) { spec.types = std::vector<std::string>{"large"}; });
-  const PlacingRules::Place a{"n-1", "small", "a", false}, b{"n-2", "small", "b", false},
+  const PlacementChecker::MachineInfo a{"n-1", "small", "a", false}, b{"n-2", "small", "b", false},
       spot{"n-3", "small", "a", true};
   const auto rule = [&](auto history) {
-    PlacingRules rules({{"red", 0, 7, 0, 0}});
+    PlacementChecker rules({{"red", 0, 7, 0, 0}});
     history(rules);
-    return rules.broken().empty()
-               ? ""
-               : rules.broken().front().substr(0, rules.broken().front().find(' '));
+    return rules.violation_texts().empty() ? ""
+                                           : rules.violation_texts().front().substr(
+                                                 0, rules.violation_texts().front().find(' '));
   };
   EXPECT_EQ(rule([&](auto& r) {
-              r.see(a, tasks({{"j-1", 0}}), field_, 1);
-              r.see(a, {}, field_, 2);
-              r.see(b, tasks({{"j-1", 0}}), field_, 3);
-              r.gone("n-2");
-              r.see(spot, tasks({{"j-1", 0}, {"j-1", 1}}), field_, 4);
-              r.see(b, tasks({{"j-3", 0}, {"j-3", 1}}), field_, 5);
+              r.update_machine(a, tasks({{"j-1", 0}}), field_, 1);
+              r.update_machine(a, {}, field_, 2);
+              r.update_machine(b, tasks({{"j-1", 0}}), field_, 3);
+              r.remove_machine("n-2");
+              r.update_machine(spot, tasks({{"j-1", 0}, {"j-1", 1}}), field_, 4);
+              r.update_machine(b, tasks({{"j-3", 0}, {"j-3", 1}}), field_, 5);
             }),
             "quota")
       << "eight cores of seven, and nothing else";
   EXPECT_EQ(rule([&](auto& r) {
-              r.see(a, tasks({{"j-1", 0}}), field_, 1);
-              r.see(b, tasks({{"j-1", 0}}), field_, 2);
+              r.update_machine(a, tasks({{"j-1", 0}}), field_, 1);
+              r.update_machine(b, tasks({{"j-1", 0}}), field_, 2);
             }),
             "ran_twice");
   EXPECT_EQ(rule([&](auto& r) {
-              r.see(a, tasks({{"j-2", 0}}), field_, 1);
-              r.see(b, tasks({{"j-2", 1}}), field_, 2);
+              r.update_machine(a, tasks({{"j-2", 0}}), field_, 1);
+              r.update_machine(b, tasks({{"j-2", 1}}), field_, 2);
             }),
             "wrong_place");
-  EXPECT_EQ(rule([&](auto& r) { r.see(spot, tasks({{"j-2", 0}}), field_, 1); }), "wrong_place");
-  EXPECT_EQ(rule([&](auto& r) { r.see(a, tasks({{"j-5", 0}}), field_, 1); }), "wrong_place");
   EXPECT_EQ(rule([&](auto& r) {
-              r.see(a, tasks({{"j-3", 0}, {"j-3", 1}, {"j-3", 2}}), field_, 1);
+              r.update_machine(spot, tasks({{"j-2", 0}}), field_, 1);
             }),
             "wrong_place");
-  EXPECT_EQ(rule([&](auto& r) { r.see(a, tasks({{"j-4", 0}}), field_, 1); }), "too_early");
-  for (std::uint32_t task = 0; task < 4; ++task) field_.finish({"j-1", task});
-  EXPECT_EQ(rule([&](auto& r) { r.see(a, tasks({{"j-4", 0}}), field_, 1); }), "");
+  EXPECT_EQ(rule([&](auto& r) {
+              r.update_machine(a, tasks({{"j-5", 0}}), field_, 1);
+            }),
+            "wrong_place");
+  EXPECT_EQ(rule([&](auto& r) {
+              r.update_machine(a, tasks({{"j-3", 0}, {"j-3", 1}, {"j-3", 2}}), field_, 1);
+            }),
+            "wrong_place");
+  EXPECT_EQ(rule([&](auto& r) {
+              r.update_machine(a, tasks({{"j-4", 0}}), field_, 1);
+            }),
+            "too_early");
+  for (std::uint32_t task = 0; task < 4; ++task) field_.mark_done({"j-1", task});
+  EXPECT_EQ(rule([&](auto& r) { r.update_machine(a, tasks({{"j-4", 0}}), field_, 1); }), "");
 }
 
 }  // namespace
--- a/src/acquire/autoscaler_test.cpp
+++ b/src/acquire/autoscaler_test.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "machines.h"
+#include "cluster_fixtures.h"
 
 namespace reachramp::acquire {
 namespace {
--- a/src/controller/leader_bytes_test.cpp
+++ b/src/controller/leader_bytes_test.cpp
@@ -1,7 +1,7 @@
 // The exact JSON of the records `pool/`, which only the leader reads and writes, the exact keys of
 // its other records, and the exact body that it posts to a worker's /orders.
-#include "bytes.h"
 #include "controller/leader.h"
+#include "encoding_assertions.h"
 
 namespace reachramp::controller {
 namespace {
@@ -22,7 +22,7 @@
   made.all_upgraded = true;
   made.catalog =
       kv::Entry{"catalog",
-                test::received(
+                test::wire_round_trip(
                     R"({"rigs":[{"label":"small","vcpus":4.0,"accelerators":0.0,"ram_gb":16.0,
               "cache_gb":50.0,"pull_gb_per_s":1.0,"rate":0.5,"low_price":0.25,"boot_s":5.0,
               "halls":["a"]}]})"),
@@ -42,10 +42,10 @@
 TEST(PoolRecordBytes, OpenRequestIsReadFromLiteral) {
   LeaderSnapshot from = snapshot();
   from.pools = {{"pool/small/a/spot",
-                 test::received(R"({"open":true,"name":"r-39-2","type":"small","zone":"a",
+                 test::wire_round_trip(R"({"open":true,"name":"r-39-2","type":"small","zone":"a",
                                     "spot":true,"count":3})"),
                  8},
-                {"pool/small/b/ordinary", test::received(R"({"open":false})"), 9}};
+                {"pool/small/b/ordinary", test::wire_round_trip(R"({"open":false})"), 9}};
   Leader leader(platform(), {}, 40, from, 0);
   const Effects out = leader.advance(0.1);
   ASSERT_EQ(out.cloud_requests.size(), 1u);
@@ -60,7 +60,7 @@
 TEST(PoolRecordBytes, RequestAndItsEndAreWrittenAsLiteral) {
   LeaderSnapshot from = snapshot();
   from.jobs = {{"job/j-1",
-                test::received(
+                test::wire_round_trip(
                     R"({"spec":{"ref":"j-1","jobclass":"c","owner":"red","shape":"array",
                         "urgency":"normal","pieces":4,"vcpus":1.0,"accelerators":0.0,"ram_gb":1.0,
                         "bundle":"img","pull_gb":0.5,"together":false,"scatter":false,
@@ -76,7 +76,7 @@
     const Effects out = leader.advance(now);
     if (const wire::Json* value = written(out, kKey)) {
       asked = true;
-      EXPECT_TRUE(test::is_written_as(
+      EXPECT_TRUE(test::is_encoded_as(
           *value,
           R"({"open":true,"name":"r-40-1","type":"small","zone":"a","spot":false,"count":1})"));
     }
@@ -94,7 +94,7 @@
     const Effects out = leader.advance(now);
     if (const wire::Json* value = written(out, kKey)) {
       ended = true;
-      EXPECT_TRUE(test::is_written_as(*value, R"({"open":false})"));
+      EXPECT_TRUE(test::is_encoded_as(*value, R"({"open":false})"));
     }
   }
   EXPECT_TRUE(ended);
@@ -105,9 +105,9 @@
 TEST(DirectOrdersBytes, StopsOfDrainedGangAreWrittenAsLiteral) {
   LeaderSnapshot from = snapshot();
   from.stored_schema =
-      kv::Entry{"level", test::received(R"({"level":6,"writes":6,"settled":true})"), 4};
+      kv::Entry{"level", test::wire_round_trip(R"({"level":6,"writes":6,"settled":true})"), 4};
   from.jobs = {{"job/j-1",
-                test::received(
+                test::wire_round_trip(
                     R"({"spec":{"ref":"j-1","jobclass":"c","owner":"red","shape":"ensemble",
                         "urgency":"normal","pieces":2,"vcpus":3.0,"accelerators":0.0,"ram_gb":1.0,
                         "bundle":"img","pull_gb":0.5,"together":false,"scatter":false,
@@ -117,7 +117,8 @@
   Leader leader(platform(), {}, 40, from, 0, {1, 6, 0, "9.9.9"});
   leader.on_claims(
       {{"claim/node-0",
-        test::received(R"({"version":"9.9.9","oldest":1,"newest":6,"hold":0,"digest":0})"), 5}});
+        test::wire_round_trip(R"({"version":"9.9.9","oldest":1,"newest":6,"hold":0,"digest":0})"),
+        5}});
   std::vector<std::pair<std::string, kv::Json>> urgent_stops;
   // By machine: its task, in the JSON form that its heartbeat contains.
   std::map<std::string, std::string> running;
@@ -142,7 +143,8 @@
                "running"}}.dump();
         }
       };
-      leader.on_heartbeat(workers::decode_heartbeat(test::received(report.c_str())), answer, now);
+      leader.on_heartbeat(workers::decode_heartbeat(test::wire_round_trip(report.c_str())), answer,
+                          now);
     }
     leader.on_host_list(listed, now, now);
     leader.on_jobs_read_until(now);
@@ -171,7 +173,7 @@
     const std::string expected = R"({"baton":40,"tenure":5,"orders":[{"verb":"stop","piece":)" +
                                  piece["piece"].dump() + R"(,"try":)" + piece["try"].dump() +
                                  R"(,"wind_down_s":1.5}]})";
-    EXPECT_TRUE(test::is_written_as(body, expected.c_str()));
+    EXPECT_TRUE(test::is_encoded_as(body, expected.c_str()));
   }
 }
 
--- a/src/controller/server_bytes_test.cpp
+++ b/src/controller/server_bytes_test.cpp
@@ -10,18 +10,18 @@
 #include "loopback/child_process.h"
 #include "loopback/nodes.h"
 #include "loopback/state_server.h"
-#include "recorder.h"
+#include "recording_server.h"
 
 namespace reachramp::controller {
 namespace {
 
-using test::is_written_as;
-using test::received;
+using test::is_encoded_as;
+using test::wire_round_trip;
 
 class RunningNode {
  public:
   explicit RunningNode(const settings::Platform& platform) {
-    std::ofstream(config_) << lab::platform_file(platform);
+    std::ofstream(config_) << lab::platform_toml(platform);
     pid_ = lab::spawn({.program = REACHRAMP_PROGRAM,
                        .arguments = {"serve", "--config", config_},
                        .log_level = "error"});
@@ -40,7 +40,7 @@
 
 class NodeBytes : public ::testing::Test {
  protected:
-  NodeBytes() { state_.open("node-0", platform_.store_address.port); }
+  NodeBytes() { state_.listen_for_node("node-0", platform_.store_address.port); }
 
   // Repeats the request while the answer is 503 because no leader has been elected yet.
   static wire::CallResult ask(const wire::Address& at, const char* method, const std::string& path,
@@ -58,7 +58,7 @@
   }
   static void expect(const wire::CallResult& answer, int status, const char* body) {
     EXPECT_EQ(answer.status, status);
-    EXPECT_TRUE(is_written_as(answer.body, body));
+    EXPECT_TRUE(is_encoded_as(answer.body, body));
   }
   // Replaces the fencing token, which is assigned at run time, by 40, so that a literal matches.
   static wire::Json with_fencing_token_40(wire::Json body) {
@@ -68,22 +68,24 @@
   }
 
   lab::StateServer state_{{1000, 1000, 8, 8}, 1};
-  test::Recorder worker_{[](const wire::Request&) -> wire::Response {
+  test::RecordingServer worker_{[](const wire::Request&) -> wire::Response {
     return {200,
-            received(R"({"host":"n-1","rig":"small","hall":"a","loaner":false,"tenure":4,"tick":1,
+            wire_round_trip(
+                R"({"host":"n-1","rig":"small","hall":"a","loaner":false,"tenure":4,"tick":1,
                          "baton":0,"pieces":[]})"),
             0};
   }};
-  test::Recorder cloud_{[this](const wire::Request& request) -> wire::Response {
+  test::RecordingServer cloud_{[this](const wire::Request& request) -> wire::Response {
     if (request.path == "/catalog") {
-      return {200, received(R"({"rigs":[{"label":"small","vcpus":4.0,"ram_gb":16.0,"rate":0.5,
+      return {200,
+              wire_round_trip(R"({"rigs":[{"label":"small","vcpus":4.0,"ram_gb":16.0,"rate":0.5,
                            "halls":["a"]}]})"),
               0};
     }
-    wire::Json list = received(
+    wire::Json list = wire_round_trip(
         R"({"truncated":false,"hosts":[{"ref":"n-1","rig":"small","hall":"a","loaner":false,
             "phase":"running","held_s":5.0}]})");
-    list["hosts"][0]["address"] = "127.0.0.1:" + std::to_string(worker_.at().port);
+    list["hosts"][0]["address"] = "127.0.0.1:" + std::to_string(worker_.address().port);
     return {200, list, 0};
   }};
   test::PortReservations ports_;
@@ -94,7 +96,7 @@
     platform.serve_on = {"127.0.0.1", ports_.reserve()};
     platform.cluster_listen = {"127.0.0.1", ports_.reserve()};
     platform.store_address = {"127.0.0.1", ports_.reserve()};
-    platform.cloud_address = cloud_.at();
+    platform.cloud_address = cloud_.address();
     platform.teams = {{"red", 0, 0, 0, 0}};
     platform.worker_timings = {1, 10, 15, 4, 30};
     platform.store_limits = {1000, 100, 4, 8};
@@ -132,7 +134,7 @@
         std::to_string(++sequence_number) + R"(,"baton":0,"pieces":[]})";
     const wire::CallResult answer = ask(at, "POST", path, report.c_str());
     EXPECT_EQ(answer.status, 200) << path;
-    EXPECT_TRUE(is_written_as(with_fencing_token_40(answer.body), R"({"baton":40,"orders":[]})"));
+    EXPECT_TRUE(is_encoded_as(with_fencing_token_40(answer.body), R"({"baton":40,"orders":[]})"));
   }
 }
 
@@ -142,7 +144,7 @@
   for (const char* key : {"leader", "member/node-0", "claim/node-0", "level", "catalog"}) {
     bool exists = false;
     for (int i = 0; i < 200 && !exists; ++i) {
-      exists = state_.with([&](const auto& model) {
+      exists = state_.with_model([&](const auto& model) {
         const auto entries = model.list(key);
         return !entries.empty() && entries.front().key == key;
       });
@@ -154,16 +156,16 @@
 
 TEST_F(NodeBytes, CallsToASilentWorkerAreWrittenAsLiteral) {
   const RunningNode node(platform_);
-  std::vector<test::Asked> asked;
+  std::vector<test::RecordedRequest> asked;
   for (int i = 0; i < 200 && asked.size() < 2; ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
-    asked = worker_.asked();
+    asked = worker_.requests();
   }
   ASSERT_GE(asked.size(), 2u);
-  EXPECT_EQ(asked[0].line, "GET /status");
+  EXPECT_EQ(asked[0].request_line, "GET /status");
   EXPECT_TRUE(asked[0].body.is_null());
-  EXPECT_EQ(asked[1].line, "POST /orders");
-  EXPECT_TRUE(is_written_as(with_fencing_token_40(asked[1].body),
+  EXPECT_EQ(asked[1].request_line, "POST /orders");
+  EXPECT_TRUE(is_encoded_as(with_fencing_token_40(asked[1].body),
                             R"({"baton":40,"tenure":4,"orders":[]})"));
 }
 
--- a/src/drains/drain_policy_bytes_test.cpp
+++ b/src/drains/drain_policy_bytes_test.cpp
@@ -1,6 +1,6 @@
 // Keeps the stored form of the record `drains`, and the syntax of the policy section, unchanged.
-#include "bytes.h"
 #include "drains/drain_policy.h"
+#include "encoding_assertions.h"
 #include "settings/settings.h"
 
 namespace reachramp::drains {
@@ -9,9 +9,9 @@
 TEST(DrainsRecordBytes, RecordIsReadAndWrittenAsLiteral) {
   constexpr const char* kRecord =
       R"~({"serial":7,"text":"(drains (serial 7))","stamps":[[3,120],[5,400]]})~";
-  EXPECT_TRUE(test::is_written_as(
+  EXPECT_TRUE(test::is_encoded_as(
       encode_accepted_policy({7, "(drains (serial 7))", {{3, 120}, {5, 400}}}), kRecord));
-  const AcceptedPolicy read = decode_accepted_policy(test::received(kRecord));
+  const AcceptedPolicy read = decode_accepted_policy(test::wire_round_trip(kRecord));
   EXPECT_EQ(read.serial, 7u);
   EXPECT_EQ(read.text, "(drains (serial 7))");
   EXPECT_EQ(read.earlier_revisions, (std::map<std::uint64_t, std::uint64_t>{{3, 120}, {5, 400}}));
--- a/src/drains/drains_bytes_test.cpp
+++ b/src/drains/drains_bytes_test.cpp
@@ -1,7 +1,7 @@
 // Keeps the stored form of the record `drains/used` unchanged, so that other versions can read it.
-#include "bytes.h"
+#include "cluster_fixtures.h"
 #include "drains/drains.h"
-#include "machines.h"
+#include "encoding_assertions.h"
 
 namespace reachramp::drains {
 namespace {
@@ -25,11 +25,11 @@
     cluster.add_job(header, 1, 0);
   }
   BudgetTracker budgets;
-  budgets.restore(test::received(kRecord), 10);
+  budgets.restore(test::wire_round_trip(kRecord), 10);
   EXPECT_EQ(budgets.lost_core_s({}, "blue", 10), 7200);
   EXPECT_EQ(budgets.stopped_tasks("blue"), 5u);
   EXPECT_EQ(budgets.stopped_tasks("red"), 1u);
-  EXPECT_TRUE(test::is_written_as(budgets.encode({}, cluster, 10), kRecord));
+  EXPECT_TRUE(test::is_encoded_as(budgets.encode({}, cluster, 10), kRecord));
 }
 
 // A step starts with the size in the restored record, so the record that is written after the start
@@ -53,13 +53,13 @@
           settings::parse_s_expression("(drains (serial 1) (replace (older-than-s 100)))", "p"),
           settings, "p"),
       {}, 100);
-  drains.restore(test::received(kRecord), 100);
-  EXPECT_TRUE(test::is_written_as(
+  drains.restore(test::wire_round_trip(kRecord), 100);
+  EXPECT_TRUE(test::is_encoded_as(
       drains.encode(cluster, 100),
       R"({"teams":[{"name":"red","core_s":60.0,"stops":2}],"jobs":[],"lines":[]})"));
   drains.advance(cluster,
                  {false, [](const Pool&) { return false; }, [](const Pool&) { return 1.0; }}, 100);
-  EXPECT_TRUE(test::is_written_as(drains.encode(cluster, 100), kRecord));
+  EXPECT_TRUE(test::is_encoded_as(drains.encode(cluster, 100), kRecord));
   EXPECT_STREQ(kUsageKey, "drains/used");
 }
 
--- a/src/jobs/job_reader_test.cpp
+++ b/src/jobs/job_reader_test.cpp
@@ -14,7 +14,7 @@
 
 #include "kv/steady_clock.h"
 #include "loopback/state_server.h"
-#include "ports.h"
+#include "port_reservations.h"
 
 namespace reachramp::jobs {
 namespace {
@@ -49,7 +49,7 @@
   lab::StateServer server(limits, 1);
   test::PortReservations ports;
   const std::uint16_t port = ports.reserve();
-  server.open("all", port);
+  server.listen_for_node("all", port);
   kv::Client writer_client({"127.0.0.1", port}, 5000), client({"127.0.0.1", port}, 5000);
   JobReader reader(client, 2000, 32);
   std::array<std::atomic<int>, kJobCount> stored{};
@@ -79,7 +79,7 @@
     });
   }
   const auto requests = [&] {
-    return server.with([](const lab::StateService& model) { return model.asked(); });
+    return server.with_model([](const lab::StateService& model) { return model.request_count(); });
   };
   const std::uint64_t before = requests();
   std::minstd_rand random(7);
@@ -136,10 +136,10 @@
   lab::StateServer server({70, 500, 8, 8}, 1);
   test::PortReservations ports;
   const std::uint16_t port = ports.reserve();
-  server.open("all", port);
+  server.listen_for_node("all", port);
   const auto change = [&](int job, int done) {
     const Json record = encode_header(header(job, done, false));
-    server.with([&](lab::StateService& model) {
+    server.with_model([&](lab::StateService& model) {
       model.commit({{}, {{job_key(job_id(job)), record, std::nullopt}}});
     });
   };
@@ -150,7 +150,7 @@
   for (int job = 0; job < kQueriedJobCount; ++job) {
     change(job, 0);
     const std::uint64_t revision =
-        server.with([](const lab::StateService& model) { return model.store_revision(); });
+        server.with_model([](const lab::StateService& model) { return model.store_revision(); });
     reader.cache_header(job_id(job), header(job, 0, false), revision);
   }
   const double begin = kv::steady_now();
--- a/src/jobs/job_service_bytes_test.cpp
+++ b/src/jobs/job_service_bytes_test.cpp
@@ -1,13 +1,13 @@
 // The literal form of the responses that users get, and of the records that JobService stores.
 #include "jobs/job_service.h"
 #include "kv/steady_clock.h"
-#include "recorder.h"
+#include "recording_server.h"
 
 namespace reachramp::jobs {
 namespace {
 
-using test::is_written_as;
-using test::received;
+using test::is_encoded_as;
+using test::wire_round_trip;
 
 constexpr const char* kSpec =
     R"({"ref":"j-1","jobclass":"train","owner":"red","shape":"array","urgency":"normal",
@@ -29,15 +29,15 @@
  protected:
   // The records of the emulated key-value store, and its response to transactions.
   std::map<std::string, std::string> records_;
-  wire::Response commit_response_{200, received(R"({"epoch":50})"), 0};
+  wire::Response commit_response_{200, wire_round_trip(R"({"epoch":50})"), 0};
 
   wire::Response submit(const std::string& body) {
     return service_.submit(wire::encode(Json::parse(body)));
   }
   Json last_transaction() {
     Json last;
-    for (const test::Asked& one : recorder_.asked()) {
-      if (one.line == "POST /multi") last = one.body;
+    for (const test::RecordedRequest& one : recorder_.requests()) {
+      if (one.request_line == "POST /multi") last = one.body;
     }
     return last;
   }
@@ -45,10 +45,10 @@
  private:
   wire::Response answer(const wire::Request& request) {
     if (request.path == "/multi") return commit_response_;
-    if (request.path == "/keys") return {200, received(R"({"epoch":9,"entries":[]})"), 0};
+    if (request.path == "/keys") return {200, wire_round_trip(R"({"epoch":9,"entries":[]})"), 0};
     const auto at = records_.find(request.path.substr(std::string("/keys/").size()));
-    if (at == records_.end()) return {404, received(R"({"epoch":9})"), 0};
-    return {200, received(entry(at->first, at->second, 7).c_str()), 0};
+    if (at == records_.end()) return {404, wire_round_trip(R"({"epoch":9})"), 0};
+    return {200, wire_round_trip(entry(at->first, at->second, 7).c_str()), 0};
   }
 
   static settings::Platform platform() {
@@ -62,8 +62,8 @@
   }
 
   const settings::Platform platform_ = platform();
-  test::Recorder recorder_{[this](const wire::Request& request) { return answer(request); }};
-  kv::Client store_{recorder_.at(), 1000};
+  test::RecordingServer recorder_{[this](const wire::Request& request) { return answer(request); }};
+  kv::Client store_{recorder_.address(), 1000};
   peers::Members members_{store_, platform_};
   schema::SchemaVersionTracker version_tracker_{store_, platform_, {}};
   peers::RecentCancellations recent_cancellations_{30, kv::steady_now()};
@@ -79,12 +79,12 @@
   const wire::Response response = submit(kSpec);
   EXPECT_EQ(response.status, 201);
   EXPECT_TRUE(
-      is_written_as(response.body, R"({"ref":"j-1","phase":"pending","done":0,"running":0})"));
+      is_encoded_as(response.body, R"({"ref":"j-1","phase":"pending","done":0,"running":0})"));
   const std::string expected =
       R"({"if":[{"k":"job/j-1","stamp":0},{"k":"end/j-1","stamp":0},{"k":"level","stamp":0}],
           "then":[{"write":"job/j-1","value":)" +
       header("false", 0, 0) + "}]}";
-  EXPECT_TRUE(is_written_as(last_transaction(), expected.c_str()));
+  EXPECT_TRUE(is_encoded_as(last_transaction(), expected.c_str()));
 }
 
 TEST_F(JobServiceBytes, EachPhaseIsAnsweredAsLiteral) {
@@ -102,7 +102,7 @@
   for (const auto& [id, body] : expected) {
     const wire::Response response = service_.query(id);
     EXPECT_EQ(response.status, 200);
-    EXPECT_TRUE(is_written_as(response.body, body));
+    EXPECT_TRUE(is_encoded_as(response.body, body));
   }
 }
 
@@ -111,29 +111,29 @@
   const wire::Response response = service_.cancel("j-1");
   EXPECT_EQ(response.status, 200);
   EXPECT_TRUE(
-      is_written_as(response.body, R"({"ref":"j-1","phase":"aborted","done":1,"running":0})"));
+      is_encoded_as(response.body, R"({"ref":"j-1","phase":"aborted","done":1,"running":0})"));
   const std::string expected =
       R"({"if":[{"k":"job/j-1","stamp":7},{"k":"level","stamp":0}],
           "then":[{"write":"job/j-1","value":{"born":7,"cancelled":true,"done":1,"running":2,
           "spec":)" +
       std::string(kSpec) + "}}]}";
-  EXPECT_TRUE(is_written_as(last_transaction(), expected.c_str()));
+  EXPECT_TRUE(is_encoded_as(last_transaction(), expected.c_str()));
 }
 
 TEST_F(JobServiceBytes, RefusalsAreAnsweredAsLiteral) {
   wire::Response response = service_.query("j-9");
   EXPECT_EQ(response.status, 404);
-  EXPECT_TRUE(is_written_as(response.body, R"({"error":"no such job"})"));
+  EXPECT_TRUE(is_encoded_as(response.body, R"({"error":"no such job"})"));
   Json unknown_team_job = Json::parse(kSpec);
   unknown_team_job["owner"] = "blue";
   response = submit(unknown_team_job.dump());
   EXPECT_EQ(response.status, 422);
-  EXPECT_TRUE(is_written_as(response.body, R"({"error":"unknown team"})"));
+  EXPECT_TRUE(is_encoded_as(response.body, R"({"error":"unknown team"})"));
   commit_response_ = {503, Json::object(), 0};
   response = submit(kSpec);
   EXPECT_EQ(response.status, 503);
   EXPECT_EQ(response.retry_after_s, 1);
-  EXPECT_TRUE(is_written_as(response.body, R"({"error":"cannot tell now"})"));
+  EXPECT_TRUE(is_encoded_as(response.body, R"({"error":"cannot tell now"})"));
 }
 
 }  // namespace
--- a/src/jobs/spec_bytes_test.cpp
+++ b/src/jobs/spec_bytes_test.cpp
@@ -1,12 +1,12 @@
 // The literal form of jobs' records, including those that earlier versions have written.
-#include "bytes.h"
+#include "encoding_assertions.h"
 #include "jobs/spec.h"
 
 namespace reachramp::jobs {
 namespace {
 
-using test::is_written_as;
-using test::received;
+using test::is_encoded_as;
+using test::wire_round_trip;
 
 constexpr const char* kFullSpec =
     R"({"ref":"j-000412","jobclass":"train","owner":"vision","shape":"ensemble","urgency":"urgent",
@@ -78,9 +78,9 @@
 }
 
 TEST(JobSpecBytes, FullSubmissionIsReadAndWrittenAsLiteral) {
-  expect_full(decode_spec(received(kFullSpec)));
-  EXPECT_TRUE(is_written_as(encode_spec(full_spec()), kFullSpec));
-  EXPECT_TRUE(is_written_as(encode_spec(decode_spec(received(kFullSpec))), kFullSpec));
+  expect_full(decode_spec(wire_round_trip(kFullSpec)));
+  EXPECT_TRUE(is_encoded_as(encode_spec(full_spec()), kFullSpec));
+  EXPECT_TRUE(is_encoded_as(encode_spec(decode_spec(wire_round_trip(kFullSpec))), kFullSpec));
 }
 
 TEST(JobSpecBytes, OptionalFieldsAreLeftOutWhenAbsent) {
@@ -94,8 +94,8 @@
           "urgency":"urgent","pieces":16,"vcpus":8.5,"accelerators":1.5,"ram_gb":64.25,
           "bundle":"img-07","pull_gb":6.5,"together":true,"scatter":false,"loaner":true,
           "expected_s":240.5,"snapshot_every_s":30.5,"snapshot_cost_s":4.5})";
-  EXPECT_TRUE(is_written_as(encode_spec(spec), kMinimalSpec));
-  const Spec back = decode_spec(received(kMinimalSpec));
+  EXPECT_TRUE(is_encoded_as(encode_spec(spec), kMinimalSpec));
+  const Spec back = decode_spec(wire_round_trip(kMinimalSpec));
   EXPECT_FALSE(back.types || back.zone || back.deadline_s);
   EXPECT_TRUE(back.depends_on.empty());
 }
@@ -120,7 +120,7 @@
     Spec spec = full_spec();
     spec.shape = shape;
     EXPECT_EQ(encode_spec(spec)["shape"], name);
-    Json body = received(kFullSpec);
+    Json body = wire_round_trip(kFullSpec);
     body["shape"] = name;
     EXPECT_EQ(decode_spec(body).shape, shape);
   }
@@ -132,7 +132,7 @@
     Spec spec = full_spec();
     spec.priority = priority;
     EXPECT_EQ(encode_spec(spec)["urgency"], name);
-    Json body = received(kFullSpec);
+    Json body = wire_round_trip(kFullSpec);
     body["urgency"] = name;
     EXPECT_EQ(decode_spec(body).priority, priority);
   }
@@ -141,8 +141,8 @@
 TEST(JobRecordBytes, HeaderIsReadAndWrittenAsLiteral) {
   const std::string record = std::string(R"({"spec":)") + kFullSpec +
                              R"(,"cancelled":true,"done":3,"running":2,"born":77})";
-  EXPECT_TRUE(is_written_as(encode_header({full_spec(), true, 3, 2, 77}), record.c_str()));
-  const Header header = decode_header(received(record.c_str()));
+  EXPECT_TRUE(is_encoded_as(encode_header({full_spec(), true, 3, 2, 77}), record.c_str()));
+  const Header header = decode_header(wire_round_trip(record.c_str()));
   expect_full(header.spec);
   EXPECT_TRUE(header.cancelled);
   EXPECT_EQ(header.done, 3u);
@@ -152,7 +152,7 @@
 
 TEST(JobRecordBytes, ShortenedCancelledHeaderIsWrittenAsLiteral) {
   EXPECT_TRUE(
-      is_written_as(encode_cancelled_header({full_spec(), false, 3, 2, 77}),
+      is_encoded_as(encode_cancelled_header({full_spec(), false, 3, 2, 77}),
                     R"({"spec":{"ref":"j-000412","jobclass":"-","owner":"vision","shape":"ensemble",
           "urgency":"urgent","pieces":16,"vcpus":8.5,"accelerators":1.5,"ram_gb":64.25,
           "bundle":"-","pull_gb":6.5,"hall":"a","together":true,"scatter":false,"loaner":true,
@@ -162,32 +162,33 @@
 
 TEST(JobRecordBytes, FinalStateIsReadAndWrittenAsLiteral) {
   constexpr const char* kCancelledRecord = R"({"cancelled":true,"done":3})";
-  EXPECT_TRUE(is_written_as(encode_final_state({true, 3}), kCancelledRecord));
-  EXPECT_TRUE(decode_final_state(received(kCancelledRecord)).cancelled);
-  EXPECT_EQ(decode_final_state(received(kCancelledRecord)).done, 3u);
-  EXPECT_FALSE(decode_final_state(received(R"({"cancelled":false,"done":8})")).cancelled);
+  EXPECT_TRUE(is_encoded_as(encode_final_state({true, 3}), kCancelledRecord));
+  EXPECT_TRUE(decode_final_state(wire_round_trip(kCancelledRecord)).cancelled);
+  EXPECT_EQ(decode_final_state(wire_round_trip(kCancelledRecord)).done, 3u);
+  EXPECT_FALSE(decode_final_state(wire_round_trip(R"({"cancelled":false,"done":8})")).cancelled);
 }
 
 TEST(TaskRecordBytes, LegacyFormatIsReadAndWrittenAsLiteral) {
   constexpr const char* kRecord = R"({"f":8,"d":"81","t":9,"p":[["n-1",9,2,10,2],["n-2",12,1]]})";
   const TaskRangeRecord record{8, {11, 12}, 9, {{9, 2, "n-1"}, {10, 2, "n-1"}, {12, 1, "n-2"}}};
-  EXPECT_TRUE(is_written_as(encode_legacy_task_range(record), kRecord));
-  expect_same(decode_task_range({"j-1", TaskRecordFormat::legacy, 1, 0}, received(kRecord)),
+  EXPECT_TRUE(is_encoded_as(encode_legacy_task_range(record), kRecord));
+  expect_same(decode_task_range({"j-1", TaskRecordFormat::legacy, 1, 0}, wire_round_trip(kRecord)),
               record);
 }
 
 TEST(TaskRecordBytes, CompactFormatIsReadAndWrittenAsLiteral) {
   constexpr const char* kRecord = R"({"d":"81","t":9,"m":"n-","p":["1",2,1,2,"2",1,4]})";
   const TaskRangeRecord record{8, {11, 12}, 9, {{9, 2, "n-1"}, {10, 2, "n-1"}, {12, 1, "n-2"}}};
-  EXPECT_TRUE(is_written_as(encode_compact_task_range(record), kRecord));
-  expect_same(decode_task_range({"j-1", TaskRecordFormat::compact, 8, 16}, received(kRecord)),
-              record);
+  EXPECT_TRUE(is_encoded_as(encode_compact_task_range(record), kRecord));
+  expect_same(
+      decode_task_range({"j-1", TaskRecordFormat::compact, 8, 16}, wire_round_trip(kRecord)),
+      record);
 }
 
 TEST(TaskRecordBytes, EmptyRecordsAreWrittenAsLiteral) {
   const TaskRangeRecord record{8, {}, 0, {}};
-  EXPECT_TRUE(is_written_as(encode_legacy_task_range(record), R"({"f":8,"d":"","t":0,"p":[]})"));
-  EXPECT_TRUE(is_written_as(encode_compact_task_range(record), R"({"d":"","t":0,"m":"","p":[]})"));
+  EXPECT_TRUE(is_encoded_as(encode_legacy_task_range(record), R"({"f":8,"d":"","t":0,"p":[]})"));
+  EXPECT_TRUE(is_encoded_as(encode_compact_task_range(record), R"({"d":"","t":0,"m":"","p":[]})"));
 }
 
 TEST(JobRecordBytes, KeysAreLiteral) {
@@ -210,7 +211,7 @@
 
 // Version 0.2.0 has no "waits_on"; it writes only headers, final states and legacy task ranges.
 TEST(EarlierJobRecords, RecordsOfVersion020AreRead) {
-  const Header header = decode_header(received(
+  const Header header = decode_header(wire_round_trip(
       R"({"born":12,"cancelled":false,"done":4,"running":3,"spec":{"accelerators":0.0,
           "bundle":"img-3","due_s":600.0,"expected_s":120.0,"hall":"b","jobclass":"batch",
           "loaner":true,"owner":"red","pieces":40,"pull_gb":2.0,"ram_gb":8.0,"ref":"j-7",
@@ -225,14 +226,14 @@
   EXPECT_EQ(header.done, 4u);
   EXPECT_EQ(header.running, 3u);
   expect_same(decode_task_range(*parse_task_range_key("task/j-7/1"),
-                                received(R"({"d":"3","f":20,"p":[["n-4",23,1]],"t":1})")),
+                                wire_round_trip(R"({"d":"3","f":20,"p":[["n-4",23,1]],"t":1})")),
               {20, {20, 21}, 1, {{23, 1, "n-4"}}});
-  EXPECT_EQ(decode_final_state(received(R"({"cancelled":false,"done":40})")).done, 40u);
+  EXPECT_EQ(decode_final_state(wire_round_trip(R"({"cancelled":false,"done":40})")).done, 40u);
 }
 
 // Since version 0.3.0 there are "waits_on" and compact task ranges; 0.4.0 writes both the same way.
 TEST(EarlierJobRecords, RecordsOfVersions030And040AreRead) {
-  const Header header = decode_header(received(
+  const Header header = decode_header(wire_round_trip(
       R"({"born":0,"cancelled":true,"done":0,"running":0,"spec":{"accelerators":8.0,"bundle":"-",
           "expected_s":0.0,"jobclass":"-","loaner":false,"owner":"blue","pieces":4,"pull_gb":0.5,
           "ram_gb":64.0,"ref":"j-8","scatter":false,"shape":"service","snapshot_cost_s":0.0,
@@ -242,9 +243,10 @@
   EXPECT_EQ(header.spec.shape, Shape::service);
   EXPECT_EQ(header.spec.priority, Priority::production);
   EXPECT_TRUE(header.cancelled);
-  expect_same(decode_task_range(*parse_task_range_key("task/j-8/0-4"),
-                                received(R"({"d":"1","m":"m-1","p":["0",3,1,2,"27",4,3],"t":2})")),
-              {0, {0}, 2, {{1, 3, "m-10"}, {2, 3, "m-10"}, {3, 4, "m-127"}}});
+  expect_same(
+      decode_task_range(*parse_task_range_key("task/j-8/0-4"),
+                        wire_round_trip(R"({"d":"1","m":"m-1","p":["0",3,1,2,"27",4,3],"t":2})")),
+      {0, {0}, 2, {{1, 3, "m-10"}, {2, 3, "m-10"}, {3, 4, "m-127"}}});
 }
 
 }  // namespace
--- a/src/kv/client_bytes_test.cpp
+++ b/src/kv/client_bytes_test.cpp
@@ -1,13 +1,13 @@
 // The requests that the client of the key-value store sends, in literal form: method, target and
 // body.
 #include "kv/client.h"
-#include "recorder.h"
+#include "recording_server.h"
 
 namespace reachramp::kv {
 namespace {
 
-using test::is_written_as;
-using test::received;
+using test::is_encoded_as;
+using test::wire_round_trip;
 
 struct ExpectedRequest {
   const char* line;  // method and target
@@ -15,11 +15,13 @@
 };
 
 TEST(KeyValueClientBytes, EachCallSendsItsLiteralRequest) {
-  test::Recorder service([](const wire::Request& request) -> wire::Response {
+  test::RecordingServer service([](const wire::Request& request) -> wire::Response {
     return {200,
-            request.path == "/holds" ? received(R"({"permit":9})") : received(R"({"epoch":3})"), 0};
+            request.path == "/holds" ? wire_round_trip(R"({"permit":9})")
+                                     : wire_round_trip(R"({"epoch":3})"),
+            0};
   });
-  Client client(service.at(), 1000);
+  Client client(service.address(), 1000);
   client.get("job/j-1");
   client.list("task/", "");
   client.list("task/", "task/j-1/0");
@@ -39,11 +41,11 @@
       {"POST /holds/9/renew", "{}"},
       {"DELETE /holds/9", nullptr},
       {"GET /follow?starts=job/&after=41&hold_ms=250", nullptr}};
-  const std::vector<test::Asked> asked = service.asked();
+  const std::vector<test::RecordedRequest> asked = service.requests();
   ASSERT_EQ(asked.size(), std::size(expected));
   for (std::size_t i = 0; i < asked.size(); ++i) {
-    EXPECT_EQ(asked[i].line, expected[i].line);
-    EXPECT_TRUE(is_written_as(asked[i].body, expected[i].body ? expected[i].body : "null"));
+    EXPECT_EQ(asked[i].request_line, expected[i].line);
+    EXPECT_TRUE(is_encoded_as(asked[i].body, expected[i].body ? expected[i].body : "null"));
   }
 }
 
--- a/src/kv/codec_bytes_test.cpp
+++ b/src/kv/codec_bytes_test.cpp
@@ -1,27 +1,27 @@
 // The literal form of the key-value store's request and response bodies. Guards against a field
 // renamed both here and in the emulator, which no test between the two would notice.
-#include "bytes.h"
+#include "encoding_assertions.h"
 #include "kv/codec.h"
 
 namespace reachramp::kv {
 namespace {
 
-using test::is_written_as;
-using test::received;
+using test::is_encoded_as;
+using test::wire_round_trip;
 
 wire::CallResult response(int status, const char* body) {
-  return {true, true, status, received(body), 0};
+  return {true, true, status, wire_round_trip(body), 0};
 }
 
 TEST(KeyValueCodecBytes, TransactionIsEncodedAsLiteral) {
-  EXPECT_TRUE(is_written_as(encode_transaction({{{"job/j-1", 7}, {"end/j-1", 0}},
+  EXPECT_TRUE(is_encoded_as(encode_transaction({{{"job/j-1", 7}, {"end/j-1", 0}},
                                                 {{"leader", Json{{"node", "node-1"}}, 5},
                                                  {"end/j-1", Json{{"done", 3u}}, std::nullopt},
                                                  {"job/j-1", std::nullopt, std::nullopt}}}),
                             R"({"if":[{"k":"job/j-1","stamp":7},{"k":"end/j-1","stamp":0}],
           "then":[{"write":"leader","value":{"node":"node-1"},"permit":5},
                   {"write":"end/j-1","value":{"done":3}},{"remove":"job/j-1"}]})"));
-  EXPECT_TRUE(is_written_as(encode_transaction({{{"level", 4}}, {}}),
+  EXPECT_TRUE(is_encoded_as(encode_transaction({{{"level", 4}}, {}}),
                             R"({"if":[{"k":"level","stamp":4}]})"));
 }
 
@@ -48,7 +48,7 @@
   EXPECT_TRUE(page.has_more);
   ASSERT_EQ(page.entries.size(), 1u);
   EXPECT_EQ(page.entries[0].key, "job/j-1");
-  EXPECT_TRUE(is_written_as(page.entries[0].value, R"({"a":1})"));
+  EXPECT_TRUE(is_encoded_as(page.entries[0].value, R"({"a":1})"));
   EXPECT_EQ(page.entries[0].revision, 7u);
   EXPECT_FALSE(decode_list_result(response(200, R"({"epoch":41,"entries":[]})")).has_more);
 }
@@ -62,7 +62,7 @@
   ASSERT_EQ(changes.changes.size(), 2u);
   EXPECT_EQ(changes.changes[0].key, "job/j-1");
   ASSERT_TRUE(changes.changes[0].value);
-  EXPECT_TRUE(is_written_as(*changes.changes[0].value, R"({"a":1})"));
+  EXPECT_TRUE(is_encoded_as(*changes.changes[0].value, R"({"a":1})"));
   EXPECT_EQ(changes.changes[0].revision, 7u);
   EXPECT_EQ(changes.changes[1].key, "job/j-2");
   EXPECT_FALSE(changes.changes[1].value);
@@ -75,7 +75,7 @@
       decode_read_result(response(200, R"({"k":"leader","value":{"a":1},"stamp":7,"permit":5})"));
   EXPECT_EQ(found.outcome, Outcome::ok);
   EXPECT_EQ(found.entry.key, "leader");
-  EXPECT_TRUE(is_written_as(found.entry.value, R"({"a":1})"));
+  EXPECT_TRUE(is_encoded_as(found.entry.value, R"({"a":1})"));
   EXPECT_EQ(found.entry.revision, 7u);
   EXPECT_EQ(found.entry.lease_id, 5u);
   EXPECT_EQ(decode_read_result(response(200, R"({"k":"a","value":1,"stamp":7,"permit":null})"))
--- a/src/kv/revision_clock_bytes_test.cpp
+++ b/src/kv/revision_clock_bytes_test.cpp
@@ -1,6 +1,6 @@
 // Encodes and decodes the record `timeline` in its literal form, which must not change: later
 // versions read it.
-#include "bytes.h"
+#include "encoding_assertions.h"
 #include "kv/revision_clock.h"
 
 namespace reachramp::kv {
@@ -12,9 +12,9 @@
   written.observe(10, 70);
   written.observe(20, 80);
   written.observe(30, 99.5);
-  EXPECT_TRUE(test::is_written_as(written.encode(100), kRecord));
+  EXPECT_TRUE(test::is_encoded_as(written.encode(100), kRecord));
   RevisionClock read;
-  read.restore(test::received(kRecord), 40, 200);
+  read.restore(test::wire_round_trip(kRecord), 40, 200);
   EXPECT_EQ(read.time_of(10, 200), 170);
   EXPECT_EQ(read.time_of(20, 200), 180);
   EXPECT_EQ(read.time_of(30, 200), 199.5);
@@ -23,7 +23,7 @@
 
 TEST(RevisionClockBytes, RecordOfVersion040IsDecoded) {
   RevisionClock read;
-  read.restore(test::received(R"({"marks":[[7,4000],[9,0]]})"), 9, 50);
+  read.restore(test::wire_round_trip(R"({"marks":[[7,4000],[9,0]]})"), 9, 50);
   EXPECT_EQ(read.time_of(7, 50), 46);
 }
 
