--- a/src/leadership/holder_test.cpp
+++ b/src/leadership/holder_test.cpp
@@ -112,7 +112,7 @@
   std::optional<kv::Transaction> next_transaction(Process& process) {
     kv::Transaction transaction;
     if (!process.read) {
-      process.lease_id = store_.hold(1e9, 0);
+      process.lease_id = store_.grant_lease(1e9, 0);
       transaction.preconditions = {{"leader", 0}};
       transaction.writes.push_back(
           {"leader", encode_holder(process.self, process.lease_id), process.lease_id});
--- a/src/placement/available_hosts_test.cpp
+++ b/src/placement/available_hosts_test.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-#include "machines.h"
+#include "cluster_fixtures.h"
 #include "placement/plan.h"
 
 namespace reachramp::placement {
--- a/src/placement/wait_reasons_test.cpp
+++ b/src/placement/wait_reasons_test.cpp
@@ -8,7 +8,7 @@
 #include <map>
 #include <random>
 
-#include "machines.h"
+#include "cluster_fixtures.h"
 #include "placement/plan.h"
 
 namespace reachramp::placement {
--- a/src/quarantine/fault_attribution_test.cpp
+++ b/src/quarantine/fault_attribution_test.cpp
@@ -7,7 +7,7 @@
 #include <iostream>
 #include <random>
 
-#include "machines.h"
+#include "cluster_fixtures.h"
 #include "placement/plan.h"
 
 namespace reachramp::quarantine {
--- a/src/schema/schema_bytes_test.cpp
+++ b/src/schema/schema_bytes_test.cpp
@@ -1,34 +1,34 @@
 // The literal form of the records `level` and `claim/`.
-#include "bytes.h"
+#include "encoding_assertions.h"
 #include "schema/schema.h"
 #include "schema/shared_settings.h"
 
 namespace reachramp::schema {
 namespace {
 
-using test::is_written_as;
-using test::received;
+using test::is_encoded_as;
+using test::wire_round_trip;
 
 TEST(LevelRecordBytes, RecordIsReadAndWrittenAsLiteral) {
   constexpr const char* kRecord = R"({"level":5,"writes":4,"settled":false})";
-  EXPECT_TRUE(is_written_as(encode_stored({5, 4, false}), kRecord));
-  EXPECT_EQ(decode_stored(received(kRecord)), (StoredSchema{5, 4, false}));
-  EXPECT_EQ(decode_stored(received(R"({"level":6,"writes":6,"settled":true})")),
+  EXPECT_TRUE(is_encoded_as(encode_stored({5, 4, false}), kRecord));
+  EXPECT_EQ(decode_stored(wire_round_trip(kRecord)), (StoredSchema{5, 4, false}));
+  EXPECT_EQ(decode_stored(wire_round_trip(R"({"level":6,"writes":6,"settled":true})")),
             (StoredSchema{6, 6, true}));
   EXPECT_STREQ(kLevelKey, "level");
 }
 
 TEST(LevelRecordBytes, RecordOfVersion040IsRead) {
-  EXPECT_EQ(decode_stored(received(R"({"level":3,"settled":false,"writes":3})")),
+  EXPECT_EQ(decode_stored(wire_round_trip(R"({"level":3,"settled":false,"writes":3})")),
             (StoredSchema{3, 3, false}));
 }
 
 TEST(ClaimRecordBytes, RecordIsReadAndWrittenAsLiteral) {
   constexpr const char* kRecord =
       R"({"version":"0.5.0","oldest":1,"newest":6,"hold":4,"digest":18446744073709551615})";
-  EXPECT_TRUE(is_written_as(encode_claim({"node-1", "0.5.0", 1, 6, 4, 18446744073709551615ull, 0}),
+  EXPECT_TRUE(is_encoded_as(encode_claim({"node-1", "0.5.0", 1, 6, 4, 18446744073709551615ull, 0}),
                             kRecord));
-  const Claim claim = decode_claim({"claim/node-1", received(kRecord), 30, 9});
+  const Claim claim = decode_claim({"claim/node-1", wire_round_trip(kRecord), 30, 9});
   EXPECT_EQ(claim.node, "node-1");
   EXPECT_EQ(claim.version, "0.5.0");
   EXPECT_EQ(claim.oldest, 1u);
@@ -42,7 +42,8 @@
 TEST(ClaimRecordBytes, RecordOfVersion040IsRead) {
   const Claim claim = decode_claim(
       {"claim/node-2",
-       received(R"({"digest":4711,"hold":0,"newest":5,"oldest":1,"version":"0.4.0"})"), 31, 9});
+       wire_round_trip(R"({"digest":4711,"hold":0,"newest":5,"oldest":1,"version":"0.4.0"})"), 31,
+       9});
   EXPECT_EQ(claim.node, "node-2");
   EXPECT_EQ(claim.version, "0.4.0");
   EXPECT_EQ(claim.newest, 5u);
--- a/src/shares/usage_accounts_bytes_test.cpp
+++ b/src/shares/usage_accounts_bytes_test.cpp
@@ -1,5 +1,5 @@
 // Keeps the stored form of the record `shares` unchanged, so that other versions can read it.
-#include "bytes.h"
+#include "encoding_assertions.h"
 #include "shares/usage_accounts.h"
 
 namespace reachramp::shares {
@@ -26,7 +26,7 @@
     accounts.note_submitted(*cluster.jobs[index]);
     if (i == 2) accounts.note_cancelled(*cluster.jobs[index]);
   }
-  EXPECT_TRUE(test::is_written_as(
+  EXPECT_TRUE(test::is_encoded_as(
       accounts.encode(),
       R"({"teams":[{"name":"red","came":2,"cancelled":1,"core_s":0.0,"gpu_s":0.0}],
           "classes":[{"name":"train","came":2,"cancelled":1,"core_s":0.0,"gpu_s":0.0}]})"));
@@ -39,9 +39,9 @@
                    {"name":"red","came":3,"cancelled":0,"core_s":0.0,"gpu_s":5.0}],
           "classes":[{"name":"train","came":10,"cancelled":2,"core_s":120.0,"gpu_s":35.0}]})";
   UsageAccounts accounts;
-  accounts.restore(test::received(kRecord));
+  accounts.restore(test::wire_round_trip(kRecord));
   EXPECT_EQ(accounts.recent_core_s("blue"), 120);
-  EXPECT_TRUE(test::is_written_as(accounts.encode(), kRecord));
+  EXPECT_TRUE(test::is_encoded_as(accounts.encode(), kRecord));
   EXPECT_STREQ(kSharesKey, "shares");
 }
 
--- a/src/wire/http_bytes_test.cpp
+++ b/src/wire/http_bytes_test.cpp
@@ -1,8 +1,8 @@
 // Requests and responses byte for byte, with headers and MessagePack bodies.
 #include <thread>
 
-#include "ports.h"
-#include "recorder.h"
+#include "port_reservations.h"
+#include "recording_server.h"
 
 namespace reachramp::wire {
 namespace {
@@ -24,9 +24,11 @@
 }
 
 TEST(HttpBytes, ResponseIsSentAsLiteral) {
-  test::Recorder server([](const Request&) -> Response { return {503, Json{{"a", 1u}}, 5}; });
+  test::RecordingServer server([](const Request&) -> Response {
+    return {503, Json{{"a", 1u}}, 5};
+  });
   boost::beast::error_code error;
-  Socket user = Socket::connect(server.at(), kTestTimeout, error);
+  Socket user = Socket::connect(server.address(), kTestTimeout, error);
   ASSERT_FALSE(error);
   user.set_timeout(kTestTimeout);
   ASSERT_TRUE(user.send_all(
@@ -36,9 +38,9 @@
       "Retry-After: 5\r\nContent-Length: 4\r\n\r\n\x81\xa1"s +
       "a\x01";
   EXPECT_EQ(read_bytes(user, expected.size()), expected);
-  ASSERT_EQ(server.asked().size(), 1u);
-  EXPECT_EQ(server.asked()[0].line, "POST /x?y=1");
-  EXPECT_TRUE(test::is_written_as(server.asked()[0].body, R"({"a":2})"));
+  ASSERT_EQ(server.requests().size(), 1u);
+  EXPECT_EQ(server.requests()[0].request_line, "POST /x?y=1");
+  EXPECT_TRUE(test::is_encoded_as(server.requests()[0].body, R"({"a":2})"));
 }
 
 TEST(HttpBytes, RequestIsSentAsLiteral) {
@@ -64,7 +66,7 @@
   user.join();
   EXPECT_EQ(answer.status, 429);
   EXPECT_EQ(answer.retry_after_s, 5);
-  EXPECT_TRUE(test::is_written_as(answer.body, R"({"a":1})"));
+  EXPECT_TRUE(test::is_encoded_as(answer.body, R"({"a":1})"));
 }
 
 }  // namespace
--- a/src/workers/heartbeat_bytes_test.cpp
+++ b/src/workers/heartbeat_bytes_test.cpp
@@ -1,15 +1,15 @@
 // The literal form of workers' heartbeats and of the commands that answer them.
-#include "bytes.h"
+#include "encoding_assertions.h"
 #include "workers/heartbeat.h"
 
 namespace reachramp::workers {
 namespace {
 
-using test::is_written_as;
-using test::received;
+using test::is_encoded_as;
+using test::wire_round_trip;
 
 TEST(HeartbeatBytes, EveryFieldIsReadFromLiteral) {
-  const Heartbeat heartbeat = decode_heartbeat(received(
+  const Heartbeat heartbeat = decode_heartbeat(wire_round_trip(
       R"({"host":"n-1","address":"10.0.0.1:9000","rig":"g8","hall":"a","loaner":true,"tenure":4,
           "tick":17,"baton":40,"reclaim_in_s":90.5,"pieces":[
           {"piece":"j-1/3","try":2,"phase":"exited","cause":"done"},
@@ -42,7 +42,7 @@
             "pieces":[]})",
         R"({"host":"n-1","address":null,"rig":"g8","hall":"a","loaner":false,"tenure":4,"tick":17,
             "baton":0,"reclaim_in_s":null,"pieces":[]})"}) {
-    const Heartbeat heartbeat = decode_heartbeat(received(body));
+    const Heartbeat heartbeat = decode_heartbeat(wire_round_trip(body));
     EXPECT_EQ(heartbeat.address, "");
     EXPECT_FALSE(heartbeat.spot);
     EXPECT_FALSE(heartbeat.reclaim_in_s);
@@ -51,7 +51,8 @@
 }
 
 TaskStatus decode_one_status(const char* phase, const char* reason) {
-  Json body = received(R"({"host":"n-1","rig":"g8","hall":"a","loaner":false,"tenure":4,"tick":1,
+  Json body =
+      wire_round_trip(R"({"host":"n-1","rig":"g8","hall":"a","loaner":false,"tenure":4,"tick":1,
                            "baton":0,"pieces":[{"piece":"j-1/3","try":2}]})");
   body["pieces"][0]["phase"] = phase;
   if (reason != nullptr) body["pieces"][0]["cause"] = reason;
@@ -81,7 +82,7 @@
 }
 
 TEST(WorkerCommandBytes, EveryCommandIsWrittenAsLiteral) {
-  EXPECT_TRUE(is_written_as(encode_response(40, {{CommandType::start, "j-1", 3, 2, 0},
+  EXPECT_TRUE(is_encoded_as(encode_response(40, {{CommandType::start, "j-1", 3, 2, 0},
                                                  {CommandType::stop, "j-2", 0, 1, 4.5},
                                                  {CommandType::stop, "j-2", 1, 1, 0},
                                                  {CommandType::clear, "j-3", 7, 5, 0}}),
@@ -89,7 +90,7 @@
           {"verb":"stop","piece":"j-2/0","try":1,"wind_down_s":4.5},
           {"verb":"stop","piece":"j-2/1","try":1,"wind_down_s":0.0},
           {"verb":"clear","piece":"j-3/7","try":5}]})"));
-  EXPECT_TRUE(is_written_as(encode_response(40, {}), R"({"baton":40,"orders":[]})"));
+  EXPECT_TRUE(is_encoded_as(encode_response(40, {}), R"({"baton":40,"orders":[]})"));
 }
 
 }  // namespace
--- a/src/workers/heartbeat_test.cpp
+++ b/src/workers/heartbeat_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "machines.h"
+#include "cluster_fixtures.h"
 
 namespace reachramp::workers {
 namespace {
--- a/src/zones/zone_loss_estimate_test.cpp
+++ b/src/zones/zone_loss_estimate_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "machines.h"
+#include "cluster_fixtures.h"
 #include "placement/plan.h"
 
 namespace reachramp::zones {
--- a/src/zones/zone_monitor_bytes_test.cpp
+++ b/src/zones/zone_monitor_bytes_test.cpp
@@ -1,5 +1,5 @@
 // Keeps the stored form of the record `zones` unchanged, so that other versions can read it.
-#include "bytes.h"
+#include "encoding_assertions.h"
 #include "zones/zone_monitor.h"
 
 namespace reachramp::zones {
@@ -12,13 +12,13 @@
   const settings::Platform platform;
   Cluster cluster(platform, 1, jobs::TaskRecordFormat::compact);
   ZoneMonitor zones;
-  zones.restore(test::received(kRecord), cluster, 5, 10);
+  zones.restore(test::wire_round_trip(kRecord), cluster, 5, 10);
   EXPECT_EQ(zones.state(cluster.zones.find("a")), ZoneState::healthy);
   EXPECT_EQ(zones.state(cluster.zones.find("b")), ZoneState::suspected);
   EXPECT_EQ(zones.state(cluster.zones.find("c")), ZoneState::lost);
   EXPECT_EQ(zones.state(cluster.zones.find("d")), ZoneState::recovering);
-  EXPECT_TRUE(test::is_written_as(zones.encode(cluster), kRecord));
-  EXPECT_TRUE(test::is_written_as(ZoneMonitor().encode(cluster), R"({"zones":[]})"));
+  EXPECT_TRUE(test::is_encoded_as(zones.encode(cluster), kRecord));
+  EXPECT_TRUE(test::is_encoded_as(ZoneMonitor().encode(cluster), R"({"zones":[]})"));
   EXPECT_STREQ(kZonesKey, "zones");
 }
 
--- a/src/zones/zone_monitor_test.cpp
+++ b/src/zones/zone_monitor_test.cpp
@@ -5,7 +5,7 @@
 
 #include <random>
 
-#include "machines.h"
+#include "cluster_fixtures.h"
 #include "placement/plan.h"
 
 namespace reachramp::zones {
--- a/test/answer_history.h
+++ b/test/answer_history.h
@@ -11,45 +11,48 @@
 
 // How far a job has come, as its users see it. A later answer never tells of an earlier state, and
 // the two ends do not follow one another.
-enum class JobView { unknown, live, done, cancelled };
+enum class JobView { unknown, active, done, cancelled };
 
 class AnswerHistory {
  public:
   // The job as known to users when a question is about to be sent.
-  JobView known(const std::string& job) {
+  JobView newest_view(const std::string& job) {
     const std::lock_guard lock(mutex_);
     return views_[job];
   }
 
   // An answer to a question that was sent when `known` was. A node may answer what became of the
   // job since; so only the view before the question counts.
-  void take(const std::string& job, JobView known, JobView answer, const std::string& from) {
+  void record_answer(const std::string& job, JobView view_before_request, JobView answer,
+                     const std::string& node) {
     const std::lock_guard lock(mutex_);
-    ++answers_;
-    const bool older = answer < known || (known == JobView::done && answer != JobView::done);
-    if (older) {
-      broken_.push_back(job + ": " + from + " answers " + name(answer) + " after " + name(known));
+    ++answer_count_;
+    const bool goes_back = answer < view_before_request ||
+                           (view_before_request == JobView::done && answer != JobView::done);
+    if (goes_back) {
+      violations_.push_back(job + ": " + node + " answers " + to_string(answer) + " after " +
+                            to_string(view_before_request));
     }
     JobView& view = views_[job];
     const bool final_view = view == JobView::done || view == JobView::cancelled;
     if (!final_view && answer > view) view = answer;
   }
 
-  std::vector<std::string> broken() {
+  std::vector<std::string> violations() {
     const std::lock_guard lock(mutex_);
-    return broken_;
+    return violations_;
   }
-  std::size_t answers() {
+  std::size_t answer_count() {
     const std::lock_guard lock(mutex_);
-    return answers_;
+    return answer_count_;
   }
 
  private:
-  static std::string name(JobView view) {
+  static std::string to_string(JobView view) {
     switch (view) {
       case JobView::unknown:
         return "unknown";
-      case JobView::live:
+      case JobView::active:
         return "live";
       case JobView::done:
         return "done";
@@ -61,8 +64,8 @@
 
   std::mutex mutex_;
   std::unordered_map<std::string, JobView> views_;
-  std::vector<std::string> broken_;
-  std::size_t answers_ = 0;
+  std::vector<std::string> violations_;
+  std::size_t answer_count_ = 0;
 };
 
 }  // namespace reachramp::test
--- a/test/answers_test.cpp
+++ b/test/answers_test.cpp
@@ -15,44 +15,46 @@
   class User {
    public:
     User(Answers& cluster, int number) : cluster_(cluster), number_(number) {
-      for (int node = 0; node < kNodes; ++node) {
+      for (int node = 0; node < kNodeCount; ++node) {
         clients_.push_back(std::make_unique<wire::Client>(
-            wire::Address{"127.0.0.1", cluster.serve_[node]}, 1, wire::kMaxBody_bytes));
+            wire::Address{"127.0.0.1", cluster.user_ports_[node]}, 1, wire::kMaxBody_bytes));
       }
     }
 
     // Submits a job, and follows it with questions at all nodes until it has ended.
     void follow_one_job(int round) {
       const std::string id = std::string("j-").append(std::to_string(number_ / 2 * 1000 + round));
-      const Json body = cluster_.job(id, 1 + round % 3);
+      const Json body = cluster_.job_body(id, 1 + round % 3);
       cluster_.cloud_->upload({jobs::decode_spec(body), 0.3, false});
       const bool cancels = (number_ / 2 + round) % 3 == 0;
-      int node = number_ % kNodes;
+      int node = number_ % kNodeCount;
       for (int step = 0; step < 400 && !cluster_.stopping_; ++step) {
-        const JobView known = cluster_.history_.known(id);
+        const JobView known = cluster_.history_.newest_view(id);
         if (known == JobView::done || known == JobView::cancelled) break;
-        node = (node + 1) % kNodes;
+        node = (node + 1) % kNodeCount;
         const std::string path = "/submissions/" + id;
         if (known == JobView::unknown || step % 5 == 4)
-          ask(node, id, "POST", "/submissions", &body);
-        if (known == JobView::live && cancels) ask(node, id, "POST", path + "/withdraw", nullptr);
-        for (int other = 0; other < kNodes; ++other) ask(other, id, "GET", path, nullptr);
+          request_and_record(node, id, "POST", "/submissions", &body);
+        if (known == JobView::active && cancels)
+          request_and_record(node, id, "POST", path + "/withdraw", nullptr);
+        for (int other = 0; other < kNodeCount; ++other)
+          request_and_record(other, id, "GET", path, nullptr);
       }
       // Once more everywhere, after its end was told.
-      for (int other = 0; other < kNodes; ++other) {
-        ask(other, id, "GET", "/submissions/" + id, nullptr);
-        ask(other, id, "POST", "/submissions", &body);
-        ask(other, id, "POST", "/submissions/" + id + "/withdraw", nullptr);
+      for (int other = 0; other < kNodeCount; ++other) {
+        request_and_record(other, id, "GET", "/submissions/" + id, nullptr);
+        request_and_record(other, id, "POST", "/submissions", &body);
+        request_and_record(other, id, "POST", "/submissions/" + id + "/withdraw", nullptr);
       }
     }
 
    private:
-    void ask(int node, const std::string& id, const char* method, const std::string& path,
-             const Json* body) {
-      const JobView known = cluster_.history_.known(id);
+    void request_and_record(int node, const std::string& id, const char* method,
+                            const std::string& path, const Json* body) {
+      const JobView view_before_request = cluster_.history_.newest_view(id);
       const wire::CallResult answer = clients_[node]->call(method, path, body, 3000ms);
       const std::optional<JobView> view = view_of(answer);
-      if (view) cluster_.history_.take(id, known, *view, name(node));
+      if (view) cluster_.history_.record_answer(id, view_before_request, *view, node_name(node));
     }
 
     // Nothing where the node cannot tell, or did not answer.
@@ -64,7 +66,7 @@
       if (answer.status != 200 && answer.status != 201) return std::nullopt;
       const std::string phase = answer.body.value("phase", "");
       if (phase == "done") return JobView::done;
-      return phase == "aborted" ? JobView::cancelled : JobView::live;
+      return phase == "aborted" ? JobView::cancelled : JobView::active;
     }
 
     Answers& cluster_;
@@ -74,7 +76,7 @@
 
   // So many users at once, each with one job after another, while `trouble` goes on.
   template <class Trouble>
-  void play(int users, Trouble trouble) {
+  void run_users(int users, Trouble inject_faults) {
     std::vector<std::thread> threads;
     for (int number = 0; number < users; ++number) {
       threads.emplace_back([this, number] {
@@ -82,15 +84,15 @@
         for (int round = 0; !stopping_; ++round) user.follow_one_job(round);
       });
     }
-    trouble();
+    inject_faults();
     stopping_ = true;
     for (std::thread& thread : threads) thread.join();
   }
 
   // Answers of the key-value store to this node are held back; what it sent is carried out.
-  void lose_answers(int node, bool lose) {
-    for (auto& [from, other, proxy] : ways_) {
-      if (from == other && from == node) proxy->hold_answers(lose);
+  void set_responses_held(int node, bool held) {
+    for (auto& [from, other, proxy] : links_) {
+      if (from == other && from == node) proxy->set_hold_responses(held);
     }
   }
 
@@ -99,40 +101,40 @@
 };
 
 TEST_F(Answers, OfAllNodesAreOneHistoryWhileLeadersEnd) {
-  ASSERT_TRUE(accepts(0, job("j-1", 1)));
-  ASSERT_TRUE(within(30, [&] { return phase(0, "j-1") == "done"; }));
-  play(6, [&] {
+  ASSERT_TRUE(accepts(0, job_body("j-1", 1)));
+  ASSERT_TRUE(within(30, [&] { return job_phase(0, "j-1") == "done"; }));
+  run_users(6, [&] {
     for (int round = 0; round < 3; ++round) {
       std::this_thread::sleep_for(3s);
-      const int node = leader();
+      const int node = leader_node();
       if (node < 0) continue;
       kill_node(node);
-      start(node);
+      start_node(node);
     }
     std::this_thread::sleep_for(3s);
   });
-  EXPECT_EQ(history_.broken(), std::vector<std::string>{});
-  EXPECT_GT(history_.answers(), 200u);
-  EXPECT_EQ(cloud_->broken_rules(), std::vector<std::string>{});
+  EXPECT_EQ(history_.violations(), std::vector<std::string>{});
+  EXPECT_GT(history_.answer_count(), 200u);
+  EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
 // A transaction is carried out at once and only its answer is lost, while other nodes read what it
 // wrote and tell users.
 TEST_F(Answers, OfAllNodesAreOneHistoryWhileAnswersOfTheStateServiceAreLost) {
-  ASSERT_TRUE(accepts(0, job("j-1", 1)));
-  ASSERT_TRUE(within(30, [&] { return phase(0, "j-1") == "done"; }));
-  play(6, [&] {
+  ASSERT_TRUE(accepts(0, job_body("j-1", 1)));
+  ASSERT_TRUE(within(30, [&] { return job_phase(0, "j-1") == "done"; }));
+  run_users(6, [&] {
     for (int round = 0; round < 6; ++round) {
-      const int node = round % kNodes;
-      lose_answers(node, true);
+      const int node = round % kNodeCount;
+      set_responses_held(node, true);
       std::this_thread::sleep_for(round % 2 == 0 ? 500ms : 2500ms);
-      lose_answers(node, false);
+      set_responses_held(node, false);
       std::this_thread::sleep_for(1s);
     }
   });
-  EXPECT_EQ(history_.broken(), std::vector<std::string>{});
-  EXPECT_GT(history_.answers(), 200u);
-  EXPECT_EQ(cloud_->broken_rules(), std::vector<std::string>{});
+  EXPECT_EQ(history_.violations(), std::vector<std::string>{});
+  EXPECT_GT(history_.answer_count(), 200u);
+  EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
 }  // namespace
--- a/test/behaviour_digests.cpp
+++ b/test/behaviour_digests.cpp
@@ -17,7 +17,7 @@
 namespace reachramp::test {
 namespace {
 
-constexpr unsigned kMostThreads = 4;
+constexpr unsigned kMaxThreads = 4;
 constexpr int kRounds = 18;
 constexpr double kRound_s = 8;
 
@@ -28,39 +28,39 @@
 
 // In turn by seed: an ordinary cluster, and those of the meetings (meetings_test.cpp). Every second
 // seed begins with nodes of version 0.2.0 that are changed one by one.
-SimulatedWorld world_of(std::uint64_t seed) {
-  SimulatedWorld world;
-  if (seed % 2 == 1) world.upgraded_after_s = 0;
+SimulationOptions options_for_seed(std::uint64_t seed) {
+  SimulationOptions world;
+  if (seed % 2 == 1) world.all_upgraded_after_s = 0;
   switch (seed / 2 % 6) {
     case 0:
       break;
     case 1:
       world.platform.teams = {{"red", 2, 6, 0, 0}, {"blue", 2, 5, 0, 0}};
-      world.task_run_s = 40;
+      world.task_duration_s = 40;
       break;
     case 2:
-      world.boot_least_s = 0.2;
-      world.boot_most_s = 2;
-      world.late_writes = 0.4;
-      world.rental_answer_s = 3;
+      world.min_boot_s = 0.2;
+      world.max_boot_s = 2;
+      world.unanswered_transaction_share = 0.4;
+      world.rental_response_delay_s = 3;
       break;
     case 3:
-      world.kept_reports = 0.3;
-      world.task_run_s = 7;
+      world.replayed_report_share = 0.3;
+      world.task_duration_s = 7;
       break;
     case 4:
       world.platform.store_limits.write_rps = world.platform.upcoming_store_limits.write_rps = 30;
-      world.task_run_s = 3;
+      world.task_duration_s = 3;
       break;
     default:
-      world.slow_links = 10;
+      world.message_delay_factor = 10;
       world.machines_per_pool = 1;
-      world.task_run_s = 5;
+      world.task_duration_s = 5;
   }
   return world;
 }
 
-jobs::Spec job(int number, std::mt19937_64& random) {
+jobs::Spec make_job(int number, std::mt19937_64& random) {
   const std::uint64_t choice = random() % 1000;
   jobs::Spec spec;
   spec.id = "j-" + std::to_string(number);
@@ -101,33 +101,34 @@
 }
 
 // The operators' and users' part; the cluster's own troubles go on beside it.
-void play(SimulatedCluster& cluster, std::mt19937_64& random) {
+void run_user_activity(SimulatedCluster& cluster, std::mt19937_64& random) {
   for (int round = 0; round < kRounds; ++round) {
-    cluster.submit(job(2 * round, random));
-    cluster.submit(job(2 * round + 1, random));
-    cluster.run(kRound_s);
+    cluster.submit(make_job(2 * round, random));
+    cluster.submit(make_job(2 * round + 1, random));
+    cluster.run_for(kRound_s);
     if (random() % 3 == 0) cluster.cancel("j-" + std::to_string(random() % (2 * round + 2)));
     if (random() % 6 == 0) cluster.change_leader();
-    if (random() % 8 == 0) cluster.cancel_running(cluster.between(3, 70));
-    if (random() % 8 == 0) cluster.refuse(cluster.between(0, 6), cluster.between(10, 64));
+    if (random() % 8 == 0) cluster.cancel_running_jobs(cluster.random_between(3, 70));
+    if (random() % 8 == 0)
+      cluster.start_store_outage(cluster.random_between(0, 6), cluster.random_between(10, 64));
   }
-  cluster.run(60);
+  cluster.run_for(60);
 }
 
-Recording record(std::uint64_t seed) {
+Recording record_seed(std::uint64_t seed) {
   constexpr int kCalmRounds = 15;
   constexpr double kCalmRound_s = 20;
   BehaviourRecorder recorder;
-  SimulatedCluster cluster(seed, world_of(seed));
-  cluster.record_to(recorder);
+  SimulatedCluster cluster(seed, options_for_seed(seed));
+  cluster.set_recorder(recorder);
   std::mt19937_64 random(seed + 1);
-  play(cluster, random);
-  cluster.calm();
-  for (int i = 0; i < kCalmRounds && !(cluster.all_over() && cluster.settled()); ++i) {
-    cluster.run(kCalmRound_s);
+  run_user_activity(cluster, random);
+  cluster.end_faults();
+  for (int i = 0; i < kCalmRounds && !(cluster.all_jobs_ended() && cluster.settled()); ++i) {
+    cluster.run_for(kCalmRound_s);
   }
-  recorder.record(BehaviourRecorder::kEnd, 0,
-                  {cluster.all_over(), cluster.settled(), Json(cluster.broken)});
+  recorder.record(BehaviourRecorder::kSimulationEnd, 0,
+                  {cluster.all_jobs_ended(), cluster.settled(), Json(cluster.violations)});
   return {recorder.digest(), recorder.counts()};
 }
 
@@ -136,17 +137,17 @@
   std::vector<Recording> recordings(seeds);
   std::atomic<std::size_t> next{0};
   std::vector<std::thread> threads(
-      std::clamp(std::thread::hardware_concurrency(), 1u, kMostThreads));
+      std::clamp(std::thread::hardware_concurrency(), 1u, kMaxThreads));
   for (std::thread& thread : threads) {
     thread = std::thread([&] {
-      for (std::size_t i = next++; i < seeds; i = next++) recordings[i] = record(first + i);
+      for (std::size_t i = next++; i < seeds; i = next++) recordings[i] = record_seed(first + i);
     });
   }
   for (std::thread& thread : threads) thread.join();
   return recordings;
 }
 
-void print(std::uint64_t first, const std::vector<Recording>& recordings) {
+void print_digests(std::uint64_t first, const std::vector<Recording>& recordings) {
   Digest all;
   BehaviourRecorder::Counts counts{};
   for (std::size_t i = 0; i < recordings.size(); ++i) {
@@ -162,7 +163,7 @@
       "ends looked up",  "greetings",     "direct stops",     "members asked",
       "flags",           "responses",     "null responses",   "reports to the deposed",
       "submissions",     "cancellations", "words of members", "ends"};
-  static_assert(std::size(kNames) == BehaviourRecorder::kKinds);
+  static_assert(std::size(kNames) == BehaviourRecorder::kKindCount);
   for (std::size_t kind = 0; kind < counts.size(); ++kind) {
     std::fprintf(stderr, "%s: %llu\n", kNames[kind], static_cast<unsigned long long>(counts[kind]));
   }
@@ -179,5 +180,5 @@
   spdlog::set_level(spdlog::level::off);
   const std::uint64_t first = std::strtoull(argv[1], nullptr, 10);
   const std::size_t seeds = std::strtoull(argv[2], nullptr, 10);
-  reachramp::test::print(first, reachramp::test::record_all(first, seeds));
+  reachramp::test::print_digests(first, reachramp::test::record_all(first, seeds));
 }
--- a/test/behaviour_recorder.h
+++ b/test/behaviour_recorder.h
@@ -29,29 +29,29 @@
     kElected,
     kTransaction,
     kCloudRequest,
-    kReadBack,
-    kLookUp,
-    kGreeting,
-    kStopNow,
-    kAskTold,
-    kFlags,
+    kTransactionVerification,
+    kJobEndRead,
+    kProbe,
+    kUrgentStop,
+    kCancellationPoll,
+    kEffectFlags,
     kResponse,
-    kNoResponse,
-    kDeposed,
+    kNullResponse,
+    kHeartbeatToDeposedLeader,
     kSubmitted,
     kCancelled,
-    kToldByNode,
-    kEnd,
-    kKinds
+    kCancellationDigest,
+    kSimulationEnd,
+    kKindCount
   };
-  using Counts = std::array<std::uint64_t, kKinds>;
+  using Counts = std::array<std::uint64_t, kKindCount>;
 
   // `values`: a list; doubles in it count to their last bit.
   void record(Kind kind, double now, const wire::Json& values);
   // Everything that a leader wants done, by its fencing token.
-  void record_outbox(double now, std::uint64_t token, const controller::Effects& outbox);
+  void record_effects(double now, std::uint64_t fencing_token, const controller::Effects& effects);
   // A leader's response to a worker's report; null: it may not answer.
-  void record_response(double now, std::uint64_t token, const workers::Heartbeat& report,
+  void record_response(double now, std::uint64_t fencing_token, const workers::Heartbeat& heartbeat,
                        const wire::Json& body);
 
   std::uint64_t digest() const { return digest_.value(); }
--- a/test/machines.h
+++ b/test/cluster_fixtures.h
@@ -10,13 +10,13 @@
 // One that is up and was last heard at `heard_at`; named by its number unless `name` says
 // otherwise.
 inline placement::Index add_machine(placement::Cluster& cluster, const std::string& type,
-                                    const std::string& zone, bool spot, double heard_at = 0,
-                                    std::string name = "") {
+                                    const std::string& zone, bool is_spot,
+                                    double last_heartbeat_at = 0, std::string name = "") {
   if (name.empty()) name = "n-" + std::to_string(cluster.hosts.size());
   const placement::Index index = cluster.add_host(name, 0);
-  cluster.set_host_type(index, type, zone, spot);
+  cluster.set_host_type(index, type, zone, is_spot);
   cluster.hosts[index]->phase = placement::HostPhase::up;
-  cluster.hosts[index]->last_heartbeat_at = heard_at;
+  cluster.hosts[index]->last_heartbeat_at = last_heartbeat_at;
   return index;
 }
 
--- a/test/bytes.h
+++ b/test/encoding_assertions.h
@@ -8,17 +8,17 @@
 
 namespace reachramp::test {
 
-inline testing::AssertionResult is_written_as(const wire::Json& written, const char* literal) {
+inline testing::AssertionResult is_encoded_as(const wire::Json& actual, const char* literal) {
   const wire::Json expected = wire::Json::parse(literal);
-  if (written == expected && wire::Json::to_msgpack(written) == wire::Json::to_msgpack(expected)) {
+  if (actual == expected && wire::Json::to_msgpack(actual) == wire::Json::to_msgpack(expected)) {
     return testing::AssertionSuccess();
   }
   return testing::AssertionFailure()
-         << "written: " << written.dump() << "\nliteral: " << expected.dump();
+         << "written: " << actual.dump() << "\nliteral: " << expected.dump();
 }
 
 // As it comes from the wire.
-inline wire::Json received(const char* literal) {
+inline wire::Json wire_round_trip(const char* literal) {
   return wire::decode_map(wire::encode(wire::Json::parse(literal)));
 }
 
--- a/test/evidence.h
+++ b/test/failure_artifacts.h
@@ -16,12 +16,12 @@
 
 namespace reachramp::test {
 
-class Evidence {
+class FailureArtifacts {
  public:
-  static constexpr std::size_t kMostLogBytes = std::size_t{16} << 20;
+  static constexpr std::size_t kMaxLog_bytes = std::size_t{16} << 20;
 
-  Evidence() { std::filesystem::create_directories(folder_); }
-  ~Evidence() {
+  FailureArtifacts() { std::filesystem::create_directories(folder_); }
+  ~FailureArtifacts() {
     if (::testing::Test::HasFailure()) {
       std::cout << "kept: " << folder_.string() << "\n";
       return;
@@ -29,7 +29,7 @@
     std::error_code ignored;
     std::filesystem::remove_all(folder_, ignored);
   }
-  Evidence(const Evidence&) = delete;
+  FailureArtifacts(const FailureArtifacts&) = delete;
 
   // How much the nodes log: LOG_LEVEL of the test itself, or info.
   static std::string log_level() {
@@ -37,21 +37,21 @@
     return level == nullptr ? "info" : level;
   }
 
-  std::string file(const std::string& name) const { return (folder_ / name).string(); }
-  void write(const std::string& name, const std::vector<std::string>& lines) const {
+  std::string path(const std::string& name) const { return (folder_ / name).string(); }
+  void write_lines(const std::string& name, const std::vector<std::string>& lines) const {
     std::ofstream file(folder_ / name);
     for (const std::string& line : lines) file << line << "\n";
   }
 
  private:
-  static std::string name_of_test() {
+  static std::string test_name() {
     const ::testing::TestInfo& test = *::testing::UnitTest::GetInstance()->current_test_info();
     std::string name = fmt::format("{}.{}-{}", test.test_suite_name(), test.name(), ::getpid());
     std::replace(name.begin(), name.end(), '/', '_');
     return name;
   }
 
-  const std::filesystem::path folder_ = std::filesystem::path(REACHRAMP_EVIDENCE) / name_of_test();
+  const std::filesystem::path folder_ = std::filesystem::path(REACHRAMP_EVIDENCE) / test_name();
 };
 
 }  // namespace reachramp::test
--- a/test/ports_test.cpp
+++ b/test/port_reservations_test.cpp
@@ -1,4 +1,4 @@
-#include "ports.h"
+#include "port_reservations.h"
 
 #include <gtest/gtest.h>
 
--- a/test/recorder.h
+++ b/test/recording_server.h
@@ -5,49 +5,49 @@
 #include <string>
 #include <vector>
 
-#include "bytes.h"
-#include "ports.h"
+#include "encoding_assertions.h"
+#include "port_reservations.h"
 #include "wire/http.h"
 
 namespace reachramp::test {
 
-struct Asked {
-  std::string line;  // method, path and query
-  wire::Json body;   // null: none
+struct RecordedRequest {
+  std::string request_line;  // method, path and query
+  wire::Json body;           // null: none
 };
 
-class Recorder {
+class RecordingServer {
  public:
-  explicit Recorder(wire::Handler answer)
-      : answer_(std::move(answer)),
+  explicit RecordingServer(wire::Handler handler)
+      : handler_(std::move(handler)),
         server_(
-            at(), budget_, wire::ClientKind::user,
+            address(), connection_limiter_, wire::ClientKind::user,
             [](const wire::Request&) { return wire::ClientKind::user; },
             [this](const wire::Request& request) { return serve(request); }) {}
 
-  const wire::Address& at() const { return at_; }
-  std::vector<Asked> asked() {
+  const wire::Address& address() const { return address_; }
+  std::vector<RecordedRequest> requests() {
     const std::lock_guard lock(mutex_);
-    return asked_;
+    return requests_;
   }
 
  private:
   wire::Response serve(const wire::Request& request) {
     {
       const std::lock_guard lock(mutex_);
-      asked_.push_back(
+      requests_.push_back(
           {request.method + " " + request.path + (request.query.empty() ? "" : "?") + request.query,
            request.body.empty() ? wire::Json() : wire::decode_map(request.body)});
     }
-    return answer_(request);
+    return handler_(request);
   }
 
-  wire::Handler answer_;
+  wire::Handler handler_;
   std::mutex mutex_;
-  std::vector<Asked> asked_;
-  wire::ConnectionLimiter budget_{16};
+  std::vector<RecordedRequest> requests_;
+  wire::ConnectionLimiter connection_limiter_{16};
   PortReservations ports_;
-  const wire::Address at_{"127.0.0.1", ports_.reserve()};
+  const wire::Address address_{"127.0.0.1", ports_.reserve()};
   wire::Server server_;
 };
 
--- a/test/simulated_cluster.h
+++ b/test/simulated_cluster.h
@@ -37,78 +37,79 @@
 
 struct SimulatedTask {
   std::string state = "running";
-  std::string cause;
-  double until = 0;
+  std::string exit_reason;
+  double ends_at = 0;
 };
 
 struct SimulatedMachine {
   std::string name, type, zone;
   bool spot = false;
-  double up_at = 0, dead_at = 1e18, made_at = 0;
+  double up_at = 0, dead_at = 1e18, created_at = 0;
   std::uint64_t incarnation = 1, sequence_number = 0, fencing_token = 0;
-  double leased_at = 0;  // when the last answered report was sent
-  double report_at = 0;
+  double lease_renewed_at = 0;  // when the last answered report was sent
+  double next_report_at = 0;
   std::map<std::pair<std::string, std::uint64_t>, SimulatedTask> tasks;  // (job/task, try)
-  std::optional<std::uint64_t> awaiting;  // tick of the report in flight
-  double give_up_at = 0;
-  double deaf_until = 0;  // its reports arrive, answers and commands do not
-  double mute_until = 0;  // its reports do not arrive, commands at its own address do
-  double hung_until = 0;  // nothing of it goes on
-  int life = 0;           // it may be back at once under its name, with a new worker
+  std::optional<std::uint64_t> awaited_sequence_number;  // tick of the report in flight
+  double response_timeout_at = 0;
+  double inbound_blocked_until = 0;   // its reports arrive, answers and commands do not
+  double outbound_blocked_until = 0;  // its reports do not arrive, commands at its own address do
+  double hung_until = 0;              // nothing of it goes on
+  int generation = 0;                 // it may be back at once under its name, with a new worker
 };
 
 // A controller node, as far as the levels go: version 0.3.0 speaks two and claims nothing.
 struct SimulatedNode {
-  std::uint32_t newest = schema::kCompact;
+  std::uint32_t newest_level = schema::kCompact;
   std::uint32_t hold_at = 0;
   bool alive = true;
-  double back_at = 0;
-  double change_at = 0;  // when a later version is started here
+  double restarts_at = 0;
+  double upgrades_at = 0;  // when a later version is started here
   std::uint64_t lease_id = 0;
   // Of the claim of the process that died here, and until when it lasts if nobody renews it.
-  std::uint64_t left_lease_id = 0;
-  double left_until = 0;
-  int processes = 0;  // that have run here
+  std::uint64_t predecessor_lease_id = 0;
+  double predecessor_lease_ends_at = 0;
+  int process_count = 0;  // that have run here
   // What the process there has told users as cancelled.
-  std::unique_ptr<peers::RecentCancellations> told;
-  kv::RevisionClock timeline;  // what the process there has seen of the key-value store
+  std::unique_ptr<peers::RecentCancellations> recent_cancellations;
+  kv::RevisionClock revision_clock;  // what the process there has seen of the key-value store
   // What it last claimed, and when that process was last alive.
-  std::uint32_t claimed = 0;
-  double claimed_until = 0;
+  std::uint32_t claimed_level = 0;
+  double last_alive_at = 0;
 };
 
-struct Message {
-  double at = 0;
-  std::function<void()> deliver;
+struct ScheduledCall {
+  double due_at = 0;
+  std::function<void()> call;
 };
 
 // Simulated time begins here.
-inline constexpr double kBeginsAt_s = 100;
+inline constexpr double kSimulationStart_s = 100;
 
 // What kind of cluster and users a simulation has.
-struct SimulatedWorld {
+struct SimulationOptions {
   // Two teams, of which one has a limit; three nodes.
   static settings::Platform default_platform();
 
   settings::Platform platform = default_platform();
-  double upgraded_after_s = -1;  // until all nodes know the compact records; negative: drawn
-  double slow_links = 1;         // delays of messages, times so much
-  double boot_least_s = 0.5, boot_most_s = 8;
-  int machines_per_pool = 3;   // of a type, zone and kind
-  double late_writes = 0.04;   // share of transactions that get no answer
-  double rental_answer_s = 0;  // until the cloud's answer to a rental request arrives
-  double kept_reports = 0.02;  // share of reports of which a copy waits for the next leader
-  double task_run_s = 0;       // of all tasks; 0: by the job
+  double all_upgraded_after_s = -1;  // until all nodes know the compact records; negative: drawn
+  double message_delay_factor = 1;   // delays of messages, times so much
+  double min_boot_s = 0.5, max_boot_s = 8;
+  int machines_per_pool = 3;                   // of a type, zone and kind
+  double unanswered_transaction_share = 0.04;  // share of transactions that get no answer
+  double rental_response_delay_s = 0;  // until the cloud's answer to a rental request arrives
+  double replayed_report_share =
+      0.02;                    // share of reports of which a copy waits for the next leader
+  double task_duration_s = 0;  // of all tasks; 0: by the job
 };
 
 cloud::Catalog simulated_catalog();
 
 class SimulatedCluster {
  public:
-  explicit SimulatedCluster(std::uint64_t seed, const SimulatedWorld& world = {});
+  explicit SimulatedCluster(std::uint64_t seed, const SimulationOptions& options = {});
 
   // From now on; the recorder outlives the cluster.
-  void record_to(BehaviourRecorder& recorder) { recorder_ = &recorder; }
+  void set_recorder(BehaviourRecorder& recorder) { recorder_ = &recorder; }
 
   // As the door does it: nobody needs others before all nodes are new, and a job that needs a
   // cancelled one is cancelled from the first.
@@ -116,49 +117,52 @@
 
   void cancel(const std::string& id);
 
-  void run(double seconds);
-  void calm();
+  void run_for(double seconds);
+  void end_faults();
   // First the key-value store refuses the leader alone, some time later everybody; users cancel in
   // between.
-  void refuse(double gap_s, double outage_s);
+  void start_store_outage(double leader_only_s, double outage_s);
   // The lead passes to another node; the leader before may go on for a while, not knowing.
   void change_leader();
   // Users call off every job that has tasks on machines, and these machines hang for so long.
-  void cancel_running(double hang_s);
+  void cancel_running_jobs(double hang_s);
   // The team uses its limit to the last core.
-  bool is_at_limit(const std::string& team) const;
+  bool is_team_at_limit(const std::string& team) const;
   // Of jobs that have been cancelled, how many tasks are on machines.
-  std::size_t cancelled_tasks() const;
+  std::size_t running_cancelled_task_count() const;
   // Copies of reports that wait for the next leader.
-  std::size_t kept_reports() const { return kept_.size(); }
-  double between(double low, double high);
+  std::size_t pending_report_copy_count() const { return report_copies_.size(); }
+  double random_between(double low, double high);
   // The last step is through and nothing older is left.
   bool settled() const;
-  bool all_over() const;
-  std::string unfinished() const;
-  std::vector<std::string> broken;
+  bool all_jobs_ended() const;
+  std::string unfinished_jobs() const;
+  std::vector<std::string> violations;
 
  private:
-  bool chance(double p);
-  void break_rule(const std::string& what);
+  bool happens(double probability);
+  void report_violation(const std::string& what);
 
-  void later(double delay, std::function<void()> deliver);
+  void schedule(double delay, std::function<void()> deliver);
   // Mostly soon; sometimes much later, as a cut holds packets.
-  double delay() { return chance(0.03) ? between(2, 25) : world_.slow_links * between(0.01, 0.15); }
+  double random_message_delay() {
+    return happens(0.03) ? random_between(2, 25)
+                         : options_.message_delay_factor * random_between(0.01, 0.15);
+  }
 
-  bool upgraded() const { return now_ >= upgraded_at_; }
-  bool is_out() const { return now_ >= out_from_ && now_ < out_until_; }
+  bool all_upgraded() const { return now_ >= all_upgraded_at_; }
+  bool is_store_down() const { return now_ >= outage_starts_at_ && now_ < outage_ends_at_; }
   // The leader, by the key-value store.
-  bool is_refused() const { return now_ < refused_until_ || is_out(); }
+  bool is_leader_refused() const { return now_ < leader_refused_until_ || is_store_down(); }
 
   // Each member's word has a way there and back.
-  void ask_told(std::uint64_t fencing_token, const std::vector<double>& windows);
+  void poll_cancellations(std::uint64_t fencing_token, const std::vector<double>& windows);
 
   void step();
 
   // ---- nodes
 
-  std::string name_of(const SimulatedNode& node) const {
+  std::string node_name(const SimulatedNode& node) const {
     return "node-" + std::to_string(&node - nodes_);
   }
 
@@ -166,31 +170,32 @@
 
   // Whoever is back while the key of the process before it stands ends that one's lead; 0.3.0 knows
   // nothing of it.
-  void bury_predecessor(const SimulatedNode& node);
+  void end_predecessor_leadership(const SimulatedNode& node);
 
-  void claim(SimulatedNode& node);
+  void write_claim(SimulatedNode& node);
 
-  void live(SimulatedNode& node);
+  void update_node(SimulatedNode& node);
 
   // Of every transaction that is applied, as it is: no step without all nodes, and nothing written
   // by who knows of levels in a form older than the present one.
-  void check_levels(const kv::Transaction& transaction);
+  void check_schema_levels(const kv::Transaction& transaction);
 
   // ---- operators
 
-  std::optional<kv::Entry> found(const std::string& key) const;
+  std::optional<kv::Entry> read_entry(const std::string& key) const;
 
   // As a node does with a file that is newer than what is in force.
-  void operate();
+  void change_drain_policy();
 
   // Answered, or not to be had for a while.
-  void read_back(std::uint64_t fencing_token, const std::string& key);
+  void verify_transaction(std::uint64_t fencing_token, const std::string& key);
 
   // A worker is told at its own address, perhaps much later, and answers with its report.
-  void told(std::uint64_t fencing_token, const std::string& address, const Json& body);
+  void deliver_direct_commands(std::uint64_t fencing_token, const std::string& address,
+                               const Json& body);
 
   // Asked for its session, then told who leads.
-  void greet(std::uint64_t fencing_token, const std::string& address);
+  void probe_worker(std::uint64_t fencing_token, const std::string& address);
 
   // ---- leadership
 
@@ -198,57 +203,59 @@
 
   void elect();
 
-  void follow_jobs();
+  void deliver_job_changes();
 
-  void hand_out(const Effects& outbox);
+  void execute_effects(const Effects& effects);
 
   // While an old node may still lead, nothing is written that it would not read.
-  void check_form(const kv::Transaction& transaction);
+  void check_record_formats(const kv::Transaction& transaction);
 
-  kv::CommitResult apply(const kv::Transaction& transaction);
+  kv::CommitResult apply_transaction(const kv::Transaction& transaction);
 
-  kv::CommitResult commit(const kv::Transaction& transaction);
+  kv::CommitResult commit_transaction(const kv::Transaction& transaction);
 
-  void look_up(std::uint64_t fencing_token, const std::string& id);
+  void read_job_end(std::uint64_t fencing_token, const std::string& id);
 
   void settled(std::uint64_t fencing_token, const kv::CommitResult& committed);
 
   // ---- cloud
 
-  void cloud(std::uint64_t fencing_token, const CloudRequest& order);
+  void send_cloud_request(std::uint64_t fencing_token, const CloudRequest& request);
 
-  void list();
+  void list_machines();
 
   // ---- machines
 
-  bool alive(const SimulatedMachine& machine) const;
+  bool is_alive(const SimulatedMachine& machine) const;
 
   void hang(SimulatedMachine& machine, double seconds);
-  void work(SimulatedMachine& machine);
+  void update_machine(SimulatedMachine& machine);
 
   // Gangs complete together: if one task is done, all are.
-  void complete(const std::string& name);
+  void complete_task(const std::string& name);
 
-  Json report_of(const SimulatedMachine& machine) const;
+  Json make_report(const SimulatedMachine& machine) const;
 
-  void receive(const std::string& name, int life, const workers::Heartbeat& report, double sent_at);
+  void deliver_report(const std::string& name, int life, const workers::Heartbeat& report,
+                      double sent_at);
 
-  void execute(const std::string& name, int life, const workers::Heartbeat& report, double sent_at,
-               const Json& body);
+  void execute_response(const std::string& name, int life, const workers::Heartbeat& report,
+                        double sent_at, const Json& body);
 
-  void start(SimulatedMachine& machine, const std::pair<std::string, std::uint64_t>& key);
+  void start_task(SimulatedMachine& machine, const std::pair<std::string, std::uint64_t>& key);
 
   // ---- recording, if anybody records
 
   void record(BehaviourRecorder::Kind kind, const Json& values) const;
-  void record_outbox(const Leader& leader, const Effects& outbox) const;
+  void record_effects(const Leader& leader, const Effects& effects) const;
   // Passes the leader's response on, recorded.
-  Leader::HeartbeatResponder recorded(const Leader& leader, const workers::Heartbeat& report,
-                                      Leader::HeartbeatResponder answer) const;
+  Leader::HeartbeatResponder recording_responder(const Leader& leader,
+                                                 const workers::Heartbeat& report,
+                                                 Leader::HeartbeatResponder responder) const;
 
   // ---- rules
 
-  void check_everything();
+  void check_rules();
   std::map<std::string, double> used_cpus() const;  // by team
 
   // Which cancellations the leader, if there is one, does not know of now.
@@ -257,41 +264,43 @@
   // Whether somebody has led for long enough, and known of the cancellation, to have a machine that
   // hangs returned before its time was over. Without a leader, or with one that nobody who knows
   // of the cancellation can reach, nothing can be done about such a machine.
-  bool could_return_machines(const std::string& id, double cancelled_at) const;
+  bool could_have_returned_machines(const std::string& id, double cancelled_at) const;
 
   // When the first was cancelled of it and of all that it needs, directly or through others.
-  std::optional<double> falls(const std::string& id) const;
+  std::optional<double> effective_cancellation_time(const std::string& id) const;
 
   BehaviourRecorder* recorder_ = nullptr;
   std::mt19937_64 random_;
-  bool calm_ = false;
-  const SimulatedWorld world_;
+  bool faults_ended_ = false;
+  const SimulationOptions options_;
   settings::Platform platform_;
-  double upgraded_at_, lowered_at_;
-  bool lowered_ = false;
-  kv::TokenBucket accepted_;
+  double all_upgraded_at_, limits_lowered_at_;
+  bool limits_lowered_ = false;
+  kv::TokenBucket write_limiter_;
   lab::StateService store_;
-  double now_ = kBeginsAt_s;
-  std::unique_ptr<Leader> leader_, former_;
+  double now_ = kSimulationStart_s;
+  std::unique_ptr<Leader> leader_, former_leader_;
   SimulatedNode nodes_[3];
-  SimulatedNode* seat_ = nullptr;  // where the leader is
-  std::uint64_t serial_ = 1;       // of the operators' file
-  bool old_led_ = false;           // a process of 0.3.0 has led after the first step
-  std::uint64_t lease_id_ = 0, position_ = 0;
-  double elect_at_ = 0, list_at_ = 0, calm_at_ = 0;
-  SimulatedNode* mute_ = nullptr;  // meanwhile the others cannot reach it; users can
-  double refused_until_ = 0, out_from_ = 0, out_until_ = 0;  // by the key-value store
+  SimulatedNode* leader_node_ = nullptr;  // where the leader is
+  std::uint64_t policy_serial_ = 1;       // of the operators' file
+  bool old_version_led_ = false;          // a process of 0.3.0 has led after the first step
+  std::uint64_t leader_lease_id_ = 0, job_watch_revision_ = 0;
+  double election_at_ = 0, next_listing_at_ = 0, faults_ended_at_ = 0;
+  SimulatedNode* unreachable_node_ = nullptr;  // meanwhile the others cannot reach it; users can
+  double leader_refused_until_ = 0, outage_starts_at_ = 0,
+         outage_ends_at_ = 0;  // by the key-value store
   std::map<std::string, SimulatedMachine> machines_;
-  std::map<std::string, std::vector<std::string>> hires_;
-  int made_ = 0;
-  std::vector<Message> mail_;
-  std::vector<workers::Heartbeat> kept_;  // copies for the next leader
+  std::map<std::string, std::vector<std::string>> rentals_;
+  int created_machines_ = 0;
+  std::vector<ScheduledCall> scheduled_calls_;
+  std::vector<workers::Heartbeat> report_copies_;  // copies for the next leader
   std::map<std::string, jobs::Spec> specs_;
   std::map<std::string, double> cancelled_at_;
-  std::map<std::string, double> unknown_at_;  // cancelled jobs: when the leader last did not know
+  std::map<std::string, double>
+      unknown_to_leader_at_;  // cancelled jobs: when the leader last did not know
   double led_since_ = 0;
-  std::map<std::string, bool> endings_;
-  std::set<std::string> done_, seen_;
+  std::map<std::string, bool> ended_as_cancelled_;
+  std::set<std::string> done_tasks_, reported_violations_;
 };
 
 }  // namespace reachramp::test
--- a/test/simulated_cluster_rules.cpp
+++ b/test/simulated_cluster_rules.cpp
@@ -9,14 +9,14 @@
 
 // Until a leader looks at its machines again and the cloud has answered, also when its first answer
 // is lost.
-constexpr double kReturnTakes_s = 3;
+constexpr double kMachineReturnDelay_s = 3;
 
 }  // namespace
 
 std::map<std::string, double> SimulatedCluster::used_cpus() const {
   std::map<std::string, double> used;
   for (const auto& [name, machine] : machines_) {
-    if (!alive(machine)) continue;
+    if (!is_alive(machine)) continue;
     for (const auto& [key, task] : machine.tasks) {
       if (task.state == "exited") continue;
       const jobs::Spec& spec = specs_.at(key.first.substr(0, key.first.rfind('/')));
@@ -26,17 +26,17 @@
   return used;
 }
 
-bool SimulatedCluster::is_at_limit(const std::string& name) const {
+bool SimulatedCluster::is_team_at_limit(const std::string& name) const {
   const auto team = std::find_if(platform_.teams.begin(), platform_.teams.end(),
                                  [&](const settings::Team& one) { return one.name == name; });
   return team != platform_.teams.end() && team->max_cpus > 0 &&
          used_cpus()[name] > team->max_cpus - 0.5;
 }
 
-std::size_t SimulatedCluster::cancelled_tasks() const {
+std::size_t SimulatedCluster::running_cancelled_task_count() const {
   std::size_t found = 0;
   for (const auto& [name, machine] : machines_) {
-    if (!alive(machine)) continue;
+    if (!is_alive(machine)) continue;
     for (const auto& [key, task] : machine.tasks) {
       const bool cancelled = cancelled_at_.contains(key.first.substr(0, key.first.rfind('/')));
       found += cancelled && task.state != "exited" ? 1 : 0;
@@ -45,44 +45,46 @@
   return found;
 }
 
-void SimulatedCluster::check_everything() {
+void SimulatedCluster::check_rules() {
   note_unknown_cancellations();
   std::map<std::string, double> used = used_cpus();
   for (const auto& [name, machine] : machines_) {
-    if (!alive(machine)) continue;
+    if (!is_alive(machine)) continue;
     for (const auto& [key, piece] : machine.tasks) {
       if (piece.state == "exited") continue;
       const std::string id = key.first.substr(0, key.first.rfind('/'));
       const auto cancelled = cancelled_at_.find(id);
       if (cancelled != cancelled_at_.end() &&
           now_ - cancelled->second > platform_.worker_timings.cancel_s &&
-          (now_ >= machine.hung_until || could_return_machines(id, cancelled->second))) {
-        break_rule("ran_cancelled " + key.first);
+          (now_ >= machine.hung_until || could_have_returned_machines(id, cancelled->second))) {
+        report_violation("ran_cancelled " + key.first);
       }
     }
   }
   for (const settings::Team& team : platform_.teams) {
     if (team.max_cpus > 0 && used[team.name] > team.max_cpus + 1e-6) {
-      break_rule("quota " + team.name);
+      report_violation("quota " + team.name);
     }
   }
   for (const auto& [id, spec] : specs_) {
     const auto end = store_.items().find(jobs::end_key(id));
     const bool live = store_.items().contains(jobs::job_key(id));
-    if (live == (end != store_.items().end())) break_rule("forgotten " + id);
-    const auto fell = falls(id);
-    if (calm_ && live && fell &&
-        now_ - std::max(*fell, calm_at_) > platform_.worker_timings.cancel_s &&
+    if (live == (end != store_.items().end())) report_violation("forgotten " + id);
+    const auto fell = effective_cancellation_time(id);
+    if (faults_ended_ && live && fell &&
+        now_ - std::max(*fell, faults_ended_at_) > platform_.worker_timings.cancel_s &&
         !jobs::decode_header(store_.items().at(jobs::job_key(id)).value).cancelled) {
-      break_rule("orphaned " + id);
+      report_violation("orphaned " + id);
     }
     if (end == store_.items().end()) continue;
     const jobs::FinalState ending = jobs::decode_final_state(end->second.value);
-    const auto [known, fresh] = endings_.try_emplace(id, ending.cancelled);
-    if (known->second != ending.cancelled) break_rule("went_back " + id);
-    if (ending.cancelled != falls(id).has_value()) break_rule("went_back " + id);
+    const auto [known, fresh] = ended_as_cancelled_.try_emplace(id, ending.cancelled);
+    if (known->second != ending.cancelled) report_violation("went_back " + id);
+    if (ending.cancelled != effective_cancellation_time(id).has_value())
+      report_violation("went_back " + id);
     for (std::uint32_t task = 0; !ending.cancelled && task < spec.tasks; ++task) {
-      if (!done_.contains(id + "/" + std::to_string(task))) break_rule("not_done " + id);
+      if (!done_tasks_.contains(id + "/" + std::to_string(task)))
+        report_violation("not_done " + id);
     }
   }
 }
@@ -95,24 +97,27 @@
       const auto job = cluster.job_index.find(id);
       knows = job == cluster.job_index.end() || cluster.jobs[job->second]->cancelled;
     }
-    if (!knows) unknown_at_[id] = now_;
+    if (!knows) unknown_to_leader_at_[id] = now_;
   }
 }
 
-bool SimulatedCluster::could_return_machines(const std::string& id, double cancelled_at) const {
-  const double latest = cancelled_at + platform_.worker_timings.cancel_s;
-  const double listening = 2 * workers::max_heartbeat_delay_s(platform_.worker_timings);
-  const auto unknown = unknown_at_.find(id);
-  return leader_ && led_since_ + listening + kReturnTakes_s < latest &&
-         (unknown == unknown_at_.end() || unknown->second + kReturnTakes_s < latest);
+bool SimulatedCluster::could_have_returned_machines(const std::string& id,
+                                                    double cancelled_at) const {
+  const double deadline = cancelled_at + platform_.worker_timings.cancel_s;
+  const double observation_s = 2 * workers::max_heartbeat_delay_s(platform_.worker_timings);
+  const auto unknown = unknown_to_leader_at_.find(id);
+  return leader_ && led_since_ + observation_s + kMachineReturnDelay_s < deadline &&
+         (unknown == unknown_to_leader_at_.end() ||
+          unknown->second + kMachineReturnDelay_s < deadline);
 }
 
-std::optional<double> SimulatedCluster::falls(const std::string& id) const {
+std::optional<double> SimulatedCluster::effective_cancellation_time(const std::string& id) const {
   std::optional<double> at;
   const auto own = cancelled_at_.find(id);
   if (own != cancelled_at_.end()) at = own->second;
   for (const std::string& need : specs_.at(id).depends_on) {
-    if (const auto with = falls(need)) at = std::min(at.value_or(*with), *with);
+    if (const auto with = effective_cancellation_time(need))
+      at = std::min(at.value_or(*with), *with);
   }
   return at;
 }
--- a/test/simulated_machines.cpp
+++ b/test/simulated_machines.cpp
@@ -4,145 +4,151 @@
 
 namespace reachramp::test {
 
-void SimulatedCluster::cloud(std::uint64_t fencing_token, const CloudRequest& order) {
-  const bool answered =
-      leader_ && leader_->cluster().fencing_token == fencing_token && !chance(0.05);
-  if (order.kind == CloudRequest::Kind::scale_in) {
-    for (const std::string& name : order.scale_in_machines) machines_.erase(name);
-    if (answered) {
-      leader_->on_scale_in_completed(order.scale_in_machines, now_);
+void SimulatedCluster::send_cloud_request(std::uint64_t fencing_token,
+                                          const CloudRequest& request) {
+  const bool gets_response =
+      leader_ && leader_->cluster().fencing_token == fencing_token && !happens(0.05);
+  if (request.kind == CloudRequest::Kind::scale_in) {
+    for (const std::string& name : request.scale_in_machines) machines_.erase(name);
+    if (gets_response) {
+      leader_->on_scale_in_completed(request.scale_in_machines, now_);
     } else if (leader_) {
-      later(1, [this, fencing_token, order] { cloud(fencing_token, order); });
+      schedule(1, [this, fencing_token, request] { send_cloud_request(fencing_token, request); });
     }
     return;
   }
-  auto [at, fresh] = hires_.try_emplace(order.scale_out.name);
-  if (fresh) {
-    int alike = 0;
+  auto [at, is_new] = rentals_.try_emplace(request.scale_out.name);
+  if (is_new) {
+    int machines_in_pool = 0;
     for (const auto& [name, machine] : machines_) {
-      alike += now_ < machine.dead_at && machine.type == order.scale_out.type &&
-               machine.zone == order.scale_out.zone && machine.spot == order.scale_out.spot;
+      machines_in_pool += now_ < machine.dead_at && machine.type == request.scale_out.type &&
+                          machine.zone == request.scale_out.zone &&
+                          machine.spot == request.scale_out.spot;
     }
-    for (int i = alike; i < world_.machines_per_pool &&
-                        static_cast<int>(at->second.size()) < order.scale_out.count;
+    for (int i = machines_in_pool; i < options_.machines_per_pool &&
+                                   static_cast<int>(at->second.size()) < request.scale_out.count;
          ++i) {
       SimulatedMachine machine;
-      machine.name = "n-" + std::to_string(++made_);
-      machine.type = order.scale_out.type;
-      machine.zone = order.scale_out.zone;
-      machine.spot = order.scale_out.spot;
-      machine.made_at = now_;
-      machine.up_at = now_ + between(world_.boot_least_s, world_.boot_most_s);
-      machine.leased_at = machine.up_at;
+      machine.name = "n-" + std::to_string(++created_machines_);
+      machine.type = request.scale_out.type;
+      machine.zone = request.scale_out.zone;
+      machine.spot = request.scale_out.spot;
+      machine.created_at = now_;
+      machine.up_at = now_ + random_between(options_.min_boot_s, options_.max_boot_s);
+      machine.lease_renewed_at = machine.up_at;
       at->second.push_back(machine.name);
       machines_[machine.name] = machine;
     }
   }
-  cloud::ScaleOutResult hired;
-  hired.outcome = at->second.empty() ? cloud::CloudOutcome::no_capacity : cloud::CloudOutcome::ok;
-  hired.machines = at->second;
-  if (hired.machines.empty()) hires_.erase(at);
-  if (answered) {
-    later(world_.rental_answer_s, [this, fencing_token, hire = order.scale_out, hired] {
-      if (leader_ && leader_->cluster().fencing_token == fencing_token)
-        leader_->on_scale_out_completed(hire, hired, now_);
-    });
+  cloud::ScaleOutResult result;
+  result.outcome = at->second.empty() ? cloud::CloudOutcome::no_capacity : cloud::CloudOutcome::ok;
+  result.machines = at->second;
+  if (result.machines.empty()) rentals_.erase(at);
+  if (gets_response) {
+    schedule(options_.rental_response_delay_s,
+             [this, fencing_token, hire = request.scale_out, result] {
+               if (leader_ && leader_->cluster().fencing_token == fencing_token)
+                 leader_->on_scale_out_completed(hire, result, now_);
+             });
   } else {
-    later(1, [this, fencing_token, order] { cloud(fencing_token, order); });
+    schedule(1, [this, fencing_token, request] { send_cloud_request(fencing_token, request); });
   }
 }
 
-void SimulatedCluster::list() {
-  list_at_ = now_ + 2;
-  const double lag = between(0, 2 * platform_.cloud_limits.list_lag_s);
+void SimulatedCluster::list_machines() {
+  next_listing_at_ = now_ + 2;
+  const double lag = random_between(0, 2 * platform_.cloud_limits.list_lag_s);
   const double as_of = now_ - lag;
   std::vector<cloud::ListedMachine> listed;
   for (const auto& [name, machine] : machines_) {
-    if (machine.made_at > as_of || (machine.spot && machine.dead_at < as_of)) continue;
+    if (machine.created_at > as_of || (machine.spot && machine.dead_at < as_of)) continue;
     listed.push_back(
         {name, name, machine.type, machine.zone, machine.spot,
          machine.dead_at < as_of ? cloud::MachinePhase::failed : cloud::MachinePhase::running,
-         as_of - machine.made_at});
+         as_of - machine.created_at});
   }
   leader_->on_host_list(listed, now_, now_);
 }
 
-bool SimulatedCluster::alive(const SimulatedMachine& machine) const {
+bool SimulatedCluster::is_alive(const SimulatedMachine& machine) const {
   return now_ >= machine.up_at && now_ < machine.dead_at;
 }
 
 // Its tasks lose the time.
 void SimulatedCluster::hang(SimulatedMachine& machine, double seconds) {
   machine.hung_until = now_ + seconds;
-  for (auto& [key, task] : machine.tasks) task.until += seconds;
+  for (auto& [key, task] : machine.tasks) task.ends_at += seconds;
 }
 
-void SimulatedCluster::work(SimulatedMachine& machine) {
-  if (!alive(machine)) return;
-  if (chance(0.0005)) {
+void SimulatedCluster::update_machine(SimulatedMachine& machine) {
+  if (!is_alive(machine)) return;
+  if (happens(0.0005)) {
     machine.dead_at = now_;
     return;
   }
   if (now_ < machine.hung_until) return;
-  if (chance(0.0004)) machine.deaf_until = now_ + between(3, 60);
-  if (chance(0.0004)) machine.mute_until = now_ + between(3, 60);
-  if (chance(0.001)) {
-    hang(machine, between(1, chance(0.3) ? 70 : 25));
+  if (happens(0.0004)) machine.inbound_blocked_until = now_ + random_between(3, 60);
+  if (happens(0.0004)) machine.outbound_blocked_until = now_ + random_between(3, 60);
+  if (happens(0.001)) {
+    hang(machine, random_between(1, happens(0.3) ? 70 : 25));
     return;
   }
-  if (chance(0.0003)) {
+  if (happens(0.0003)) {
     machine.tasks.clear();
     machine.incarnation = 1;
     machine.sequence_number = machine.fencing_token = 0;
-    machine.leased_at = now_;
-    machine.awaiting.reset();
-    ++machine.life;
+    machine.lease_renewed_at = now_;
+    machine.awaited_sequence_number.reset();
+    ++machine.generation;
   }
-  if (now_ - machine.leased_at > platform_.worker_timings.lease_s) {
+  if (now_ - machine.lease_renewed_at > platform_.worker_timings.lease_s) {
     machine.tasks.clear();
     ++machine.incarnation;
-    machine.leased_at = now_;
+    machine.lease_renewed_at = now_;
   }
   for (auto& [key, piece] : machine.tasks) {
-    if (piece.state == "running" && now_ >= piece.until) {
+    if (piece.state == "running" && now_ >= piece.ends_at) {
       piece.state = "exited";
-      piece.cause = chance(0.03) ? "error" : "done";
-      if (piece.cause == "done") complete(key.first);
-      if (chance(0.03)) {
-        later(between(0, 3),
-              [this, id = key.first.substr(0, key.first.rfind('/'))] { cancel(id); });
+      piece.exit_reason = happens(0.03) ? "error" : "done";
+      if (piece.exit_reason == "done") complete_task(key.first);
+      if (happens(0.03)) {
+        schedule(random_between(0, 3),
+                 [this, id = key.first.substr(0, key.first.rfind('/'))] { cancel(id); });
       }
     }
   }
-  if (machine.awaiting && now_ >= machine.give_up_at) machine.awaiting.reset();
-  if (machine.awaiting || now_ < machine.report_at) return;
-  machine.report_at = now_ + between(0.75, 1.25);
-  machine.awaiting = ++machine.sequence_number;
-  machine.give_up_at = now_ + 4;
-  if (now_ < machine.mute_until || chance(0.05)) return;  // lost
+  if (machine.awaited_sequence_number && now_ >= machine.response_timeout_at)
+    machine.awaited_sequence_number.reset();
+  if (machine.awaited_sequence_number || now_ < machine.next_report_at) return;
+  machine.next_report_at = now_ + random_between(0.75, 1.25);
+  machine.awaited_sequence_number = ++machine.sequence_number;
+  machine.response_timeout_at = now_ + 4;
+  if (now_ < machine.outbound_blocked_until || happens(0.05)) return;  // lost
   const std::string name = machine.name;
   const double sent_at = now_;
   const workers::Heartbeat report =
-      workers::decode_heartbeat(wire::decode_map(wire::encode(report_of(machine))));
-  const int life = machine.life;
-  later(delay(), [this, name, life, report, sent_at] { receive(name, life, report, sent_at); });
-  if (chance(world_.kept_reports)) kept_.push_back(report);
+      workers::decode_heartbeat(wire::decode_map(wire::encode(make_report(machine))));
+  const int life = machine.generation;
+  schedule(random_message_delay(),
+           [this, name, life, report, sent_at] { deliver_report(name, life, report, sent_at); });
+  if (happens(options_.replayed_report_share)) report_copies_.push_back(report);
   // Copies come from seconds to well over a lease later; their answers reach nobody.
-  while (chance(0.05)) {
-    later(between(1, 30), [this, report] {
-      Leader* to = former_ && chance(0.5) ? former_.get() : leader_.get();
-      if (to != nullptr) to->on_heartbeat(report, recorded(*to, report, [](const Json&) {}), now_);
+  while (happens(0.05)) {
+    schedule(random_between(1, 30), [this, report] {
+      Leader* to = former_leader_ && happens(0.5) ? former_leader_.get() : leader_.get();
+      if (to != nullptr)
+        to->on_heartbeat(report, recording_responder(*to, report, [](const Json&) {}), now_);
     });
   }
 }
 
-void SimulatedCluster::complete(const std::string& name) {
+void SimulatedCluster::complete_task(const std::string& name) {
   const std::string id = name.substr(0, name.rfind('/'));
   const jobs::Spec& spec = specs_.at(id);
-  done_.insert(name);
+  done_tasks_.insert(name);
   if (spec.shape != jobs::Shape::gang) return;
   for (std::uint32_t task = 0; task < spec.tasks; ++task) {
-    done_.insert(id + "/" + std::to_string(task));
+    done_tasks_.insert(id + "/" + std::to_string(task));
   }
   for (auto& [other, machine] : machines_) {
     for (auto& [key, piece] : machine.tasks) {
@@ -153,11 +159,11 @@
   }
 }
 
-Json SimulatedCluster::report_of(const SimulatedMachine& machine) const {
+Json SimulatedCluster::make_report(const SimulatedMachine& machine) const {
   Json pieces = Json::array();
   for (const auto& [key, piece] : machine.tasks) {
     Json item{{"piece", key.first}, {"try", key.second}, {"phase", piece.state}};
-    if (!piece.cause.empty()) item["cause"] = piece.cause;
+    if (!piece.exit_reason.empty()) item["cause"] = piece.exit_reason;
     pieces.push_back(item);
   }
   return {{"host", machine.name},
@@ -172,47 +178,50 @@
           {"pieces", std::move(pieces)}};
 }
 
-void SimulatedCluster::receive(const std::string& name, int life, const workers::Heartbeat& report,
-                               double sent_at) {
+void SimulatedCluster::deliver_report(const std::string& name, int life,
+                                      const workers::Heartbeat& report, double sent_at) {
   // A former leader that has not noticed yet still gets some reports.
-  Leader* to = former_ && chance(0.5) ? former_.get() : leader_.get();
-  if (to == nullptr) return;
+  Leader* leader = former_leader_ && happens(0.5) ? former_leader_.get() : leader_.get();
+  if (leader == nullptr) return;
   const auto answer = [this, name, life, report, sent_at](const Json& body) {
-    if (body.is_null() || chance(0.04)) return;
-    later(delay(), [this, name, life, report, sent_at, body] {
-      execute(name, life, report, sent_at, body);
+    if (body.is_null() || happens(0.04)) return;
+    schedule(random_message_delay(), [this, name, life, report, sent_at, body] {
+      execute_response(name, life, report, sent_at, body);
     });
   };
-  const auto verdict = to->on_heartbeat(report, recorded(*to, report, answer), now_);
-  const bool accepted = verdict != controller::HeartbeatResult::deposed;
+  const auto result =
+      leader->on_heartbeat(report, recording_responder(*leader, report, answer), now_);
+  const bool accepted = result != controller::HeartbeatResult::deposed;
   if (!accepted)
-    record(BehaviourRecorder::kDeposed,
-           {to->cluster().fencing_token, name, report.sequence_number});
-  if (to == former_.get()) {
-    if (accepted) record_outbox(*former_, former_->advance(now_));
-    if (!accepted || chance(0.1)) former_.reset();
+    record(BehaviourRecorder::kHeartbeatToDeposedLeader,
+           {leader->cluster().fencing_token, name, report.sequence_number});
+  if (leader == former_leader_.get()) {
+    if (accepted) record_effects(*former_leader_, former_leader_->advance(now_));
+    if (!accepted || happens(0.1)) former_leader_.reset();
   }
 }
 
-void SimulatedCluster::execute(const std::string& name, int life, const workers::Heartbeat& report,
-                               double sent_at, const Json& body) {
+void SimulatedCluster::execute_response(const std::string& name, int life,
+                                        const workers::Heartbeat& report, double sent_at,
+                                        const Json& body) {
   const auto at = machines_.find(name);
-  if (at == machines_.end() || !alive(at->second)) return;
+  if (at == machines_.end() || !is_alive(at->second)) return;
   SimulatedMachine& machine = at->second;
   if (now_ < machine.hung_until) {
-    later(machine.hung_until - now_, [=, this] { execute(name, life, report, sent_at, body); });
+    schedule(machine.hung_until - now_,
+             [=, this] { execute_response(name, life, report, sent_at, body); });
     return;
   }
-  if (machine.awaiting != report.sequence_number || now_ >= machine.give_up_at ||
-      machine.incarnation != report.incarnation || machine.life != life ||
-      now_ < machine.deaf_until) {
+  if (machine.awaited_sequence_number != report.sequence_number ||
+      now_ >= machine.response_timeout_at || machine.incarnation != report.incarnation ||
+      machine.generation != life || now_ < machine.inbound_blocked_until) {
     return;
   }
-  machine.awaiting.reset();
+  machine.awaited_sequence_number.reset();
   const auto fencing_token = body.at("baton").get<std::uint64_t>();
   if (fencing_token < machine.fencing_token) return;
   machine.fencing_token = fencing_token;
-  machine.leased_at = sent_at;
+  machine.lease_renewed_at = sent_at;
   for (const Json& order : body.at("orders")) {
     const std::string verb = order.at("verb");
     const std::pair key{order.at("piece").get<std::string>(), order.at("try").get<std::uint64_t>()};
@@ -227,24 +236,24 @@
         piece->second = {"exited", "halted", 0};
       }
     } else if (!machine.tasks.contains(key)) {
-      start(machine, key);
+      start_task(machine, key);
     }
   }
 }
 
-void SimulatedCluster::start(SimulatedMachine& machine,
-                             const std::pair<std::string, std::uint64_t>& key) {
+void SimulatedCluster::start_task(SimulatedMachine& machine,
+                                  const std::pair<std::string, std::uint64_t>& key) {
   const std::string id = key.first.substr(0, key.first.rfind('/'));
   const jobs::Spec& spec = specs_.at(id);
   for (const auto& [name, other] : machines_) {
-    if (!alive(other)) continue;
+    if (!is_alive(other)) continue;
     for (const auto& [held, piece] : other.tasks) {
       if (held.first == key.first && piece.state != "exited") {
-        break_rule("ran_twice " + key.first);
+        report_violation("ran_twice " + key.first);
       }
       if (spec.single_zone && held.first.starts_with(id + "/") && piece.state != "exited" &&
           other.zone != machine.zone) {
-        break_rule("wrong_place " + key.first);
+        report_violation("wrong_place " + key.first);
       }
     }
   }
@@ -252,12 +261,12 @@
   const auto type = std::find_if(types.begin(), types.end(),
                                  [&](const auto& t) { return t.name == machine.type; });
   if ((machine.spot && !spec.allow_spot) || !jobs::fits_type(spec, *type)) {
-    break_rule("wrong_place " + key.first);
+    report_violation("wrong_place " + key.first);
   }
   for (const std::string& need : spec.depends_on) {
     const auto end = store_.items().find(jobs::end_key(need));
     if (end == store_.items().end() || jobs::decode_final_state(end->second.value).cancelled) {
-      break_rule("too_early " + key.first);
+      report_violation("too_early " + key.first);
     }
   }
   double used = 0;
@@ -270,10 +279,10 @@
     machine.tasks[key] = {"exited", "full", 0};
     return;
   }
-  const double runs = world_.task_run_s > 0            ? world_.task_run_s
-                      : spec.estimated_duration_s > 30 ? between(40, 80)
-                      : spec.checkpoint_interval_s > 0 ? between(10, 30)
-                                                       : between(1, 8);
+  const double runs = options_.task_duration_s > 0     ? options_.task_duration_s
+                      : spec.estimated_duration_s > 30 ? random_between(40, 80)
+                      : spec.checkpoint_interval_s > 0 ? random_between(10, 30)
+                                                       : random_between(1, 8);
   machine.tasks[key] = {"running", "", now_ + runs};
 }
 
--- a/test/simulation_test.cpp
+++ b/test/simulation_test.cpp
@@ -11,7 +11,7 @@
 namespace reachramp::test {
 namespace {
 
-jobs::Spec job(int number, std::uint64_t choice) {
+jobs::Spec make_job(int number, std::uint64_t choice) {
   jobs::Spec spec;
   spec.id = "j-" + std::to_string(number);
   spec.job_class = "c";
@@ -42,21 +42,21 @@
   SimulatedCluster simulation(seed);
   std::mt19937_64 random(seed + 1);
   for (int i = 0; i < 12; ++i) {
-    jobs::Spec spec = job(i, random() % 1000);
+    jobs::Spec spec = make_job(i, random() % 1000);
     for (int earlier = std::max(0, i - 5); earlier < i; ++earlier) {
       if (random() % 4 == 0) spec.depends_on.push_back("j-" + std::to_string(earlier));
     }
     simulation.submit(std::move(spec));
-    simulation.run(8);
+    simulation.run_for(8);
     if (i % 3 == 2) simulation.cancel("j-" + std::to_string(random() % (i + 1)));
   }
-  simulation.run(60);
-  simulation.calm();
-  simulation.run(400);
-  for (const std::string& rule : simulation.broken) RC_LOG() << rule << "\n";
-  RC_ASSERT(simulation.broken.empty());
-  RC_LOG() << simulation.unfinished();
-  RC_ASSERT(simulation.all_over());
+  simulation.run_for(60);
+  simulation.end_faults();
+  simulation.run_for(400);
+  for (const std::string& rule : simulation.violations) RC_LOG() << rule << "\n";
+  RC_ASSERT(simulation.violations.empty());
+  RC_LOG() << simulation.unfinished_jobs();
+  RC_ASSERT(simulation.all_jobs_ended());
   RC_ASSERT(simulation.settled());
 }
 
@@ -68,7 +68,7 @@
   SimulatedCluster simulation(seed);
   std::mt19937_64 random(seed + 1);
   for (int i = 0; i < 4; ++i) {
-    jobs::Spec spec = job(i, random() % 1000);
+    jobs::Spec spec = make_job(i, random() % 1000);
     spec.shape = jobs::Shape::array;
     spec.tasks = 2;
     spec.cpus = 1;
@@ -77,16 +77,16 @@
     simulation.submit(std::move(spec));
   }
   for (int round = 0; round < 2; ++round) {
-    simulation.run(18 + static_cast<double>(random() % 10));
-    simulation.refuse(static_cast<double>(random() % 7), 64);
-    simulation.run(80);
+    simulation.run_for(18 + static_cast<double>(random() % 10));
+    simulation.start_store_outage(static_cast<double>(random() % 7), 64);
+    simulation.run_for(80);
   }
-  simulation.calm();
-  simulation.run(300);
-  for (const std::string& rule : simulation.broken) RC_LOG() << rule << "\n";
-  RC_ASSERT(simulation.broken.empty());
-  RC_LOG() << simulation.unfinished();
-  RC_ASSERT(simulation.all_over());
+  simulation.end_faults();
+  simulation.run_for(300);
+  for (const std::string& rule : simulation.violations) RC_LOG() << rule << "\n";
+  RC_ASSERT(simulation.violations.empty());
+  RC_LOG() << simulation.unfinished_jobs();
+  RC_ASSERT(simulation.all_jobs_ended());
 }
 
 }  // namespace
