--- a/src/acquire/autoscaler.h
+++ b/src/acquire/autoscaler.h
@@ -52,8 +52,8 @@
   // Adds the time since the last call to the exposure of each spot pool that has machines, and
   // decays older reclaims and exposure.
   void update_exposure(const Cluster& cluster, double now);
-  // Records that the cloud did not provide all requested machines. The pool is not asked again for
-  // a pause that grows with the number of refusals in a row.
+  // Records that the cloud did not provide all requested machines. Nothing is requested from
+  // the pool during a pause that grows with the number of refusals in a row.
   void record_refusal(const Pool& pool, double now);
   // Resets the count of refusals after a request was filled.
   void reset_refusals(const Pool& pool);
@@ -84,7 +84,7 @@
   struct PoolHistory {
     std::deque<std::pair<double, double>> prices;  // time and spot price, oldest first
     double decayed_reclaims = 0;                   // each as a fraction of the pool's machines
-    double exposure_horizons = 0;                  // decayed time with machines in the pool
+    double exposure_horizons = 0;                  // time with machines in the pool, decayed
     double refused_until = 0;
     int refusals = 0;  // in a row
     int requested_machines = 0;
@@ -107,7 +107,8 @@
                                      double now) const;
   // The matrix of correlations between the spot prices of the pools.
   std::vector<std::vector<double>> price_correlations(const std::vector<Pool>& pools) const;
-  // The expected utility of each group's current machines, of the resource where it is lowest.
+  // For each group, the expected utility of its current machines for the kind of resource for which
+  // that is lowest.
   std::vector<double> lowest_utilities(const Cluster& cluster, double now,
                                        const std::vector<DemandGroup>& groups) const;
 
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -41,7 +41,7 @@
 struct Effects {
   std::optional<TransactionBatch> transaction;
   std::vector<CloudRequest> cloud_requests;
-  // A key whose revision tells whether a transaction was applied.
+  // A key to be read: its revision tells whether a transaction was applied.
   std::optional<std::string> verify_key;
   // Jobs whose records `end/<job>` are to be read.
   std::vector<std::string> read_job_ends;
@@ -49,8 +49,8 @@
   std::vector<std::string> probes;
   // Addresses of machines, each with the body to post to /orders.
   std::vector<std::pair<std::string, kv::Json>> urgent_stops;
-  // If not empty, all members are polled for the cancellations that they have confirmed: one window
-  // for each.
+  // If not empty, all members are polled for the cancellations that they have confirmed. Each
+  // member has one window: how far back its answer has to reach.
   std::vector<double> cancellation_poll_windows_s;
   bool step_down = false;
   // List all jobs again, because a change that the watch reported could not be applied.
@@ -81,7 +81,7 @@
   bool all_upgraded = false;
   // When revisions were assigned, as far as this node has observed it.
   kv::RevisionClock revision_clock;
-  // The same, as earlier leaders have stored it.
+  // The record in which an earlier leader has stored its revision clock.
   std::optional<kv::Entry> stored_revision_clock;
 };
 
@@ -115,8 +115,8 @@
   // Notes that no node runs a version any more that can read only records which list their tasks
   // one by one.
   void on_all_upgraded() { all_upgraded_ = true; }
-  // All changes of jobs that were stored before `requested_at` have been passed in. They count as
-  // known if all of them could be applied.
+  // Notes that all changes of jobs that were stored before `requested_at` have been passed in. They
+  // count as known if all of them could be applied.
   void on_jobs_read_until(double requested_at);
   // Applies the cancellations that members have confirmed to users; each digest covers one member.
   void on_cancellation_digests(const std::vector<leadership::CancellationDigest>& digests,
@@ -248,9 +248,9 @@
   zones::ZoneMonitor zones_;
   double zones_stored_at_ = -1e9;
   drains::Drains drains_;
-  // Why the current record could not be applied, as last logged.
+  // Why the current drain rules could not be applied, as last logged.
   std::string last_drain_error_;
-  // Revision of the record that is in force.
+  // Revision of the drain rules that are in force.
   std::uint64_t drains_revision_ = 0;
   // A rolling upgrade may be in progress; true until the claims show otherwise.
   bool rolling_upgrade_ = true;
@@ -290,13 +290,15 @@
   // report older versions of their headers.
   std::map<std::string, std::uint64_t> recently_ended_jobs_;
   std::uint64_t watched_revision_ = 0;  // newest revision that the watch has reported
-  // Requests to rent machines that wait until their pool record is stored, and then when each
-  // unanswered request was made.
+  // Requests to rent machines that wait until their pool record is stored, each with the record's
+  // key; and when each request that has no response yet was made, by request name.
   std::vector<std::pair<std::string, cloud::ScaleOutRequest>> scale_outs_awaiting_record_;
   std::map<std::string, double> scale_out_requested_at_;
   std::uint64_t scale_out_count_ = 0;
   double leader_since_;
-  double listening_since_;  // `leader_since_`, or when this process was last suspended
+  // The end of this process's last suspension, as detected; before any, `leader_since_`. Heartbeats
+  // that were sent before then may have been missed.
+  double listening_since_;
   double advanced_at_;
   leadership::ReadFreshness freshness_;
   bool all_job_changes_applied_ = true;  // every reported change has been applied
--- a/src/controller/obsolete_records.h
+++ b/src/controller/obsolete_records.h
@@ -10,7 +10,7 @@
 
 namespace reachramp::controller {
 
-// The key prefixes under which all records are stored that can be obsolete at some level.
+// The key prefixes of all records that can be obsolete at some level.
 std::vector<std::string> obsolete_record_prefixes();
 
 // Whether the record is obsolete at `level`. A migration to that level is complete only when no
--- a/src/controller/transaction_builder.h
+++ b/src/controller/transaction_builder.h
@@ -31,8 +31,8 @@
 
 // A transaction and what it contains, so that its result can be applied to the cluster.
 struct TransactionBatch {
-  // A task range record in the transaction. `change_count` is that of the range when it was
-  // encoded.
+  // A task range record in the transaction. `change_count` is the range's `version` when the record
+  // was encoded.
   struct WrittenTaskRange {
     TaskRangeRef ref;
     std::string job;
@@ -56,8 +56,8 @@
   std::vector<RecordWrite> record_writes;
 };
 
-// The result of a batch for the leader. retry: not applied, to be built again. uncertain: whether
-// the batch was applied, or why not, is unknown.
+// What the result of a batch means for the leader. retry: not applied, to be built again.
+// uncertain: whether the batch was applied, or why not, is unknown.
 enum class BatchOutcome { applied, retry, too_large, deposed, uncertain };
 
 // Owns the queued writes of records and the known revisions of their keys. Used by the leader's
--- a/src/placement/available_hosts.h
+++ b/src/placement/available_hosts.h
@@ -1,7 +1,7 @@
 // An index of the machines that can get tasks, built for one placement pass. Machines are grouped,
 // and each group has an upper bound of the free resources of its machines, so that a job skips the
-// groups that cannot hold one of its tasks. Before, with hundreds of waiting jobs and machines,
-// checking every machine for every job took most of the leader's time.
+// groups that cannot hold one of its tasks. Checking every machine for every job took most of the
+// leader's time with hundreds of waiting jobs and machines.
 #pragma once
 
 #include <map>
@@ -25,8 +25,9 @@
   std::vector<Index> hosts_with_partial_room(const Job& job);
   // Leaves these machines out of all later results.
   void exclude(const std::vector<Index>& hosts);
-  // Whether the usable machines, if they were empty, would hold that many tasks of the job in the
-  // zone (kNone: in any zone).
+  // Whether the usable machines of the zone, if they were empty, would hold `tasks` tasks of the
+  // job. For zone kNone, the machines of all zones that the job may use count together, or, if the
+  // job must stay in a single zone, those of the zone with the most room.
   bool could_hold_when_empty(const Job& job, Index zone, std::uint32_t tasks) const;
   // Recomputes the bounds of all groups. Must be called after attempts have ended.
   void refresh_bounds();
--- a/src/placement/cluster.h
+++ b/src/placement/cluster.h
@@ -108,7 +108,7 @@
   std::vector<bool> done;  // by task
   std::uint32_t done_count = 0;
   std::map<std::uint32_t, Attempt> attempts;            // by task
-  std::map<std::uint32_t, Interruption> interruptions;  // by task; only those under this leader
+  std::map<std::uint32_t, Interruption> interruptions;  // by task; only of this leader's term
   // For a gang, the number of its newest attempt. For other shapes, the highest attempt number that
   // ended before its task was done. New attempts get higher numbers, so no task reuses a number.
   std::uint64_t last_attempt = 0;
@@ -183,9 +183,9 @@
   }
 };
 
-// An attempt as a worker's heartbeat names it. `Host::exited_tasks` holds those that have exited
-// and are still listed, `Host::orphaned_tasks` those that run without an attempt in the cluster
-// model.
+// Identifies an attempt that a worker lists in its heartbeat. `Host::exited_tasks` holds attempts
+// that have exited and are still listed, `Host::orphaned_tasks` attempts that run on the machine
+// but are not in the cluster model.
 struct ExitedTask {
   std::string job;
   std::uint32_t task = 0;
@@ -217,11 +217,12 @@
   double first_known_at = 0;             // when the leader learned of the machine
   double rented_at = 0;                  // when billing began; estimated
   double last_heartbeat_at = -1;         // negative until the first heartbeat
-  std::uint64_t incarnation = 0;         // session of the worker
-  std::uint64_t sequence_number = 0;     // of the newest heartbeat
-  bool acknowledged_token = false;       // the worker has seen this leader's fencing token
-  double reclaim_at = kNever;            // when the cloud takes the machine back
-  Resources free;                        // what neither attempts nor reserved tasks take
+  // The worker's incarnation: 1 at first, incremented each time its lease expires; 0: unknown.
+  std::uint64_t incarnation = 0;
+  std::uint64_t sequence_number = 0;  // of the newest heartbeat in the incarnation
+  bool acknowledged_token = false;    // the worker has seen this leader's fencing token
+  double reclaim_at = kNever;         // when the cloud takes the machine back
+  Resources free;                     // what neither attempts nor reserved tasks take
   std::set<TaskRef> attempts;
   std::set<std::string> cached_images;
   std::vector<ExitedTask> exited_tasks;
@@ -231,14 +232,16 @@
   // attributed to the machine.
   std::map<std::string, std::uint32_t> failures_by_job;
   bool quarantined = false;
-  // The first heartbeat of the worker's current session, and the last response to the session.
+  // When the first heartbeat of the worker's current incarnation arrived, and when the last
+  // response was sent to this incarnation.
   double incarnation_started_at = 0;
   double last_response_at = -1e9;
-  // Consecutive responses that had no visible effect on the worker's heartbeats, and since when the
-  // worker is therefore considered unable to receive responses (negative: it is not).
+  // How many signs in a row the heartbeats have shown that responses do not reach the worker.
   std::uint32_t ignored_responses = 0;
   // The newest heartbeat lacks a task whose start an earlier response carried.
   bool report_missed_start = false;
+  // Since when the worker is considered unable to receive responses, because of
+  // `ignored_responses`; negative: it is not.
   double unreachable_since = -1;
   // Known only from a heartbeat without this leader's fencing token. The heartbeat may be a delayed
   // copy from a machine that no longer exists.
@@ -256,7 +259,7 @@
   bool operator==(const Pool& other) const = default;
 };
 
-// The resources for which teams have limits and guarantees.
+// Amounts of the resources for which teams have limits and guarantees.
 struct Usage {
   double cpus = 0;
   double gpus = 0;
@@ -311,8 +314,10 @@
   const cloud::MachineType* machine_type(Index type) const {
     return type < machine_types_.size() ? machine_types_[type] : nullptr;
   }
+  // The catalog entry of the machine's type, or null if the catalog does not list the type.
   const cloud::MachineType* type_of(const Host& host) const { return machine_type(host.type); }
 
+  // The format in which task records are written.
   jobs::TaskRecordFormat format() const { return format_; }
   // Writes task records in the compact format from now on, with the task ranges of that format. A
   // stored legacy record stays valid; it is replaced when one of its tasks changes.
@@ -324,6 +329,7 @@
   double max_value_kb() const { return limits_.value_kb; }
   // The store key of the job's task range with this index, in the current format.
   std::string task_range_key(const Job& job, std::size_t range) const;
+  // Encodes a task record in the current format.
   jobs::Json encode_task_range(const jobs::TaskRangeRecord& record) const;
   // Whether the task's record stays within the store's value limit with this placement added.
   bool record_has_room(Index job, std::uint32_t task, std::uint64_t attempt, Index host) const;
@@ -338,8 +344,8 @@
   Job* find_job(const std::string& id);  // null if there is none
   // Returns the index of the machine and adds the machine if it is unknown.
   Index add_host(const std::string& name, double now);
-  // Sets the type, zone and price of a machine that was known by name only, as machines in the task
-  // records of earlier leaders are. No effect if they are known.
+  // Sets the type, zone and price of a machine of which only the name was known, for example from
+  // an earlier leader's task record. No effect if they are known.
   void set_host_type(Index index, const std::string& type, const std::string& zone, bool spot);
   // Removes a machine that certainly no longer exists and ends the attempts on it.
   void remove_host(Index index, double now);
@@ -384,8 +390,8 @@
   std::uint32_t next_pending_task(Job& job, std::uint32_t from) const;
   // Ends the job's stopping attempts whose start was never sent to a worker.
   void end_unsent_attempts(Index job, double now);
-  // Marks the job's task ranges dirty whose stored record is not newer than the revision. Returns
-  // true if there are none.
+  // Marks each task range of the job as dirty whose stored record is not newer than the revision.
+  // Returns true if there are none.
   bool rewrite_older_records(Index job, std::uint64_t revision, double now);
   // Ends the attempts of the task range whose placement is not in the store and whose start was not
   // sent.
@@ -406,8 +412,8 @@
   // Whether one task of the job takes more than half of a machine of the type.
   bool takes_over_half(const Job& job, Index type) const;
 
-  // An upper bound of the bytes that a placement on the machine adds to its task record, given the
-  // record's other placements on the same machine.
+  // An upper bound of the bytes that placing the task on the machine adds to the record of its task
+  // range, given the record's other placements on the same machine.
   std::size_t added_record_bytes(Index job, std::uint32_t task, std::uint64_t attempt,
                                  const Host& host) const;
   // Whether the range's record with `extra_bytes` more stays within the store's value limit.
--- a/src/placement/plan.h
+++ b/src/placement/plan.h
@@ -1,5 +1,4 @@
-// Placement: assigns pending tasks to machines, first fit. The result depends on the cluster model
-// and the time only.
+// Placement: assigns pending tasks to machines, first fit.
 #pragma once
 
 #include "placement/preempt.h"
@@ -14,8 +13,9 @@
 // covers machines that have not sent a heartbeat to the new leader yet.
 bool is_expected_to_report(const Cluster& cluster, const Host& host, double now);
 
-// Whether the job's tasks fit on machines of the type at this price and the type is not reserved
-// for larger tasks. The zone is not checked.
+// Whether the job may run on machines of the type that are rented at spot price (`spot`) or at
+// ordinary price: it accepts that price, its tasks fit, and the type is not reserved for larger
+// tasks. The zone is not checked.
 bool may_run_on(const Cluster& cluster, const Job& job, Index type, bool spot);
 // Whether the job may run in the zone.
 bool is_zone_allowed(const Job& job, Index zone);
@@ -27,8 +27,9 @@
 // has had a task, so that it is returned if no task takes it.
 bool try_backfill(Cluster& cluster, Index host);
 
-// The share of the cores that a team can use which its longest-waiting jobs get before other jobs
-// of the same rank, that is of the same guarantee and priority.
+// Of the cores that a team can use, the share that its longest-waiting jobs get before other jobs
+// of the same rank, that is, with the same priority and equally within or beyond the team's
+// guarantee.
 inline constexpr double kLongWaitingShare = 0.1;
 
 // Runs one placement pass: places pending tasks, marks reclaimed and quarantined machines as
