--- a/src/acquire/autoscaler.cpp
+++ b/src/acquire/autoscaler.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr int kMaxMachinesPerRequest = 50;  // the cloud's limit
-// After a refused request a pool is not asked for this long; the pause doubles with each refusal in
-// a row, up to kMaxRefusalsCounted refusals.
+// After a refused request, nothing is requested from the pool for this long. The pause doubles with
+// each further refusal in a row, up to kMaxRefusalsCounted refusals.
 constexpr double kFirstRefusalPause_s = 10;
 constexpr int kMaxRefusalsCounted = 3;
 // The time constant of the exponential decay of past reclaims and exposure.
@@ -24,7 +24,7 @@
 // The cloud bills each machine for at least this long.
 constexpr double kMinBilledTime_s = 60;
 // An idle machine is kept for this long, because work that arrives in the meantime needs no boot.
-// In measurements over four days, 20 s and 3 s cost more.
+// Both 3 s and 20 s cost more.
 constexpr double kMinIdleBeforeReturn_s = 8;
 
 double hourly_machine_price(const cloud::MachineType& type, bool spot) {
@@ -232,9 +232,9 @@
       pools = spot_only;
     }
     // Deviation from the design: ordinary machines are rented for work that may not use spot
-    // machines. For other work they are rented for what the current machines would not hold even if
-    // none were reclaimed, as happens when spot pools refuse requests. So reclaims are left out
-    // here.
+    // machines. For other work they are rented only for the tasks for which the current and the
+    // chosen spot machines would have no room even if none were reclaimed, as happens when spot
+    // pools refuse requests. Reclaim probabilities are therefore 0 here.
     for (std::size_t i = 0; i < pools.size(); ++i) {
       pools[i].reclaim_probability = 0;
       pools[i].max_new_machines = !group.pools[i].spot && may_request(group.pools[i], now) &&
--- a/src/acquire/demand.cpp
+++ b/src/acquire/demand.cpp
@@ -23,7 +23,8 @@
 // Users' estimates of a task's duration are often wrong by half and are multiplied by this.
 constexpr double kEstimateFactor = 1.5;
 // For a job that cannot be in time any more, ordinary machines are rented only for as many parallel
-// tasks as it takes to end within this many horizons. Spot machines have to do for the rest.
+// tasks as are needed for the job to end within this many horizons. Its other tasks get spot
+// machines only.
 constexpr double kMaxLateWork_horizons = 4;
 // An array that needs more than this share of the fleet's cores gets only as many ordinary machines
 // as a late job. Service-level objectives count jobs, and a large job costs as much as many small
@@ -94,7 +95,8 @@
   return boot_s;
 }
 
-// Calls `visit` for each pool in the zone (kNone: in any zone) whose machines the job may run on.
+// Calls `visit` for each pool in the zone (kNone: in any zone) with a machine type that a task of
+// the job fits on and a price that the job allows. Reservations for larger tasks are not checked.
 template <class Visit>
 void for_each_pool(const Cluster& cluster, const Job& job, Index only_zone, Visit visit) {
   for (Index type = 0; type < job.fits_type.size(); ++type) {
@@ -240,8 +242,8 @@
     group.mean_task_resources += job.resources_per_task.scaled(tasks_at_once);
     group.tasks += tasks_at_once;
     // Ordinary machines are rented for all parallel tasks of a job that may not use spot machines,
-    // or that can be in time (or has no time to meet) without too large a share of the fleet. For
-    // other jobs they are rented for as many tasks as end the job within kMaxLateWork_horizons.
+    // or that can be in time (or has no latest start time) without too large a share of the fleet.
+    // For other jobs they are rented for as many tasks as end the job within kMaxLateWork_horizons.
     const bool in_time =
         job.latest_starts.empty() ||
         (job.next_latest_start(now + boot_s) != placement::kNever &&
--- a/src/acquire/tributary.cpp
+++ b/src/acquire/tributary.cpp
@@ -98,7 +98,7 @@
     pool.max_new_machines -= machines;
     return pool;
   };
-  // The sum over all resources of what is missing to the target utility.
+  // The sum, over all kinds of resources, of how far the utility is below the target.
   const auto unmet = [&](const Amounts& values) {
     double sum = 0;
     for (const double value : values) sum += std::min(value, parameters.target_utility);
--- a/src/controller/catalog_cache.cpp
+++ b/src/controller/catalog_cache.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-// A process that has just started needs the catalog before it can have fetched it from the cloud.
+// A process that has just started needs the catalog before the cloud has returned it.
 // Without the stored copy, jobs were answered 503 for half a second each time all nodes restarted
 // together.
 std::shared_ptr<const cloud::Catalog> CatalogCache::get() {
--- a/src/controller/cloud_requests.cpp
+++ b/src/controller/cloud_requests.cpp
@@ -22,7 +22,7 @@
 }
 
 // Returns are merged into one call. With one call per machine, returning the fleet of a large site
-// took a minute and a half, during which it was charged.
+// took a minute and a half, during which the cloud charged for the machines.
 QueuedCloudRequest take_next_request(std::deque<QueuedCloudRequest>& waiting) {
   const auto first = std::min_element(waiting.begin(), waiting.end(),
                                       [](const QueuedCloudRequest& a, const QueuedCloudRequest& b) {
--- a/src/controller/heartbeat_router.cpp
+++ b/src/controller/heartbeat_router.cpp
@@ -33,8 +33,8 @@
     if (origin == HeartbeatOrigin::final_hop) break;
     if (auto reply = forward(status, message, is_from_worker, deadline)) return *reply;
     // A leader that has failed is replaced well within the time that a worker waits. A worker that
-    // is rejected tries the next node, which may be down as well: workers lost their leases to two
-    // dead nodes in a row.
+    // is rejected tries the next node, which may be down as well: workers lost their leases when
+    // two nodes that they tried in a row were down.
     const double remaining_s = deadline - steady_now();
     if (is_leader || status.isolated || !is_from_worker || remaining_s <= 0) break;
     election_.wait_for_change(status, std::min(remaining_s, kForwardRetryInterval_s));
@@ -46,10 +46,10 @@
                                                        const wire::Json& message,
                                                        bool allow_intermediate_node,
                                                        double deadline) {
-  // This node must not respond any longer, or has stepped down because it is isolated. If only the
-  // key-value store is unreachable, other nodes know the leader, so this node's workers need not
-  // move. If no node knows another leader, the heartbeat is rejected at once and the worker moves
-  // on.
+  // This node is the leader but must not respond now, or it has stepped down because it is
+  // isolated. If this node is only cut off from the key-value store, other nodes know the leader,
+  // so its workers need not move to another node. If no node knows another leader, the heartbeat is
+  // rejected at once and the worker tries the next node.
   if (status.fencing_token != 0 || status.isolated) {
     return forwarder_.forward("", message, allow_intermediate_node, deadline);
   }
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -21,7 +21,7 @@
 // How long a response to a heartbeat waits until the starts that it should carry are stored.
 constexpr double kMaxResponseDelay_s = 1.0;
 constexpr double kMaxPlanInterval_s = 0.5;
-// Each heartbeat requests a placement run, and with hundreds of machines one arrives every few
+// Each heartbeat requests a placement pass, and with hundreds of machines one arrives every few
 // milliseconds.
 constexpr double kMinPlanInterval_s = 0.1;
 constexpr double kCheckHostsInterval_s = 0.5;
@@ -32,12 +32,11 @@
 constexpr double kMaxJobsAge_s = 3.0;
 constexpr double kJobEndReadInterval_s = 1;
 constexpr double kRelistInterval_s = 2;
-// A sample of the revision clock may be later by this than the store's response that it was taken
-// from.
+// The store's response from which a sample of the revision clock was taken may have been in transit
+// for this long, so that the sample's time is too late by as much.
 constexpr double kMaxResponseTransit_s = 2;
-constexpr double kFirstUsageLogDelay_s =
-    // After this time in the term most machines have been heard from.
-    5;
+// After this time in the term, most machines have been heard from.
+constexpr double kFirstUsageLogDelay_s = 5;
 
 }  // namespace
 
@@ -88,11 +87,12 @@
 }
 
 // The staleness bound is checked for every response, because the process may have been suspended
-// before it. The worker's lease counts from when it sent the heartbeat, which is before `now`.
+// since the last check. The worker's lease counts from when it sent the heartbeat, which is before
+// `now`.
 bool Leader::check_may_respond(const HeartbeatResponder& responder, double now) {
   const bool may_answer = freshness_.may_answer(now);
   if (may_answer != std::exchange(was_responding_, may_answer)) {
-    spdlog::error("{}: all cancellations are known until {:.1f} s ago",
+    spdlog::error("{}: all cancellations up to {:.1f} s ago are known",
                   may_answer ? "responses to workers resumed" : "responses to workers suspended",
                   now - freshness_.cancellations_known_until());
   }
@@ -108,8 +108,8 @@
 }
 
 // Thousands of responses may be deferred while starts wait to be stored. They are checked again
-// only after a placement run, a stored record or a cancellation, or when the oldest has waited long
-// enough.
+// only after a placement pass, a stored record or a cancellation, or when the oldest has waited
+// long enough.
 void Leader::send_deferred_responses(double now) {
   const bool expired = !deferred_responses_.empty() &&
                        now >= deferred_responses_.front().deferred_at + kMaxResponseDelay_s;
--- a/src/controller/leader_hosts.cpp
+++ b/src/controller/leader_hosts.cpp
@@ -22,10 +22,11 @@
 constexpr double kReturnedHostRetention_s = 300;  // messages of a returned machine may arrive late
 constexpr double kStoreZonesInterval_s = 1;
 // A machine whose heartbeats arrive but that receives no responses is returned after this many
-// leases. Its tasks ended with the first one, and a one-way network fault may be repaired
-// meanwhile.
+// leases. Its tasks end when the first lease does; the rest is time in which a one-way network
+// fault may be repaired.
 constexpr double kUnreachableTimeoutLeases = 2;
-// When many machines are silent, a machine is returned after this many times the usual limit.
+// When many machines are silent, a machine is returned once it has been silent for this many times
+// the usual limit.
 constexpr double kPartitionSilenceFactor = 4;
 
 double silence_limit_s(const settings::WorkerTimings& workers) { return workers.lease_s * 1.1; }
@@ -84,8 +85,9 @@
   remove_unlisted_hosts(names, requested_at, now);
 }
 
-// Whether the machine is still listed long after its return, so that it must be returned again: it
-// may not be the machine that was returned, or it has come back.
+// Whether the machine is listed although it was returned so long before the list was requested that
+// the list cannot be out of date. The machine must then be returned again: another machine may have
+// the same name, or the machine has come back. If so, its time of return is set to `now`.
 bool Leader::is_listed_after_return(const std::string& name, double requested_at, double now) {
   double& returned_at = returned_hosts_.at(name);
   if (requested_at - returned_at <= 3 * platform_.cloud_limits.list_lag_s + 5) return false;
@@ -110,8 +112,8 @@
   }
 }
 
-// A list reflects a time at most twice the lag ago. A machine that existed before then and is not
-// listed is gone.
+// A list shows the machines as they were at most twice the lag before the list was requested. A
+// machine that was known before then and is not listed is gone.
 void Leader::remove_unlisted_hosts(const std::set<std::string>& listed, double requested_at,
                                    double now) {
   const double list_lag_s = platform_.cloud_limits.list_lag_s;
@@ -234,8 +236,8 @@
 }
 
 // Detects machines whose heartbeats arrive but that receive no responses: they get no new tasks and
-// are returned after a while. If many are affected at once, the cause is the network or our own
-// delay, and none is marked.
+// are returned after a while. If many are affected at once, the cause is the network or a delay
+// of this process, and none is marked.
 void Leader::detect_unreachable_hosts(double now) {
   int up = 0, unreachable = 0;
   for (const auto& host : cluster_.hosts) {
@@ -306,10 +308,10 @@
 const char* Leader::reason_to_scale_in(Index index, bool many_are_silent, double now) const {
   const Host* host = cluster_.hosts[index].get();
   if (host == nullptr || host->phase == HostPhase::terminating) return nullptr;
-  // Machines of a zone that is silent as a whole are left to zones::ZoneMonitor, and their time
-  // counts anew when the zone is heard again. When each machine was judged by itself, a whole zone
-  // was returned within seconds: heartbeats are staggered, so less than a third of all machines was
-  // silent at any one time.
+  // Machines of a zone that is silent as a whole are left to zones::ZoneMonitor, and the time of
+  // their silence counts anew once the zone is heard from again. When each machine was judged by
+  // itself, a whole zone was returned within seconds: heartbeats are staggered, so less than a
+  // third of all machines was silent at any one time.
   const bool has_zone = host->zone != kNone;
   const zones::ZoneState zone = has_zone ? zones_.state(host->zone) : zones::ZoneState::healthy;
   if (zone == zones::ZoneState::suspected || zone == zones::ZoneState::lost) return nullptr;
--- a/src/controller/leader_schema.cpp
+++ b/src/controller/leader_schema.cpp
@@ -34,8 +34,9 @@
   }
 }
 
-// The write may share a transaction with others. These are then still in the form of the level
-// before, and the transaction's condition on the level's revision covers both.
+// The write may share a transaction with writes of other records, which are still in the form of
+// the previous level. This is safe, because the transaction is conditional on the revision of the
+// level's record.
 void Leader::write_schema(const schema::StoredSchema& to,
                           std::vector<std::pair<std::string, std::uint64_t>> preconditions) {
   if (transaction_builder_.is_write_pending(schema::kLevelKey)) return;
@@ -89,8 +90,8 @@
 // Removes an obsolete record: a task range record once newer records hold all its content, any
 // other at once.
 void Leader::migrate_obsolete_record(const std::string& key, std::uint64_t revision, double now) {
-  // Nodes write this record, not the leader, and none does so below its level, so it is still as it
-  // was read.
+  // The record of the drain rules is written by nodes, not by the leader, and by no node while the
+  // schema level is below kDrains, so the record has not changed since it was read.
   if (key == drains::kPolicyKey) transaction_builder_.note_stored(key, revision);
   // The read may be older than what this leader has stored since.
   const auto task_range = jobs::parse_task_range_key(key);
--- a/src/controller/leader_snapshot_loader.cpp
+++ b/src/controller/leader_snapshot_loader.cpp
@@ -10,8 +10,8 @@
   if (!tasks) return std::nullopt;
   auto pools = list_all(store_, "pool/");
   if (!pools) return std::nullopt;
-  // The order matters: from the read of the schema level on, leaders' records are stored only with
-  // our fencing token.
+  // Keep this order. From the read of the schema level on, a level is stored only with this
+  // leader's fencing token, so the level cannot change without this leader.
   for (const auto& [key, into] : {std::pair{kCatalogKey, &snapshot.catalog},
                                   std::pair{schema::kLevelKey, &snapshot.stored_schema},
                                   std::pair{shares::kSharesKey, &snapshot.shares},
--- a/src/controller/leader_test.cpp
+++ b/src/controller/leader_test.cpp
@@ -549,9 +549,9 @@
   EXPECT_EQ(returned, 3) << "returned in the end";
 }
 
-// A simulated day of our own showed this fault: a zone was cut off, and its machines exceeded the
-// silence limit one by one because their heartbeats are staggered. All 245 were returned within
-// seconds, since less than a third of all machines was silent at any one time.
+// Found in a simulated day: a zone was cut off, and its machines exceeded the silence limit one by
+// one because their heartbeats are staggered. All 245 were returned within seconds, since less than
+// a third of all machines was silent at any one time.
 TEST_F(LeaderTest, ASilentZoneIsNotReturnedMachineByMachine) {
   Leader leader = make_leader(snapshot({job_entry("j-1", 80)}));
   const auto send_heartbeat_from_zone = [&](int machine, const char* zone, double now) {
@@ -712,8 +712,8 @@
 
 // Incident inc-692f: after a job's end was stored, the watch reported a header from before it. The
 // job was added again to the leader's memory, every transaction with it failed, and nothing was
-// stored for the rest of the day; a job that depended on a cancelled one stayed "pending"
-// (orphaned).
+// stored for the rest of the day; a job that depended on a cancelled one stayed "pending",
+// which the simulated cluster reports as "orphaned".
 TEST_F(LeaderTest, AnOldHeaderAfterItsEndDoesNotAddAJobAgain) {
   Leader leader = make_leader(snapshot({job_entry("j-1", 1, true), job_entry("j-2", 1)}));
   ASSERT_TRUE(leader.advance(1).transaction);
@@ -832,8 +832,9 @@
   EXPECT_LT(writes(1), 25u);
 }
 
-// The first record in the finer partition of a job's tasks is written beside the older one, which
-// stays until the job ends. A reader of both gets every task's placement and completion.
+// When a job's tasks are divided into smaller ranges, the first record of a smaller range is
+// written beside the older record, which stays until the job ends. A reader of both records finds
+// the placement and the completion of every task.
 TEST_F(LeaderTest, RecordsAreRepartitionedOneByOneWithoutLoss) {
   settings::Platform p = platform();
   p.store_limits.value_kb = 4;
--- a/src/controller/leader_transactions.cpp
+++ b/src/controller/leader_transactions.cpp
@@ -100,8 +100,8 @@
   }
 }
 
-// The batch was not applied and cannot be as it is. First retry with fewer writes, then without the
-// records that it consists of.
+// The batch was not applied and cannot be applied as it is. The next batches have fewer writes; if
+// this one already had as few as possible, they leave out its records for a while.
 void Leader::on_batch_too_large(const TransactionBatch& batch, double now) {
   if (batch.transaction.writes.size() > kMinTransactionWrites) {
     max_writes_ = kMinTransactionWrites;
@@ -111,8 +111,8 @@
   max_writes_ = platform_.strictest_store_limits().txn_ops;
 }
 
-// Cancellations cause single conflicts. This many in a row mean that our copy of some header is
-// wrong, and then no transaction would ever succeed again.
+// Cancellations cause single conflicts. kMaxConsecutiveConflicts in a row mean that this leader's
+// copy of some header is wrong, and then no transaction would ever succeed again.
 void Leader::on_batch_rejected(Outcome outcome, double now) {
   transaction_.note_failure(now);
   if (outcome == Outcome::conflict && ++consecutive_conflicts_ >= kMaxConsecutiveConflicts) {
--- a/src/controller/leader_usage.cpp
+++ b/src/controller/leader_usage.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-// Limits what a new leader cannot know: the age of jobs comes out too small by at most this much,
-// and by the time without a leader.
+// A new leader underestimates the age of jobs by at most this interval plus the time without a
+// leader.
 constexpr double kStoreRevisionClockInterval_s = 5;
 constexpr double kLogUsageInterval_s = 60;
-constexpr std::size_t kMaxLoggedWaitingJobs =
-    // How many jobs are logged, of those that have waited longest, each with the reason.
-    3;
+// How many jobs are logged, of those that have waited longest, each with the reason.
+constexpr std::size_t kMaxLoggedWaitingJobs = 3;
 constexpr double kStoreUsageInterval_s = 30;
 constexpr double kUpdateUsageInterval_s = 1;
 
 }  // namespace
 
-// Writes the revision clock every few seconds while there are jobs, whose ages it gives.
+// Writes the revision clock every few seconds while there are jobs: their ages are computed from
+// it.
 void Leader::store_revision_clock(double now) {
   if (!schema::has_level(schema_, schema::kTimeline) ||
       now - revision_clock_stored_at_ < kStoreRevisionClockInterval_s ||
--- a/src/controller/pending_transaction.cpp
+++ b/src/controller/pending_transaction.cpp
@@ -10,8 +10,9 @@
 namespace {
 
 constexpr double kVerificationRetryDelay_s = 0.5;
-// After a failure the next attempt waits for the delay times the number of consecutive failures, of
-// which at most the maximum beside the delay counts.
+// After a failure, the next attempt waits for the delay times the number of consecutive failures,
+// of which at most the maximum number of delays counts. kUnansweredDelay_s applies to attempts
+// without an answer, kFailureDelay_s to batches that were rejected.
 constexpr double kUnansweredDelay_s = 0.3;
 constexpr int kMaxUnansweredDelays = 5;
 constexpr double kFailureDelay_s = 0.1;
--- a/src/controller/server.cpp
+++ b/src/controller/server.cpp
@@ -51,9 +51,9 @@
   }
 }
 
-// The listeners are opened first. A process that cannot open them is a second one with this node's
-// name, or too few ports are free; it must not have sent anything to the key-value store under this
-// name.
+// The listeners are opened first. If that fails, too few ports are free, or another process with
+// this node's name is running; in that case, this process must not have sent anything to the
+// key-value store under that name.
 void Server::run() {
   wire::ConnectionLimiter connections(
       wire::max_connections_within({platform_.fd_limit, platform_.ram_mb, platform_.thread_limit}));
--- a/src/controller/transaction_builder.cpp
+++ b/src/controller/transaction_builder.cpp
@@ -39,8 +39,8 @@
 
 // The task range records to write next: first those that starts wait for, most starts first, then
 // those with task ends that have waited long. Until an end is written it is not lost, because the
-// worker keeps listing it. Most of these records are never written, because the end of their job
-// comes first.
+// worker keeps listing the ended task. Most records that contain only ends are never written,
+// because the end of their job comes first.
 std::vector<TaskRangeRef> task_ranges_by_urgency(const Cluster& cluster, double now) {
   std::vector<std::tuple<std::uint32_t, double, TaskRangeRef>> candidates;
   for (const TaskRangeRef& ref : cluster.dirty_task_ranges) {
@@ -270,8 +270,9 @@
   }
 }
 
-// A job header that has changed was cancelled by its user; the watch will report the new one. A
-// queued write with a failed precondition is dropped, and the code that queued it decides again.
+// If a job header has changed, the job was cancelled by its user; the watch will report the new
+// header. A queued write with a failed precondition is dropped, and the code that queued it decides
+// again.
 BatchOutcome TransactionBuilder::on_conflict(const std::vector<std::string>& failed_keys,
                                              double now) {
   bool is_explained = !failed_keys.empty();
--- a/src/controller/write_budget.cpp
+++ b/src/controller/write_budget.cpp
@@ -8,10 +8,12 @@
 
 namespace {
 
-// The rest is left for the writes by which other nodes accept and cancel jobs.
+// The leader's part of the write rate. The rest is left for the writes by which other nodes accept
+// and cancel jobs.
 constexpr double kLeaderRateFraction = 0.85;
 constexpr double kOptionalWritesMinLevel = 0.6;
-// Fewer throttled requests could be caused by a burst of submissions or cancellations.
+// The announced rate counts as enforced after this many throttled requests within
+// kThrottleWindow_s; fewer could be caused by a burst of submissions or cancellations.
 constexpr std::size_t kMinThrottlesForLowerRate = 3;
 constexpr double kThrottleWindow_s = 5;
 
--- a/src/placement/available_hosts.cpp
+++ b/src/placement/available_hosts.cpp
@@ -25,7 +25,7 @@
 
 AvailableHosts::AvailableHosts(const Cluster& cluster, double now)
     : cluster_(cluster), now_(now), excluded_(cluster.hosts.size()) {
-  // The key is in the order of preference of candidates().
+  // The key sorts the groups in the order in which candidates() prefers them.
   std::map<std::tuple<bool, double, Index, bool>, std::vector<Index>> hosts_by_kind;
   for (Index i = 0; i < cluster.hosts.size(); ++i) {
     const auto& host = cluster.hosts[i];
--- a/src/placement/cluster.cpp
+++ b/src/placement/cluster.cpp
@@ -37,8 +37,8 @@
   }
 }
 
-// Computed once per job and catalog, because each placement pass needs it for every pair of job and
-// machine.
+// Computed once per job and catalog, because each placement pass needs the fitting types for every
+// pair of job and machine.
 void Cluster::update_fitting_types(Job& job) const {
   job.fits_type.assign(machine_types_.size(), false);
   job.smallest_fitting_type = kNone;
--- a/src/placement/cluster_records.cpp
+++ b/src/placement/cluster_records.cpp
@@ -17,8 +17,8 @@
 }  // namespace
 
 // In the legacy format, the task ranges must be the same as those of version 0.2.0. That version
-// discards a record, with the done tasks and placements in it, if its number is not below the
-// number of records that it expects itself, and would run those tasks again.
+// computes how many records a job has. It discards a record whose number is not below that count,
+// with the done tasks and placements in the record, and would run those tasks again.
 std::size_t Cluster::tasks_per_range(jobs::Shape shape) const {
   const bool is_legacy = format_ == jobs::TaskRecordFormat::legacy;
   const double bytes_per_task = shape != jobs::Shape::array ? kBytesPerTask
--- a/src/placement/plan.cpp
+++ b/src/placement/plan.cpp
@@ -19,7 +19,8 @@
 // The grace period of a task on a machine under reclaim ends this long before the cloud takes the
 // machine back.
 constexpr double kReclaimStopMargin_s = 1.5;
-// A machine that the cloud lists as running must be up after this many boot times of its type.
+// A machine that the cloud lists as running is expected to send heartbeats once this many boot
+// times of its type have passed since it was rented.
 constexpr double kBootTimesUntilUp = 3;
 // After a gang has waited this long, the other jobs of its team leave room for it within the team's
 // limit.
--- a/src/placement/plan_test.cpp
+++ b/src/placement/plan_test.cpp
@@ -326,8 +326,8 @@
       << "a machine without a task since its backfilling is returned";
 }
 
-// Guards against returning a machine that large tasks needed before as "not needed" while small
-// tasks wait: three machines were returned while ten arrays waited (run hunt-7b89-3).
+// Guards against returning an idle machine that is still reserved for large tasks while small tasks
+// wait: three machines were returned as "not needed" while ten arrays waited (run hunt-7b89-3).
 TEST_F(Plan, AnIdleReservedMachineIsBackfilledOnce) {
   const Index host = machine("large", "a", false);
   jobs::Header big = header(1, 30);
@@ -415,8 +415,8 @@
   EXPECT_TRUE(cluster_.jobs[gang]->attempts.empty());
 }
 
-// Guards against comparing a team's arrays with all machines only: there is time for all of them,
-// but the team's limit makes all of them late (run hunt-7b89-5).
+// Guards against checking only whether all machines together would run a team's arrays in time:
+// here they would, but the team's limit makes all of the arrays late (run hunt-7b89-5).
 TEST_F(Plan, ArraysThatTheTeamsLimitMakesLateGoLast) {
   platform_.teams[0].max_cpus = 4;
   settings::ServiceLevelObjective soon;
--- a/src/placement/service_order.cpp
+++ b/src/placement/service_order.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // A job that can no longer be in time goes first once it has waited this many times as long as the
-// wait that its last latest start time allowed.
+// longest wait with which it could have met one of its latest start times.
 constexpr double kOverdueFactor = 3;
 
 // The time by which jobs are sorted: the next latest start time that can still be met. kNever for
@@ -38,9 +38,9 @@
 }
 
 // Returns the cores that the arrays of each team can use: what the team's limit leaves beside its
-// gangs and services, or all unreserved cores if it has no limit. When only all machines were
-// considered, a team at its limit seemed to have room for its largest jobs, and running these made
-// all its jobs late.
+// gangs and services, or all unreserved cores if it has no limit. When only the cores
+// of all machines were considered, a team at its limit seemed to have room for its largest jobs,
+// and running these made all its jobs late.
 std::vector<double> array_cores_by_team(const Cluster& cluster, double unreserved_cores) {
   std::vector<double> other_cores(cluster.usage_by_team.size());
   for (const auto& job : cluster.jobs) {
@@ -79,7 +79,7 @@
         arrays.push_back(*at);
     }
     // First defers arrays that their team's limit makes late, then, among the remaining ones, those
-    // for which all machines together have no time.
+    // that would be late even if arrays got all unreserved cores.
     std::vector<bool> deferred(cluster.jobs.size());
     const auto defer_late = [&](double available_cores, std::optional<Index> team) {
       std::vector<Index> considered;
--- a/src/placement/wait_reasons_test.cpp
+++ b/src/placement/wait_reasons_test.cpp
@@ -116,8 +116,8 @@
   for (const bool with_share : {false, true}) {
     const SimulationResult& sum = sums[with_share];
     std::cout << (with_share ? "with" : "without")
-              << " a part for the longest waiting: " << sum.in_time << " of " << sum.submitted
-              << " jobs in time, " << sum.largest_done << " of " << sum.largest
+              << " the share for the longest-waiting jobs: " << sum.in_time << " of "
+              << sum.submitted << " jobs in time, " << sum.largest_done << " of " << sum.largest
               << " largest done, first tasks within " << sum.latest_start_s << " s\n";
   }
   EXPECT_GT(sums[0].latest_start_s, 240)
