--- a/src/controller/leader_test.cpp
+++ b/src/controller/leader_test.cpp
@@ -694,7 +694,8 @@
   }
   leader.on_host_list(machines, 3, 3.2);
   EXPECT_FALSE(requests_machines(leader.advance(5)));
-  leader.on_transaction_completed(outcome(kv::Outcome::ok), 5.5);  // status counts
+  // The transaction that is in flight stores status counts.
+  leader.on_transaction_completed(outcome(kv::Outcome::ok), 5.5);
   kv::Entry more = job_entry("j-2", 4);
   leader.on_job_changes({{more.key, more.value, 60}}, 6);
   leader.on_jobs_read_until(6);
