--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -21,7 +21,7 @@
   double fetch_gb_per_s = 0;  // at which images are fetched
   double price_per_hour = 0;
   double spot_price_per_hour = 0;  // when the catalog was read: spot prices change
-  double boot_s = 0;               // expected, until it runs
+  double boot_s = 0;               // expected time from the request until it runs
   std::vector<std::string> zones;  // where it can be rented
 };
 
@@ -34,7 +34,7 @@
 // A rented machine in the cloud's list.
 struct ListedMachine {
   std::string name;
-  std::string address;  // empty if the cloud gives none, as while it starts
+  std::string address;  // empty if the cloud gives none, for example while it starts
   std::string type;
   std::string zone;
   bool spot = false;
--- a/src/drains/budget_tracker.h
+++ b/src/drains/budget_tracker.h
@@ -62,11 +62,13 @@
   BudgetRejection check(const DrainPolicy& policy, const Cluster& cluster,
                         std::vector<DisruptedCores> disruption,
                         const std::vector<PlannedStop>& stops, double now) const;
-  // Charges a stop that is being made to the budgets and moves its cores in `disruption`.
+  // Charges a planned stop to the budgets, and counts its cores in `disruption` as voluntarily down
+  // instead of running.
   void charge(const DrainPolicy& policy, const Cluster& cluster,
               std::vector<DisruptedCores>& disruption, const PlannedStop& stop, double now);
 
-  // Core seconds of work that voluntary stops cost the team and that have not expired yet.
+  // Core seconds of work that voluntary stops cost the team, less what has expired: the whole
+  // budget expires within an hour.
   double lost_core_s(const DrainPolicy& policy, const std::string& team, double now) const;
   // Number of tasks of the team that were stopped voluntarily so far.
   std::uint32_t stopped_tasks(const std::string& team) const;
--- a/src/drains/drain_policy.h
+++ b/src/drains/drain_policy.h
@@ -52,7 +52,7 @@
 // One rule of the policy: machines that are to be drained or replaced.
 struct DrainRule {
   HostSelector selector;
-  bool is_rolling = false;  // (replace ...) if true, (machines ...) if false
+  bool is_rolling = false;  // written as (replace ...) if true, as (machines ...) if false
   std::string source_text;  // as written in the policy, for logs
   bool operator==(const DrainRule&) const = default;
 };
@@ -64,7 +64,7 @@
   bool surge = true;                  // rent new machines before the old ones are drained
   double soak_s = 30;                 // time that new machines must work before the next step
   double retry_after_s = 600;         // a failed step is tried once more after this time
-  double max_failed_share = 0.34;     // of a step's new machines
+  double max_failed_share = 0.34;     // a step fails if more of its new machines fail
   // Steps begin only while the remaining replacement costs at most this.
   double max_remaining_cost = 1e12;
   bool operator==(const RolloutSettings&) const = default;
--- a/src/jobs/job_reader.h
+++ b/src/jobs/job_reader.h
@@ -5,8 +5,8 @@
 //
 // Each request serves the job that has been without an answer for longest. If that job's header is
 // cached, one transaction without writes compares its revision, and those of other queried jobs
-// with cached headers, with the store. If its header is not cached, or known to have changed, it is
-// read.
+// with cached headers, with the store. If its header is not cached, or known to have changed, or if
+// there is no other job to compare, the job is read.
 #pragma once
 
 #include <deque>
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -69,7 +69,7 @@
   std::uint32_t done = 0;     // tasks; for display only, may lag behind
   std::uint32_t running = 0;  // tasks; for display only, may lag behind
   // The store revision at which the job was accepted. 0: the record has not been rewritten since,
-  // so its own revision is the one.
+  // so the revision of its key is the revision of the acceptance.
   std::uint64_t accepted_revision = 0;
 };
 
--- a/src/kv/revision_clock.h
+++ b/src/kv/revision_clock.h
@@ -35,7 +35,7 @@
   // Adds the samples of a record that a leader wrote, for the time before our own samples.
   // `revision` is the revision of the record. The time between that write and our first sample is
   // unknown: it counts as zero, so ages come out too small rather than too large. Throws
-  // wire::BadMessage, or what Json throws for a wrong type, and is then left unchanged.
+  // wire::BadMessage, or what Json throws for a wrong type; the clock is then unchanged.
   void restore(const wire::Json& record, std::uint64_t revision, double now);
 
   // Estimates when the revision was assigned, for ages and deadlines, by interpolation between
--- a/src/leadership/holder.h
+++ b/src/leadership/holder.h
@@ -25,7 +25,7 @@
 enum class Holder {
   ours,         // claimed with the lease that this process holds
   predecessor,  // an earlier process here, or a claim of ours that was applied late
-  other,        // another node, the same name at another address, or a version that writes none
+  other,        // another node, or this node's name with another address or, in old records, none
   unreadable,   // damaged: left alone until its lease expires
 };
 
--- a/src/leadership/read_freshness.h
+++ b/src/leadership/read_freshness.h
@@ -31,8 +31,8 @@
 // would be answered: see `staleness_bound_holds`.
 double staleness_bound(const settings::WorkerTimings& workers);
 // Whether `staleness_bound` is short enough that tasks end within cancel_s of a cancellation. No
-// bound is if a worker's lease lasts nearly as long as cancel_s or longer. A cancellation is then
-// confirmed only once the job's end is stored.
+// bound is short enough if a worker's lease lasts nearly as long as cancel_s or longer. A
+// cancellation is then confirmed only once the job's end is stored.
 bool staleness_bound_holds(const settings::WorkerTimings& workers);
 
 // A member's response to the question which cancellations it has confirmed to users.
@@ -77,7 +77,8 @@
   const double bound_s_;
   double jobs_read_until_;
   std::optional<double> polled_at_;
-  std::vector<double> members_known_until_;  // of each: all that it confirmed before is known
+  // By member: the moment before which all its confirmed cancellations are known.
+  std::vector<double> members_known_until_;
 };
 
 }  // namespace reachramp::leadership
--- a/src/peers/heartbeat_forwarder.h
+++ b/src/peers/heartbeat_forwarder.h
@@ -31,8 +31,8 @@
 
   // Returns the leader's response to the heartbeat, or none if it does not arrive before `deadline`
   // (steady seconds). Tries the leader first and then, if `allow_intermediate_node`, each other
-  // node. If `leader` is not the name of a known node, only intermediate nodes, which may know the
-  // leader.
+  // node. If `leader` is not the name of a known node, it tries only intermediate nodes, which may
+  // know the leader.
   std::optional<wire::Response> forward(const std::string& leader, const wire::Json& heartbeat,
                                         bool allow_intermediate_node, double deadline);
 
--- a/src/peers/readiness.h
+++ b/src/peers/readiness.h
@@ -18,9 +18,10 @@
 // The path with which nodes ask each other whether the key-value store serves them.
 inline constexpr const char* kServedPath = "/served";
 
-// For how many seconds the key-value store has not served this node: all its responses have been
-// refusals for that long, or none has arrived for longer than the node's requests ever pause. 0: it
-// serves the node.
+// Returns for how many seconds the key-value store has not served this node, 0 if it serves it.
+// `refused_s`: for how long all responses have been refusals. `since_served_s`: the time since the
+// last response that was no refusal; it counts only beyond the longest normal pause between
+// responses.
 double unserved_duration_s(double refused_s, double since_served_s);
 
 // Decides whether the node is ready for users. Has hysteresis, since each change makes users
--- a/src/peers/recent_cancellations.h
+++ b/src/peers/recent_cancellations.h
@@ -20,8 +20,9 @@
     std::vector<std::string> jobs;
   };
 
-  // `now`: before any cancellation is confirmed. Entries are dropped after `retention_s`: a leader
-  // that needs older ones may not answer workers any more in any case.
+  // `now`: the current time, before which this process has confirmed no cancellation. Entries are
+  // dropped after `retention_s`: a leader that needs older ones may not answer workers any more in
+  // any case.
   RecentCancellations(double retention_s, double now);
 
   // To be called before the response to the user is sent. Returns whether the job is new in the
@@ -44,7 +45,7 @@
 
   const double retention_s_;
   std::mutex mutex_;
-  double covered_since_;       // no entry after this time has been dropped
+  double covered_since_;       // all entries confirmed after this time are kept
   double last_read_at_;        // when the list was last returned to a caller
   std::deque<Entry> entries_;  // the oldest first
   std::unordered_set<std::string> jobs_;
--- a/src/pipelines/dependencies.h
+++ b/src/pipelines/dependencies.h
@@ -17,18 +17,19 @@
 // cancels it if one of them is cancelled, and updates the jobs that depend on it.
 void track_dependencies(Cluster& cluster, Index job, double now);
 
-// Sets the state of a job for the jobs that depend on it. Done and cancelled must be stored
-// already: until one of them is, the user may still be told the other. Cancels all jobs that depend
-// on a cancelled job, directly or indirectly; none of them can have started.
+// Sets the state of a job for the jobs that depend on it. Must be called with `done` or `cancelled`
+// only once that state is stored: before, the job may still end in the other one, and its user
+// would be told so. Cancels all jobs that depend on a cancelled job, directly or indirectly; none
+// of them can have started.
 void resolve_dependents(Cluster& cluster, const std::string& id, DependencyState state, double now);
 
 // The ids of jobs that live jobs depend on and whose state is not known to the cluster. The caller
 // reads their final states from the key-value store.
 std::vector<std::string> unresolved_dependencies(const Cluster& cluster);
 
-// Gives each job the highest priority among itself and the jobs that depend on it, and start times
-// early enough for the deadlines of those. To be called whenever jobs were added, removed or
-// unblocked.
+// Gives each job the highest priority among itself and the jobs that depend on it, and latest start
+// times with which those jobs can meet their deadlines. To be called whenever jobs were added,
+// removed or unblocked.
 void propagate_priorities(Cluster& cluster);
 
 // Updates Job::expected_unblocked_at of the jobs that wait for others.
--- a/src/schema/schema_version_tracker.h
+++ b/src/schema/schema_version_tracker.h
@@ -65,11 +65,11 @@
   std::optional<std::uint64_t> claim_lease_id_;  // none: the claim is not announced
   std::uint64_t watched_to_ = 0;                 // store revision; 0: the level must be read first
   bool logged_malformed_claim_ = false;
-  std::string last_logged_nodes_;  // with other settings
+  std::string last_logged_nodes_;  // nodes with other settings than this one
 
   std::mutex mutex_;
   std::optional<SchemaView> latest_;  // guarded by mutex_; none: not read yet
-  std::string last_logged_reason_;    // for being incompatible; guarded by mutex_; empty: none
+  std::string last_logged_reason_;    // of incompatibility; guarded by mutex_; empty: none
   std::atomic<bool> incompatible_{false};
   std::atomic<bool> defers_leadership_{false};
 };
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -52,8 +52,11 @@
 struct WorkerTimings {
   double report_interval_s = 1;  // between a worker's heartbeats
   double lease_s = 10;           // for which a worker without a response keeps its tasks running
-  double gang_wait_s = 30;       // for which a task of a gang waits until all others have joined
-  double gang_peer_s = 5;        // within which tasks of a gang notice that one of them has ended
+  // While a gang has not started, each of its tasks exits after waiting this long for the others.
+  double gang_wait_s = 30;
+  // Within this time, the other tasks of a running gang notice that one of them is gone; and all
+  // tasks of a gang must get their stop commands within it, or the gang saves no last checkpoint.
+  double gang_peer_s = 5;
   // Within which a job's tasks end once its user is told that it is cancelled.
   double cancel_s = 30;
 };
@@ -63,7 +66,8 @@
   double rps = 50;        // requests per second
   double write_rps = 10;  // writes per second
   double value_kb = 4;    // size of a value, in KiB of its JSON form
-  int txn_ops = 8;        // writes in one transaction
+  // Writes and deletes in one transaction, which may have four times as many preconditions.
+  int txn_ops = 8;
 };
 
 // Returns the stricter of the two limits in each field: what respects it is accepted now and after
@@ -99,7 +103,7 @@
   CloudLimits cloud_limits;
   // Limits of this process.
   int fd_limit = 512;
-  int thread_limit = 2000;  // as the users' page on the large fleet states
+  int thread_limit = 2000;  // the limit that the users' page on large fleets states
   double ram_mb = 64;
 };
 
--- a/src/shares/usage_accounts.h
+++ b/src/shares/usage_accounts.h
@@ -1,8 +1,8 @@
 // Accounts, for each team and each job class, of the jobs submitted, done and late and of the
 // recent use of cores and GPUs, for the operators' logs and for decisions that depend on recent
 // use. A record at schema level 5, written twice a minute, carries the accounts over to the next
-// leader. Lost at a change of leader: the jobs that were submitted and ended since the last write,
-// in both counts, and up to half a minute of use.
+// leader. A change of leader loses up to half a minute of use, and the jobs that were both
+// submitted and ended since the last write: they are in no count.
 #pragma once
 
 #include <map>
@@ -55,10 +55,11 @@
   void note_submitted(const placement::Job& job);
   // Counts a job that was cancelled.
   void note_cancelled(const placement::Job& job);
-  // Adds the use since the last call, as if it had been that of now all the time, and decays
-  // earlier use.
+  // Adds the use of cores and GPUs since the last call, which is taken to have been the present use
+  // all that time, and decays earlier use.
   void advance(const placement::Cluster& cluster, double now);
 
+  // Returns how all teams and job classes are served at `now`.
   UsageReport report(const placement::Cluster& cluster, double now) const;
 
   // The record `shares`.
--- a/src/wire/connection_limiter.h
+++ b/src/wire/connection_limiter.h
@@ -59,7 +59,7 @@
  public:
   struct Connection {
     Socket socket;
-    const void* server = nullptr;  // which accepted it
+    const void* server = nullptr;  // the server that accepted it
     ConnectionStatus status;
     bool is_closing = false;  // shut down, but its thread has not ended yet
   };
--- a/src/workers/heartbeat.h
+++ b/src/workers/heartbeat.h
@@ -39,15 +39,15 @@
   ExitReason exit_reason = ExitReason::none;
 };
 
-// The message with which a worker tells its machine's state. Its response carries commands and
-// renews the worker's lease, within which the worker keeps its tasks running.
+// The message with which a worker reports its machine's state. The response to it carries commands
+// and renews the worker's lease, within which the worker keeps its tasks running.
 struct Heartbeat {
   std::string host;  // the machine's name
   std::string address;
   std::string type;  // the machine's type
   std::string zone;
   bool spot = false;
-  std::uint64_t incarnation = 0;       // grows each time the worker has lost its lease or restarted
+  std::uint64_t incarnation = 0;       // starts at 1, increases when the worker's lease expires
   std::uint64_t sequence_number = 0;   // grows with each message of an incarnation
   std::uint64_t fencing_token = 0;     // the newest that the worker has seen
   std::optional<double> reclaim_in_s;  // until the cloud takes the machine back, if it will
--- a/src/zones/zone_monitor.h
+++ b/src/zones/zone_monitor.h
@@ -8,8 +8,8 @@
 //
 // The states are stored in the record `zones`, which is written when a state changes. So the next
 // leader need not detect the loss again and does not rent in the zone; it returns no machine before
-// it has listened for as long as heartbeats may take. The progress of the returns is not stored,
-// because it follows from the machines that are left.
+// it has listened for longer than a working machine's heartbeat ever takes. The progress of the
+// returns is not stored, because it follows from the machines that are left.
 #pragma once
 
 #include <map>
@@ -38,7 +38,7 @@
 // Numbers of machines of one zone at one moment, by their heartbeats.
 struct ZoneObservation {
   std::size_t machines = 0;  // that should send heartbeats
-  std::size_t overdue = 0;   // without a heartbeat for longer than heartbeats lie apart
+  std::size_t overdue = 0;   // without a heartbeat for longer than a working machine ever takes
   std::size_t heard = 0;     // heard by this leader, and not overdue
 };
 
@@ -75,7 +75,7 @@
     double state_since = 0;      // when the state was entered
     double suspected_since = 0;  // when the current outage was first suspected
     double reachable_since = -1e9;
-    double silent_alone_since = 0;  // since when the zone, unlike the others, is silent
+    double silent_alone_since = 0;  // since when this zone is silent and the others are not
     int flaps = 0;
     // The state is an earlier leader's, and this leader has not heard the zone since.
     bool inherited = false;
@@ -88,7 +88,7 @@
                  double now);
 
   std::map<Index, ZoneStatus> zones_;
-  double return_allowance_ = 0;  // machines that may be returned now, with the unused fraction
+  double return_allowance_ = 0;  // how many machines may be returned now; fractions accumulate
   double returns_computed_at_ = -1;
   bool has_unwritten_changes_ = false;
 };
