--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -36,7 +36,8 @@
 void limit_memory_use() {
   mallopt(M_ARENA_MAX, 2);
   mallopt(M_TRIM_THRESHOLD, 1024 * 1024);
-#ifndef __SANITIZE_THREAD__  // its thread-local storage exceeds such a stack: no thread could start
+  // ThreadSanitizer's thread-local storage exceeds such a stack: no thread could start.
+#ifndef __SANITIZE_THREAD__
   constexpr std::size_t kThreadStack_bytes = 256 * 1024;
   pthread_attr_t attributes;
   pthread_attr_init(&attributes);
--- a/src/drains/budget_tracker.cpp
+++ b/src/drains/budget_tracker.cpp
@@ -12,7 +12,7 @@
 
 constexpr double kBudgetWindow_s = 3600;
 constexpr double kBudgetTolerance = 1e-6;
-// Limit for the teams, and for the jobs, in the record.
+// Limits the number of teams, and the number of jobs, in the record.
 constexpr std::size_t kMaxRecordEntries = 60;
 
 bool is_running(const Attempt& attempt) {
--- a/src/drains/drains.cpp
+++ b/src/drains/drains.cpp
@@ -519,8 +519,7 @@
     }
     spdlog::info(
         "drains: {} machines to drain, {} draining, {} replaced in steps, {} jobs moving, "
-        "remaining "
-        "replacement costs {:.2f}{}",
+        "remaining replacement costs {:.2f}{}",
         to_drain, draining, replaced_hosts_, moves_.size(),
         remaining_cost(cluster, conditions, now), details);
   }
--- a/src/jobs/job_reader.cpp
+++ b/src/jobs/job_reader.cpp
@@ -17,7 +17,7 @@
 constexpr double kBatchedReadTimeout_s = 1.2;  // users' requests time out after 2 s
 constexpr int kMaxConcurrentRequests = 3;
 constexpr std::size_t kMaxCachedJobs = 2000;
-constexpr double kMinRate_rps = 4;
+constexpr double kMinRate_rps = 4;  // for status queries, however small the given rate is
 
 }  // namespace
 
--- a/src/jobs/job_reader_test.cpp
+++ b/src/jobs/job_reader_test.cpp
@@ -145,8 +145,8 @@
   };
   kv::Client client({"127.0.0.1", port}, 70);
   JobReader reader(client, kQueryRate_rps, 32);
-  // All jobs were accepted by this node: reading that many for the first time takes longer than the
-  // bound.
+  // All jobs were accepted by this node, so their headers are cached: reading that many for the
+  // first time would take longer than kMaxUnanswered_s.
   for (int job = 0; job < kQueriedJobCount; ++job) {
     change(job, 0);
     const std::uint64_t revision =
--- a/src/jobs/job_service.cpp
+++ b/src/jobs/job_service.cpp
@@ -13,7 +13,7 @@
 
 using kv::Outcome;
 
-// Space kept free in an accepted header, whose counts of tasks grow later.
+// Space kept free in an accepted header, because its counts of tasks get more digits later.
 constexpr std::size_t kCountGrowthBytes = 64;
 // The share of the key-value store's request rate that status queries on all nodes may use
 // together. Leases, watches, submissions and the leader's records need the rest.
@@ -38,6 +38,7 @@
       job_reader_(
           store,
           platform.store_limits.rps * kStatusQueryRateShare / (1.0 + platform.members.size()),
+          // The store accepts four preconditions for each write that a transaction may have.
           4 * static_cast<std::size_t>(std::max(1, platform.strictest_store_limits().txn_ops)),
           confirms_cancellation_immediately_),
       platform_(platform),
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -12,15 +12,15 @@
 using namespace std::chrono_literals;
 
 constexpr auto kStoreTimeout = 1500ms;
-// The store limits a page to 512 KiB and a watch's response not at all: this bounds the memory that
-// a response takes here.
+// Bounds the memory that a response takes here: the store limits a page to 512 KiB, but does not
+// limit the response to a watch.
 constexpr std::size_t kMaxStoreResponse_bytes = 8 * 1024 * 1024;
 constexpr std::size_t kMaxIdleConnections = 8;
 
 // A caller that would have to wait longer for our own rate limit gets `refused` at once, so that it
 // can decide anew.
 constexpr double kMaxRateWait_s = 0.5;
-// Waits for our own rate limit count as attempts, too.
+// Of a request that the store throttles. Waits for this client's own rate limit count as well.
 constexpr int kMaxRetries = 4;
 constexpr double kFirstRetry_s = 0.04;  // doubles with each attempt
 // Stands for the time of the last response if there was none: longer ago than any limit.
--- a/src/kv/client_test.cpp
+++ b/src/kv/client_test.cpp
@@ -67,7 +67,7 @@
   EXPECT_LE(assigned_at, steady_now());
 }
 
-// Guards against ever more callers that wait for our own rate limit.
+// Guards against an ever growing number of callers that wait for our own rate limit.
 TEST(KeyValueClient, RequestThatWouldWaitLongForOurOwnRateIsRefusedUnsent) {
   test::RecordingServer store([](const wire::Request&) { return reply(404); });
   Client client(store.address(), 0.1);
--- a/src/kv/revision_clock.cpp
+++ b/src/kv/revision_clock.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// A new revision sooner after the latest sample gets no sample of its own: ages are only needed to
-// the second.
+// A new revision that is observed sooner than this after the latest sample gets no sample of its
+// own: ages are only needed to the second.
 constexpr double kSampleInterval_s = 0.25;
 // The minimum distance of two samples as a fraction of their age, so that an hour takes a few dozen
 // samples.
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -250,7 +250,7 @@
 }
 
 // A process that is restarted at once finds the key of its predecessor, which would remain for
-// seconds, or for the rest of an outage of the key-value store and a lease more. The key is removed
+// seconds, or until one lease duration after an outage of the key-value store. The key is removed
 // and not taken over: nodes that have kept running go first, so that a node that crashes again and
 // again does not keep them from leading.
 void LeaderElection::remove_dead_leader(std::uint64_t revision) {
--- a/src/leadership/read_freshness.cpp
+++ b/src/leadership/read_freshness.cpp
@@ -12,7 +12,7 @@
 // return every second, and a response may take a few hundred milliseconds.
 constexpr double kMinStalenessBound_s = 3;
 // Members are polled once the latest read of the jobs is older than this, or than half of a short
-// bound. In normal operation of the key-value store no read gets as old.
+// bound. In normal operation of the key-value store no read gets that old.
 constexpr double kPollAfter_s = 3;
 constexpr double kPollInterval_s = 0.5;
 // Added to each window for the time that request and response take on the network.
--- a/src/peers/heartbeat_forwarder.cpp
+++ b/src/peers/heartbeat_forwarder.cpp
@@ -12,11 +12,11 @@
 // reach the leader either.
 constexpr double kLeaderTimeout_s = 1.5;
 constexpr double kIntermediateNodeTimeout_s = 0.7;
-constexpr double kUnreachableFor_s = 4;
-// After a change of leaders all workers send heartbeats at once. Without a file descriptor for
-// forwarding one, a node would take the leader for unreachable, so two shares of its descriptors
-// are set aside. All nodes together must also leave at least half of the connections that the
-// leader can serve to others.
+constexpr double kUnreachableFor_s = 4;  // for which a node that timed out is not tried
+// After a change of leaders all workers send heartbeats at once. A node without a file descriptor
+// for forwarding one would take the leader for unreachable. So one share of the descriptors is set
+// aside for forwarding, and another for idle connections to the other nodes. All nodes together
+// must also leave at least half of the connections that the leader can serve to others.
 constexpr double kForwardDescriptorShare = 0.2;
 constexpr double kPooledConnectionShare = 0.1;
 constexpr std::size_t kMinForwardSlots = 8;
--- a/src/peers/readiness_test.cpp
+++ b/src/peers/readiness_test.cpp
@@ -83,11 +83,12 @@
   RecentCancellations confirmed(30, 100);
   confirmed.record("j-1", 101);
   confirmed.record("j-2", 105);
-  confirmed.record("j-1", 108);  // again: callers that have read it already don't need it
+  confirmed.record("j-1", 108);  // confirmed again: callers that have read it already know of it
   EXPECT_EQ(confirmed.confirmed_within(4, 108).jobs, std::vector<std::string>{"j-2"});
   EXPECT_EQ(confirmed.confirmed_within(100, 108).jobs.size(), 2u);
   EXPECT_EQ(confirmed.confirmed_within(100, 108).covered_s, 8) << "since the process started";
-  confirmed.record("j-3", 107);  // by a thread that took the time before the last read of the list
+  // Recorded by a thread that took the time before the last read of the list.
+  confirmed.record("j-3", 107);
   EXPECT_EQ(confirmed.confirmed_within(0.5, 108).jobs, std::vector<std::string>{"j-3"});
   EXPECT_NEAR(confirmed.confirmed_within(100, 132).covered_s, 31, 1e-9)
       << "j-1 is too old to be kept";
--- a/src/peers/recent_cancellations.cpp
+++ b/src/peers/recent_cancellations.cpp
@@ -17,8 +17,8 @@
 }
 
 // A job that is confirmed again keeps its first time: callers that have read the list since then
-// know of it. A thread may get the lock after a read of the list with a `now` from before it; its
-// entry is dated to the read, so that the next window, which begins there, includes it.
+// know of it. If another thread read the list after this one took its `now` and before it got the
+// lock, the entry is dated to that read, so that the next window, which begins there, includes it.
 bool RecentCancellations::record(const std::string& job, double now) {
   const std::lock_guard lock(mutex_);
   if (!jobs_.insert(job).second) return false;
--- a/src/quarantine/fault_attribution.cpp
+++ b/src/quarantine/fault_attribution.cpp
@@ -17,8 +17,8 @@
 constexpr std::uint32_t kMaxRetryPauseLog2 = 6;
 // A job is not placed again for this time on a machine where it failed.
 constexpr double kAvoidHostFor_s = 30;
-// Weight of a job that has never succeeded and has failed on this machine only. Three such jobs in
-// a row make the machine faulty.
+// Evidence against a machine from a job that has never succeeded and has failed on this machine
+// only. Three such jobs in a row make the machine faulty.
 constexpr double kNoSuccessYetWeight = 0.7;
 // The failure rate of a job is computed as if it had failed once in this many earlier runs, because
 // a few successes alone are weak evidence.
@@ -95,7 +95,8 @@
   if (job.failed_on.empty()) return;
   job.retry_not_before = 0;
   job.consecutive_backoffs = 0;
-  // The job works on this machine, so its failures on others now weigh more against those.
+  // The job works on this machine, so its failures on other machines now weigh more against those
+  // machines.
   std::vector<Index> failed_hosts;
   for (const auto& [host, until] : job.failed_on) failed_hosts.push_back(host);
   for (const Index host : failed_hosts) {
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -57,8 +57,8 @@
   return reason ? std::optional<std::string>(*reason) : std::nullopt;
 }
 
-// Lowers the level that writers use; the level that readers must support follows once no record of
-// it remains.
+// Lowers the level that writers use. The level that readers must support is lowered once no record
+// of the old level remains.
 std::optional<SchemaMigration> downgrade(const StoredSchema& stored, ClaimSummary summary) {
   if (auto reason = downgrade_rejection(stored)) {
     return SchemaMigration{{stored.level, stored.written_level, false},
@@ -98,7 +98,7 @@
   return version_numbers(version) > version_numbers(than);
 }
 
-// The operators' page quotes this text.
+// The operators' documentation quotes this text.
 std::string incompatibility(const StoredSchema& stored, const SupportedLevels& supported) {
   if (stored.level >= supported.oldest && stored.level <= supported.newest) return {};
   return fmt::format(
--- a/src/settings/s_expression.cpp
+++ b/src/settings/s_expression.cpp
@@ -16,8 +16,8 @@
   void operator()(sexp_t* tree) const { destroy_sexp(tree); }
 };
 
-// Returns the line on which each list starts, in the order of the text, in which a walk through the
-// tree also visits the lists. The S-expression library reports no positions.
+// Returns the line on which each list starts, in the order of the text, which is also the order in
+// which a walk through the tree visits the lists. The S-expression library reports no positions.
 std::vector<int> list_start_lines(const std::string& text) {
   std::vector<int> lines;
   int line = 1;
--- a/src/shares/usage_accounts.cpp
+++ b/src/shares/usage_accounts.cpp
@@ -16,7 +16,7 @@
 constexpr double kUsageHalfLife_s = 600;
 // A job without start deadlines is late if it has waited this long without beginning.
 constexpr double kLateAfterWaiting_s = 60;
-// Limit for the teams, and for the classes, in a record that is read.
+// Limits the number of teams, and the number of job classes, in a record that is read.
 constexpr std::size_t kMaxNamesInRecord = 1000;
 
 bool has_begun(const Job& job) { return job.done_count > 0 || !job.attempts.empty(); }
--- a/src/wire/connection_limiter.cpp
+++ b/src/wire/connection_limiter.cpp
@@ -16,10 +16,10 @@
 constexpr std::size_t kClientKinds = 4;
 // One in this many connections, or requests, is reserved for each kind of client.
 constexpr std::size_t kReservedDivisor = 4;
-// The shares of the process's resources that connections to serve may take.
+// The shares of the process's resources that the served connections may take.
 constexpr double kConnectionShareOfDescriptors = 0.65;
 constexpr double kConnectionShareOfMemory = 0.5;
-constexpr double kConnectionMemory_mb = 0.044;
+constexpr double kConnectionMemory_mb = 0.044;  // of one connection and its thread
 constexpr double kConnectionShareOfThreads = 0.9;
 constexpr auto kConnectionThreadIdleTimeout = 10s;
 constexpr double kMinConnections = 16;
--- a/src/wire/http.cpp
+++ b/src/wire/http.cpp
@@ -158,10 +158,10 @@
   if (auto socket = take_idle()) {
     socket->set_timeout(timeout);
     if (exchange(*socket, request_bytes, method, result)) return result;
-    // The server may have closed the idle connection meanwhile. A quick failure is therefore no
-    // statement about the request, and the request is repeated. A server that stays silent is a
-    // real failure. Every request of this program is safe to repeat: it is conditional, has a name,
-    // or only reads.
+    // The server may have closed the idle connection meanwhile. A quick failure therefore says
+    // nothing about the request, and the request is repeated. A server that stays silent is a real
+    // failure. Every request of this program is safe to repeat: it is conditional, has a name by
+    // which a repetition is recognized, or only reads.
     if (std::chrono::steady_clock::now() - start > timeout / 2) return result;
   }
   error_code ec;
--- a/src/workers/heartbeat.cpp
+++ b/src/workers/heartbeat.cpp
@@ -201,8 +201,8 @@
   const ObservedState observed = observed_state(status.state);
   if (attempt->from_previous_leader || attempt->observed_state != observed)
     cluster.jobs_with_changed_counts.insert(found->second);
-  // It may have begun to run under an earlier leader. The time of its placement, which was stored,
-  // is then the best estimate of when.
+  // The task may have begun to run under an earlier leader. Its placement time, which is stored, is
+  // then the best estimate of when that was.
   const bool ran_before =
       attempt->from_previous_leader && attempt->observed_state == ObservedState::unobserved;
   if (attempt->start_sent && !attempt->from_previous_leader &&
@@ -224,8 +224,9 @@
 
 // Detects machines whose heartbeats arrive but which do not receive the responses. Signs of lost
 // responses, at most one per heartbeat: started tasks never appear, the worker's fencing token
-// stays old, or its lease expires although it was answered. A started task that appears, an updated
-// fencing token, or an incarnation that outlasts a lease shows that responses do arrive.
+// stays old, or its lease expires although it was answered, which suffices alone. A started task
+// that appears, an updated fencing token, or an incarnation that outlasts a lease shows that
+// responses do arrive.
 void update_ignored_responses(Cluster& cluster, Host& host, const Heartbeat& heartbeat,
                               bool new_incarnation, bool had_acknowledged_token, double now) {
   const settings::WorkerTimings& workers = cluster.platform.worker_timings;
--- a/src/zones/zone_monitor.cpp
+++ b/src/zones/zone_monitor.cpp
@@ -18,9 +18,10 @@
 using placement::HostPhase;
 using placement::kNone;
 
-// Heartbeats lie up to a quarter more than their interval apart. A worker whose controller node is
-// dead waits 4 s for an answer and 1 s more before it tries the next node. These limits allow for
-// that, so a zone is not suspected because one node died.
+// A machine is overdue after this many heartbeat intervals and the retry time. Two heartbeats of a
+// working machine are up to 1.25 intervals apart. A worker whose controller node is dead waits 4 s
+// for a response and 1 s more before it tries the next node. These limits allow for both, so a zone
+// is not suspected because one node died.
 constexpr double kOverdueReportPeriods = 2;
 constexpr double kReportRetryTime_s = 6;
 // Machines that die or hang independently do so at a similar rate in every zone, so only a large
@@ -36,19 +37,25 @@
 constexpr double kMaxChanceProbability = 1e-5;
 // Assumed probability that a machine is overdue, if fewer are overdue elsewhere.
 constexpr double kMinOverdueProbability = 0.05;
+// The silence of a zone with fewer machines, or while the other zones have fewer, proves nothing.
 constexpr std::size_t kMinMachinesToJudge = 4;
 constexpr std::size_t kMaxZonesInRecord = 200;
-constexpr double kSuspectAfterReportPeriods = 0.75;  // in heartbeat intervals
-// A worker that has been silent for longer than its lease has killed its tasks, unless a leader
-// inside the lost zone still renews its lease.
+// A zone is suspected once it alone has been silent for this many heartbeat intervals.
+constexpr double kSuspectAfterReportPeriods = 0.75;
+// A machine of a lost zone is returned only after a silence of this many leases. A worker that has
+// been silent for longer than its lease has killed its tasks, unless a leader inside the lost zone
+// still renews its lease.
 constexpr double kDeadAfterLeases = 1.1;
-// In multiples of the time above. A machine whose tasks fit nowhere else is kept, because it offers
-// the first free room when the zone recovers, but it is returned after this time in any case.
+// After a silence of this many times kDeadAfterLeases leases, a machine is returned in any case.
+// Until then, a machine whose tasks fit nowhere else is kept, because it offers the first free room
+// when the zone recovers.
 constexpr double kReturnAnywayAfterDeadTimes = 12;
 constexpr double kRecoveryTime_s = 10;  // time in `recovering`, doubled with each flap
 constexpr int kMaxFlaps = 4;
-constexpr double kFlapResetTime_s = 300;
-constexpr double kRetryEmptyZoneAfter_s = 60;        // then renting there is tried again
+constexpr double kFlapResetTime_s = 300;  // time in `healthy` after which flaps are forgotten
+// A lost zone with too few machines to judge counts as reachable again after this time, so that
+// machines are rented there again.
+constexpr double kRetryEmptyZoneAfter_s = 60;
 constexpr double kMaxReturnedSharePerSecond = 0.05;  // of the usable machines
 // Keeping an idle machine for this time costs as much as renting a new one.
 constexpr double kMinBilledTime_s = 60;
@@ -104,8 +111,8 @@
 }
 
 // Time since the last heartbeat. Without a heartbeat to this leader, counts from the start of its
-// term, or, once it has listened for as long as heartbeats may take, from the time at which an
-// earlier leader recorded the zone as suspected or lost.
+// term, or, once it has listened for longer than overdue_after_s, from the time at which an earlier
+// leader recorded the zone as suspected or lost.
 double ZoneMonitor::silence_s(const Cluster& cluster, const Host& host, double listening_since,
                               double now) const {
   const auto at = zones_.find(host.zone);
@@ -347,9 +354,9 @@
       spare_cores -= candidate.cores;
       continue;
     }
-    // An idle machine is kept for as long as renting a new one would cost. A machine with
-    // tasks is returned if there is room for them elsewhere, or if they would be placed before all
-    // waiting jobs. The tasks of a gang can move only when all its machines are returned.
+    // An idle machine is kept until keeping it has cost as much as renting a new one. A machine
+    // with tasks is returned if there is room for them elsewhere, or if they would be placed before
+    // all waiting jobs. The tasks of a gang can move only when all its machines are returned.
     const bool urgent = candidate.rank < first_waiting && first_waiting < service.jobs.size();
     const bool belongs_to_waiting_gang =
         candidate.rank == first_waiting && candidate.rank < service.jobs.size() &&
--- a/src/zones/zone_monitor_test.cpp
+++ b/src/zones/zone_monitor_test.cpp
@@ -132,8 +132,8 @@
   RC_ASSERT(zones.suspected_at_.size() == 1u);
   RC_ASSERT(zones.suspected_at_.at(zone) <= 130 + 2 + 2 * 4 + 6 + 5 + 3);
   RC_ASSERT(zones.lost_at_.at(zone) <= 130 + 2 + 22 + 22.0 / 2 + 1);
-  // Idle machines are kept for as long as renting new ones would cost, then a few are returned each
-  // second.
+  // Idle machines are kept until keeping them has cost as much as renting new ones. Then a few are
+  // returned each second.
   for (const auto& [at, name] : zones.returned_) RC_ASSERT(at >= 130 + 55);
   zones.run(320);
   RC_ASSERT(zones.zones_.state(zone) == ZoneState::healthy);
@@ -207,7 +207,7 @@
   job("j-lowest", 1, jobs::Priority::low);
   run_and_plan(20 + 50);
   EXPECT_EQ(names().size(), 4u);
-  // Idle machines are kept for as long as renting new ones would cost.
+  // Idle machines are kept until keeping them has cost as much as renting new ones.
   run_and_plan(20 + 90);
   for (const Index idle : range(17, 20)) EXPECT_FALSE(simulated_.cluster_.hosts[idle]) << idle;
   EXPECT_EQ(names().size(), 7u);
