--- a/lab/checker/event_history.h
+++ b/lab/checker/event_history.h
@@ -1,5 +1,4 @@
-// What a stand-in saw, in the order of time and bounded: the oldest events are dropped first. It is
-// read when a test has failed, to find out what led to it.
+// Record of what an emulator did, for finding out what led to a test's failure.
 #pragma once
 
 #include <cstddef>
@@ -10,17 +9,21 @@
 
 namespace reachramp::lab {
 
+// Events in the order in which they were recorded. Once the history is full, each new event
+// replaces the oldest.
 class EventHistory {
  public:
   static constexpr std::size_t kMaxEvents = 100'000;
 
-  explicit EventHistory(std::size_t most_events = kMaxEvents) : max_events_(most_events) {}
+  explicit EventHistory(std::size_t max_events = kMaxEvents) : max_events_(max_events) {}
 
-  // `subject`: whom it is about, such as a machine.
+  // Adds an event. `at`: its time in seconds. `subject`: what it concerns, such as a machine's
+  // name.
   void record(double at, const std::string& subject, const std::string& what);
 
-  // A line an event: time, subject, what happened.
+  // All events, a line each: time, subject, what happened.
   std::vector<std::string> lines() const;
+  // The same for events of these subjects in the given period.
   std::vector<std::string> lines_about(const std::set<std::string>& subjects, double from,
                                        double until) const;
 
--- a/lab/load/load.h
+++ b/lab/load/load.h
@@ -1,5 +1,4 @@
-// Users who submit jobs, ask for them and wait for their ends, at a rate of their own: whether the
-// service keeps up or not, the next one comes when it is due, and waits are counted from then.
+// Load generator: emulated users who submit jobs, query their status and wait for their end.
 #pragma once
 
 #include <atomic>
@@ -15,39 +14,47 @@
 
 namespace reachramp::lab {
 
+// Configuration of the users and their jobs.
 struct LoadSpec {
-  wire::Address address;
+  wire::Address address;  // where users are served
   double jobs_per_second = 1;
-  double submit_for_s = 30;  // submissions come this long; their users stay until they have an end
-  double max_wait_s = 120;   // and no longer than this
+  double submit_for_s = 30;  // users submit for so long, then wait until their jobs end
+  double max_wait_s = 120;   // after which a user stops waiting
   double poll_interval_s = 1;
-  double withdrawn_share = 0;  // share of jobs that are withdrawn soon after they were accepted
+  double withdrawn_share = 0;  // share of jobs that are withdrawn soon after acceptance
   std::uint32_t tasks_per_job = 10;
   double task_run_time_s = 5;
   std::string team;
 };
 
+// Generates open-loop load: submissions arrive at a fixed mean rate, however slow the service is,
+// and all waits count from the time a submission was due. So a slow service doesn't reduce the load
+// that measures it.
 class LoadGenerator {
  public:
+  // What the users saw. Times are quantiles, accurate to 7%.
   struct Result {
     std::size_t submitted = 0, accepted = 0, done = 0, aborted = 0, without_end = 0;
-    // What a user was told and what went back on an earlier answer.
+    // Responses that contradict an earlier one, a line each.
     std::vector<std::string> contradictions;
     double accepted_p50_ms = 0, accepted_p99_ms = 0;
     double done_p50_s = 0, done_p99_s = 0;
   };
 
   LoadGenerator(LoadSpec spec, std::uint64_t seed);
-  // Blocks until all users have left, or `stop` is set.
+  // Runs all users. Blocks until each has seen its job's end or given up, or until `stop` is set.
   Result run(const std::atomic<bool>& stop);
 
  private:
   using Histogram = decltype(boost::histogram::make_histogram(
       boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(1, 1, 2)));
 
-  void run_user(const std::string& id, double due, bool withdraws, const std::atomic<bool>& stop);
-  bool record_answer(const std::string& id, int status, const std::string& phase, bool withdraws,
-                     double due);
+  // One user, in a thread of the pool: submits the job, then polls or withdraws it until its end.
+  void run_user(const std::string& id, double due_at, bool withdraw, const std::atomic<bool>& stop);
+  // Adds a response about the job to the result. Returns whether the job has ended.
+  bool record_answer(const std::string& id, int status, const std::string& phase, bool withdraw,
+                     double due_at);
+  // The body of the job's submission.
   wire::Json make_job(const std::string& id) const;
 
   LoadSpec spec_;
--- a/lab/loopback/balancer.h
+++ b/lab/loopback/balancer.h
@@ -1,5 +1,4 @@
-// The users' door of the lab: takes requests as the load balancer does, lets the workers know what
-// is submitted (users upload it), and passes on to a node that accepts.
+// Emulator of the load balancer between users and controller nodes.
 #pragma once
 
 #include <atomic>
@@ -11,11 +10,14 @@
 
 namespace reachramp::lab {
 
+// Serves users on a loopback port and forwards each request to a node that accepts it. It also
+// makes submitted jobs known to the emulated workers, which stands for the users' upload.
 class Balancer {
  public:
-  // How long a task of the job really runs, in seconds at speed 1.
+  // Returns how long a task of the job runs, in seconds on a machine of speed 1.
   using RunTime = std::function<double(const jobs::Spec&)>;
 
+  // `nodes`: the address of each controller, by name. Serves until it is destroyed.
   Balancer(std::uint16_t port, const std::map<std::string, wire::Address>& nodes,
            FleetServer& fleet, RunTime run_time);
 
--- a/lab/loopback/child_process.h
+++ b/lab/loopback/child_process.h
@@ -1,5 +1,6 @@
-// Programs started beside this process. The child runs nothing of it: a fork whose child goes on
-// without exec hangs on whatever lock another thread held, an allocator's for example.
+// Starts other programs as child processes. The child executes the program right away and runs no
+// code of this process: after a fork without exec, a child hangs on any lock that another thread
+// held at that moment, for example the allocator's.
 #pragma once
 
 #include <sys/types.h>
@@ -9,19 +10,20 @@
 
 namespace reachramp::lab {
 
+// A program to start.
 struct ChildProgram {
   std::string program;
   std::vector<std::string> arguments = {};  // without the program's own name
-  std::string log_file = {};                // standard error is appended to it; empty: ours
-  std::string log_level = {};               // LOG_LEVEL; empty: ours
-  bool own_process_group = false;           // a Ctrl-C does not reach it
-  std::size_t max_log_bytes = 0;            // what is written past it is lost; 0: no limit
+  std::string log_file = {};                // standard error is appended to it; empty: inherited
+  std::string log_level = {};               // value of LOG_LEVEL; empty: inherited
+  bool own_process_group = false;           // so that a Ctrl-C does not reach it
+  std::size_t max_log_bytes = 0;            // size at which each file it writes ends; 0: no limit
 };
 
-// Throws std::system_error if the program cannot be started.
+// Starts the program and returns its process id. Throws std::system_error if it can't be started.
 pid_t spawn(const ChildProgram& child);
 
-// Without a signal that it could act upon.
+// Kills the child with SIGKILL, which it can't handle, and waits for its end.
 void kill_and_wait(pid_t child);
 
 }  // namespace reachramp::lab
--- a/lab/loopback/fleet_server.h
+++ b/lab/loopback/fleet_server.h
@@ -1,5 +1,5 @@
-// The models of the cloud and its workers on loopback: the cloud behind a port, each worker a
-// client of the controllers and a server for direct orders on an address of its own.
+// Serves the emulated cloud and its workers over loopback, in real time. The cloud has one port;
+// each worker is a client of the controllers and has an address of its own for direct orders.
 #pragma once
 
 #include <condition_variable>
@@ -19,74 +19,88 @@
 
 namespace reachramp::lab {
 
+// Configuration of the cloud, its workers and the checks.
 struct FleetSpec {
   CloudSpec cloud;
   settings::WorkerTimings workers;
-  std::vector<settings::Team> teams;
-  std::map<std::string, wire::Address> controllers;  // by name: where they serve
-  std::uint16_t worker_port = 0;  // for direct orders, on addresses from 127.16.0.1 on; 0: none
+  std::vector<settings::Team> teams;                 // whose limits are checked
+  std::map<std::string, wire::Address> controllers;  // by name: where they take reports
+  std::uint16_t worker_port = 0;  // of direct orders, on addresses from 127.16.0.1 on; 0: none
 };
 
+// Runs the emulated cloud and one thread per worker, and checks the placement of all tasks whenever
+// something changes on a machine.
+//
+// All functions may be called by any thread.
 class FleetServer {
  public:
-  // Throws std::system_error if the port cannot be had.
+  // Throws std::system_error if it can't listen on the port.
   FleetServer(FleetSpec spec, std::uint16_t cloud_port, std::uint64_t seed);
   ~FleetServer();
   FleetServer(const FleetServer&) = delete;
 
-  // As users do, beside submitting it.
+  // Makes a job known to all workers, as the user's upload does.
   void upload(const SharedTaskState::Job& job);
-  // Something done to the cloud, or asked of it, while nothing else is.
+  // Calls `use` with the cloud while no other thread uses it, and returns its result.
   template <class Use>
   auto with_cloud(Use use) {
     const std::lock_guard lock(mutex_);
-    struct Woken {
+    struct NotifyAtExit {
       std::condition_variable& changed;
-      ~Woken() { changed.notify_one(); }
-    } woken{changed_};
+      ~NotifyAtExit() { changed.notify_one(); }
+    } notify{changed_};
     return use(cloud_);
   }
+  // A line for each violation of a placement rule so far.
   std::vector<std::string> rule_violations();
-  // All that machines did and were told, and what led to each broken rule.
+  // The recorded events of all machines, a line each.
   std::vector<std::string> history();
+  // Each violation, followed by the events of the machines concerned around its time.
   std::vector<std::string> history_of_violations();
-  std::size_t held_task_count(const std::string& job);  // on machines
-  // Lets every machine hang that holds a task of the job, until it is returned; how many.
+  // How many of the job's tasks are on machines.
+  std::size_t held_task_count(const std::string& job);
+  // Makes every machine that holds a task of the job hang until it is returned, and returns how
+  // many those are.
   std::size_t hang_machines_of(const std::string& job);
 
  private:
+  // What the history records of a worker when it changes.
   struct WorkerSnapshot {
     std::vector<std::pair<SharedTaskState::TaskId, std::uint64_t>> held_tasks;
     std::uint64_t incarnation = 0;
     std::uint64_t fencing_token = 0;
   };
+  // A worker whose machine is up. A thread of its own sends its reports.
   struct RunningWorker {
     std::unique_ptr<Worker> worker;
     PlacementChecker::MachineInfo machine;
     std::unique_ptr<wire::Server> order_server;
-    std::condition_variable changed;
+    std::condition_variable changed;  // used with mutex_
     bool gone = false;
-    WorkerSnapshot last_recorded;  // as the history has it
+    WorkerSnapshot last_recorded;  // the state at the last record in history_
   };
   using WorkerPtr = std::shared_ptr<RunningWorker>;
 
   wire::Response handle_cloud_request(const wire::Request& request);
-  wire::Response handle_worker_request(RunningWorker& member, const wire::Request& request);
+  wire::Response handle_worker_request(RunningWorker& worker, const wire::Request& request);
+  // Body of clock_thread_: handles the cloud's events at their times.
   void run_clock();
   void add_worker(const std::string& machine, double now);
   void remove_worker(const std::string& machine, double now);
-  void run_worker(const WorkerPtr& member);
+  // Body of a worker's thread: sends reports and waits for their responses.
+  void run_worker(const WorkerPtr& worker);
   void handle_cloud_events(double now);
   void expire_leases(double now);
-  void check_after_change(RunningWorker& member, double now);
-  void record_and_check(RunningWorker& member, double now);
-  void record_changes(RunningWorker& member, double now);
-  void record_report(const RunningWorker& member, const std::string& node, double sent_at,
+  void check_after_change(RunningWorker& worker, double now);
+  void record_and_check(RunningWorker& worker, double now);
+  // Adds to the history how the worker differs from its last record.
+  void record_changes(RunningWorker& worker, double now);
+  void record_report(const RunningWorker& worker, const std::string& node, double sent_at,
                      const wire::CallResult& answer, double now);
   void record_cloud_request(const wire::Request& request, const wire::Response& reply, double now);
 
   FleetSpec spec_;
-  std::mutex mutex_;
+  std::mutex mutex_;  // guards all up to stopping_, and what the workers consist of
   std::condition_variable changed_;
   std::mt19937_64 random_;
   Cloud cloud_;
@@ -94,8 +108,8 @@
   PlacementChecker placement_checker_;
   EventHistory history_;
   std::map<std::string, WorkerPtr> workers_;
-  double next_lease_end_ = kInfinity_s;     // no lease of a member ends before
-  std::vector<WorkerPtr> removed_workers_;  // whose doors are still to be closed
+  double next_lease_end_ = kInfinity_s;     // no worker's lease ends before
+  std::vector<WorkerPtr> removed_workers_;  // whose order servers are still to be closed
   bool stopping_ = false;
   wire::ConnectionLimiter connection_limiter_;
   std::unique_ptr<wire::Server> cloud_server_;
--- a/lab/loopback/nodes.h
+++ b/lab/loopback/nodes.h
@@ -1,4 +1,4 @@
-// Real controllers as child processes, with settings written for the lab.
+// Starts and kills real controllers beside the emulator.
 #pragma once
 
 #include <sys/types.h>
@@ -11,17 +11,20 @@
 
 namespace reachramp::lab {
 
+// Owns one child process per controller node.
 class ControllerProcesses {
  public:
-  // The platform's file of each node is written to `folder`, and so is its log.
+  // Writes the settings file of each node to `folder`, where its log goes as well. Starts none.
   ControllerProcesses(std::string program, std::string folder,
                       const std::vector<settings::Platform>& platforms);
-  ~ControllerProcesses();  // ends those that run
+  ~ControllerProcesses();  // kills those that run
   ControllerProcesses(const ControllerProcesses&) = delete;
 
-  // Throws std::system_error if the program cannot be started.
+  // Starts the node's controller. Throws std::system_error if the program can't be started.
   void start(const std::string& name);
+  // Kills it with SIGKILL, if it runs.
   void kill(const std::string& name);
+  // Whether it runs; false after it has exited by itself.
   bool is_running(const std::string& name);
 
  private:
@@ -30,7 +33,7 @@
   std::map<std::string, pid_t> pids_;  // 0: not running
 };
 
-// The platform's file, as the platform would hand it over.
+// The text of a node's settings file (TOML), as the platform hands it to a controller.
 std::string platform_toml(const settings::Platform& platform);
 
 }  // namespace reachramp::lab
--- a/lab/loopback/state_server.h
+++ b/lab/loopback/state_server.h
@@ -1,5 +1,4 @@
-// The key-value store's model behind loopback ports: one door for each node, so that troubles can
-// be one node's own.
+// Serves the emulated key-value store over loopback, in real time.
 #pragma once
 
 #include <functional>
@@ -16,33 +15,37 @@
 
 namespace reachramp::lab {
 
+// Serves each node on a port of its own, so that faults can be limited to one node.
+//
+// All functions may be called by any thread, except listen_for_node().
 class StateServer {
  public:
   StateServer(const settings::StoreLimits& limits, std::uint64_t seed);
   ~StateServer();
   StateServer(const StateServer&) = delete;
 
-  // Throws std::system_error if the port cannot be had.
+  // Serves the node's requests on the port. Throws std::system_error if it can't listen there.
   void listen_for_node(const std::string& node, std::uint16_t port);
 
-  // From now on what the filter names is not carried out and gets 503, whoever asks.
+  // From now on answers every request for which the filter returns true with 503, without executing
+  // it.
   void refuse_if(std::function<bool(const wire::Request&)> filter) {
     const std::lock_guard lock(mutex_);
     refuse_if_ = std::move(filter);
   }
 
-  // Something done to the model, or asked of it, while nothing else is.
+  // Calls `use` with the emulated store while no other thread uses it, and returns its result.
   template <class Use>
   auto with_model(Use use) {
     const std::lock_guard lock(mutex_);
-    struct Woken {
+    struct NotifyAtExit {
       std::condition_variable& changed;
-      ~Woken() { changed.notify_one(); }
-    } woken{changed_};
+      ~NotifyAtExit() { changed.notify_one(); }
+    } notify{changed_};
     return use(model_);
   }
 
-  // All transactions, with what came of them.
+  // The latest transactions and their results, a line each.
   std::vector<std::string> history() {
     const std::lock_guard lock(mutex_);
     return history_.lines();
@@ -50,11 +53,14 @@
 
  private:
   wire::Response handle_request(const std::string& node, const wire::Request& request);
+  // Body of clock_thread_: expires leases and answers watches at their times.
   void run_clock();
+  // Hands the responses that are due by `now` to the threads that wait for them.
   void deliver_watch_replies(double now);
 
   static constexpr std::size_t kMaxStateConnections = 4000;
-  // With their values, each up to the 64 KiB of a message, usually some hundred bytes.
+  // The history holds whole transactions with their values: some hundred bytes each as a rule, up
+  // to the 64 KiB of a message.
   static constexpr std::size_t kMaxRecordedTransactions = 10'000;
 
   std::mutex mutex_;
--- a/lab/model/query.h
+++ b/lab/model/query.h
@@ -1,4 +1,4 @@
-// Parameters of a request's query.
+// Reads parameters of the query part of a URL, such as `after=5&limit=100`.
 #pragma once
 
 #include <cstdint>
@@ -6,10 +6,11 @@
 
 namespace reachramp::lab {
 
-// Empty if it is not there.
+// The value of the parameter; empty if the query doesn't have it.
 std::string query_parameter(const std::string& query, const std::string& name);
-// Throws wire::BadMessage for what is no count.
+// Parses a non-negative integer. Throws wire::BadMessage, which names `field`, for anything else.
 std::uint64_t parse_count(const std::string& text, const char* field);
-std::uint64_t parse_count_or(const std::string& text, const char* field, std::uint64_t otherwise);
+// The same, but returns `fallback` for an empty text.
+std::uint64_t parse_count_or(const std::string& text, const char* field, std::uint64_t fallback);
 
 }  // namespace reachramp::lab
--- a/lab/model/worker.h
+++ b/lab/model/worker.h
@@ -1,6 +1,9 @@
-// A worker as a model: orders, answers and the time in; reports and replies out. It reads no clock
-// and opens no socket. PROTOCOL, "Workers -> controller nodes" and "Controller nodes -> workers",
-// is its specification; docs/design/lab.md maps the paragraphs to what is here.
+// Emulator of the worker on one machine. Callers pass in commands, the responses to its heartbeats
+// and the current time; it returns heartbeats and responses. It reads no clock and opens no socket.
+// Its specification is PROTOCOL, "Workers -> controller nodes" and "Controller nodes -> workers";
+// docs/design/lab.md says which part of the code implements which paragraph.
+//
+// On the wire and in names here, a heartbeat is a report and a command is an order.
 #pragma once
 
 #include <map>
@@ -16,83 +19,107 @@
 
 namespace reachramp::lab {
 
+// Runs tasks as a worker does: fetches images, starts, saves and stops tasks, reports to the
+// leader, and ends all tasks when its lease expires.
+//
+// Not safe to share between threads, nor is the SharedTaskState that it uses. `now` is in seconds
+// of any clock, the same one in every call.
 class Worker {
  public:
+  // The machine that the worker runs on.
   struct Machine {
     std::string name;
     std::string address;
     cloud::MachineType type;
     std::string zone;
     bool spot = false;
-    double speed = 1;
-    bool faulty = false;  // fails every task that it starts
+    double speed = 1;     // seconds of run time that a task gains per second
+    bool faulty = false;  // every task that starts on it fails
   };
-  // A report that is to be sent now to that node; answered() tells what came of it.
+  // A report to send to the node at once. on_report_answer() takes the result.
   struct OutgoingReport {
     std::string node;
     wire::Json report;
   };
 
-  // `nodes`: the names of all controllers.
-  Worker(Machine machine, const settings::WorkerTimings& rules, std::vector<std::string> nodes,
-         SharedTaskState& field, std::uint64_t seed, double now);
+  // `nodes`: the names of all controllers. Its first lease counts from `now`.
+  Worker(Machine machine, const settings::WorkerTimings& timings, std::vector<std::string> nodes,
+         SharedTaskState& shared_state, std::uint64_t seed, double now);
 
-  // Kills and forgets all tasks if the lease has ended by now. pass(), answered() and ask() do so
-  // first; whoever judges what is on a machine between them has to.
+  // Ends and forgets all tasks if the lease has expired by `now`. advance(), on_report_answer() and
+  // handle_request() do so first; code that checks held_tasks() between them has to call it.
   void expire_lease(double now);
+  // Executes everything that is due by `now`. Returns the report to send, if one is due.
   std::optional<OutgoingReport> advance(double now);
-  // The answer to the report in flight; not answered: none within 4 s, or no connection.
+  // Takes the result of the report in flight: a response, or none because the connection failed or
+  // none came within 4 s.
   void on_report_answer(const wire::CallResult& answer, double now);
-  // /orders and /status.
+  // Answers the leader's direct requests, /orders and /status.
   wire::Response handle_request(const wire::Request& request, double now);
+  // The latest time by which advance() has to be called again; infinite while it is hung or gone.
   double next_event_at() const;
 
-  // Troubles.
-  void on_reclaim_notice(double left_s, double now) { reclaim_at_ = now + left_s; }
+  // ---- fault injection
+  // Tells the worker that the cloud takes its machine in `remaining_s`; its reports say so.
+  void on_reclaim_notice(double remaining_s, double now) { reclaim_at_ = now + remaining_s; }
+  // Until resume(), it neither reports nor executes tasks, and its lease doesn't end them.
   void hang(double now);
   void resume(double now);
   bool is_hung() const { return hung_; }
+  // Changes the machine's speed, and whether it fails the tasks that it starts.
   void set_condition(double speed, bool faulty);
-  // The machine and all on it are gone.
+  // The machine disappears, and all tasks with it.
   void terminate(double now);
 
-  // Tasks that are on the machine: from the image on until they exit.
+  // The tasks that occupy the machine and their attempt numbers: from the moment their image is
+  // there until they exit.
   std::vector<std::pair<SharedTaskState::TaskId, std::uint64_t>> held_tasks() const;
   std::uint64_t incarnation() const { return incarnation_; }
   std::uint64_t fencing_token() const { return fencing_token_; }
-  // When the report was sent that its lease counts from.
+  // When the report was sent whose response last renewed the lease.
   double lease_starts_at() const { return lease_starts_at_; }
-  // By then tasks are lost, if no answer comes; the infinite future while it hangs or is gone.
+  // When the worker ends its tasks unless a response renews the lease; infinite while it is hung or
+  // gone.
   double lease_ends_at() const;
 
  private:
   enum class State { fetching, waiting, running, saving, exited };
+  // An attempt at a task on this machine.
   struct Attempt {
     State state = State::fetching;
-    std::string exit_cause;
+    std::string exit_cause;  // as reported; set once exited
     bool progress_saved = false;
-    double state_time = 0;  // running: progress counts from here; saving: it ends then
-    double progress_s = 0;  // at `since`
+    double state_time = 0;  // running: since when `progress_s` grows; saving: when the save ends
+    double progress_s = 0;  // running: at `state_time`; saving: what is saved
   };
+  // A task's image in the machine's cache.
   struct Image {
-    double remaining_gb = 0;  // 0: it is here
+    double remaining_gb = 0;  // still to fetch; 0: complete
     double last_used_at = 0;
   };
   using AttemptKey = std::pair<SharedTaskState::TaskId, std::uint64_t>;
 
   void execute_order(const wire::Json& order, double now);
   void start_task(const AttemptKey& key, double now);
-  void stop_task(const AttemptKey& key, Attempt& piece, double wind_down_s, double now);
-  void exit_task(const AttemptKey& key, Attempt& piece, const std::string& cause,
-                 bool kept = false);
+  void stop_task(const AttemptKey& key, Attempt& attempt, double wind_down_s, double now);
+  void exit_task(const AttemptKey& key, Attempt& attempt, const std::string& cause,
+                 bool progress_saved = false);
+  // Continues all downloads until `now`.
   void advance_fetches(double now);
+  // Removes images that no task uses, least recently used first, until `need_gb` fits.
   void evict_images(double need_gb);
-  void on_image_ready(const AttemptKey& key, Attempt& piece, double now);
+  // Starts the attempt, or ends it if there is nothing to run.
+  void on_image_ready(const AttemptKey& key, Attempt& attempt, double now);
+  // Updates the state of all attempts to `now`.
   void advance_tasks(double now);
+  // Forgets all tasks because the lease has expired, and starts a new lease.
   void begin_next_incarnation(double now);
-  double progress_at(const AttemptKey& key, const Attempt& piece, double now) const;
+  // Progress of a running attempt in seconds of run time at speed 1.
+  double progress_at(const AttemptKey& key, const Attempt& attempt, double now) const;
   bool lease_has_ended(double now) const;
+  // The machine's state and all attempts as the body of a report.
   wire::Json make_report(double now);
+  // Sends the next report to the next node, after a pause.
   void switch_node(double now);
   bool is_gang_task(const AttemptKey& key) const;
 
@@ -107,15 +134,15 @@
   std::uint64_t incarnation_ = 1, tick_ = 0, fencing_token_ = 0;
   double lease_starts_at_;
   double reclaim_at_ = kInfinity_s;
-  std::size_t current_node_ = 0;
+  std::size_t current_node_ = 0;  // index in nodes_; gets the reports
   bool report_in_flight_ = false;
-  std::uint64_t sent_incarnation_ = 0;
-  double report_sent_at_ = 0;
+  std::uint64_t sent_incarnation_ = 0;  // of the report in flight
+  double report_sent_at_ = 0;           // of the report in flight
   double next_report_at_;
-  double no_report_before_ = -kInfinity_s;  // after a node that did not answer
+  double no_report_before_ = -kInfinity_s;  // set by switch_node()
   double last_report_at_ = -kInfinity_s;
   double fencing_token_reported_at_ = -kInfinity_s;
-  bool unreported_change_ = false;
+  bool unreported_change_ = false;  // something changed since the last report
   bool hung_ = false;
   bool terminated_ = false;
 };
