--- a/lab/model/cloud.cpp
+++ b/lab/model/cloud.cpp
@@ -15,17 +15,25 @@
 
 namespace {
 
-// All from PROTOCOL.
+// Set by PROTOCOL.
 constexpr std::uint64_t kMaxMachinesPerRent = 50;
 constexpr std::uint64_t kMaxMachinesPerListPage = 500;
+// Requests may come in bursts of this many seconds' worth.
 constexpr double kRequestBurst_s = 2;
+// Boot times vary between these multiples of the type's nominal one.
 constexpr double kMinBootFactor = 0.6, kMaxBootFactor = 1.5;
+// Spot prices move by this share around the catalog's price, up and down.
 constexpr double kSpotPriceAmplitude = 1.0 / 3;
+// A machine that is returned is charged for at least this long.
 constexpr double kMinCharge_s = 60;
+// Lists show a crashed machine as running until this much later.
 constexpr double kCrashListedAfter_s = 30;
-constexpr double kNoticeJitter = 0.5;  // half as long to half as long again
-// Ours: how fast prices swing, and how often a list is older than its lag.
+// A reclaim notice varies by this share: 0.5 to 1.5 times the nominal one.
+constexpr double kNoticeJitter = 0.5;
+// Choices of the emulator, which PROTOCOL leaves open.
+// Period of the sine along which spot prices move.
 constexpr double kSpotPricePeriod_s = 900;
+// Share of lists that lag by more than the nominal list_lag_s, up to twice as much.
 constexpr double kStaleListShare = 0.2;
 constexpr double kInfinity_s = std::numeric_limits<double>::infinity();
 
@@ -65,10 +73,10 @@
 }
 
 double Cloud::spot_price(const cloud::MachineType& type, double now) const {
-  // Types move one after another, so that some rise while others fall.
-  const auto place = std::find_if(spec_.catalog.begin(), spec_.catalog.end(),
+  // Each type's price is shifted in phase, so that some rise while others fall.
+  const auto entry = std::find_if(spec_.catalog.begin(), spec_.catalog.end(),
                                   [&](const auto& other) { return other.name == type.name; });
-  const double shift = static_cast<double>(place - spec_.catalog.begin());
+  const double shift = static_cast<double>(entry - spec_.catalog.begin());
   return type.spot_price_per_hour *
          (1 + kSpotPriceAmplitude *
                   std::sin(price_phase_ + shift + 2 * std::numbers::pi * now / kSpotPricePeriod_s));
@@ -100,12 +108,12 @@
     return {400, {{"error", "no such machines"}}};
   }
   const auto capacity = spec_.capacity.find(pool);
-  const int room =
+  const int available =
       capacity == spec_.capacity.end() ? 0 : capacity->second - rented_count(pool, now);
-  // Not remembered: the same request can be sent again.
-  if (room <= 0) return {503, {{"error", "no capacity"}}};
+  // A refusal is not recorded, so the same request may succeed later.
+  if (available <= 0) return {503, {{"error", "no capacity"}}};
   std::vector<std::string> names;
-  for (int i = 0; i < std::min(room, static_cast<int>(wanted)); ++i) {
+  for (int i = 0; i < std::min(available, static_cast<int>(wanted)); ++i) {
     names.push_back(create_machine(*type, pool, now).name);
   }
   granted_requests_[name] = names;
@@ -128,7 +136,7 @@
     machine.reclaimed_at =
         now + std::exponential_distribution<double>(spec_.spot_reclaims_per_hour / 3600)(random_);
     machine.notice_settled =
-        random_chance(spec_.unannounced_reclaim_share);  // as good as told: none will come
+        random_chance(spec_.unannounced_reclaim_share);  // counts as sent, so that none is sent
   }
   return machines_[machine.name] = machine;
 }
@@ -159,7 +167,8 @@
   bool truncated = false;
   for (auto at = machines_.upper_bound(after); at != machines_.end(); ++at) {
     Machine& machine = at->second;
-    // Once listed, a machine stays listed until it is gone.
+    // Lists may lag and go back in time, but a machine that was listed once stays listed until it
+    // is returned or reclaimed.
     if ((machine.rented_at > as_of && !machine.was_listed) || machine.terminated_at <= as_of)
       continue;
     if (hosts.size() == max_machines) {
@@ -196,8 +205,8 @@
   std::vector<Event> events;
   for (auto& [name, machine] : machines_) {
     if (machine.gone_reported) continue;
-    const double warn_at = machine.reclaimed_at - spec_.nominal_notice_s;
-    if (!machine.notice_settled && warn_at <= now) {
+    const double notice_at = machine.reclaimed_at - spec_.nominal_notice_s;
+    if (!machine.notice_settled && notice_at <= now) {
       machine.notice_settled = true;
       const double left = std::max(machine.reclaimed_at - now, 0.0) *
                           random_between(1 - kNoticeJitter, 1 + kNoticeJitter);
@@ -237,7 +246,7 @@
   double seconds = std::max(0.0, end - machine.rented_at);
   if (machine.terminated_at <= now) seconds = std::max(seconds, kMinCharge_s);
   if (!machine.spot) return seconds * type->price_per_hour / 3600;
-  // Spot machines are charged the current price all along: its mean over the time.
+  // A spot machine is charged the price of each moment. The mean of samples approximates this.
   constexpr int kSteps = 16;
   double mean = 0;
   for (int i = 0; i < kSteps; ++i) {
--- a/lab/model/field.cpp
+++ b/lab/model/field.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A gang has one progress, kept under its first task.
+// A gang has a single progress for all members, stored under its first task.
 SharedTaskState::TaskId gang_progress_key(const std::string& job) { return {job, 0}; }
 
 }  // namespace
@@ -30,9 +30,9 @@
   return at == saved_progress_s_.end() ? 0 : at->second;
 }
 
-void SharedTaskState::save_progress(const TaskId& task, double progress) {
-  double& kept = saved_progress_s_[task];
-  kept = std::max(kept, progress);
+void SharedTaskState::save_progress(const TaskId& task, double progress_s) {
+  double& saved = saved_progress_s_[task];
+  saved = std::max(saved, progress_s);
 }
 
 const SharedTaskState::Gang* SharedTaskState::find_gang(const TaskId& task,
@@ -83,12 +83,13 @@
   return last;
 }
 
-// Progress since the last checkpoint is lost.
+// The progress since the last periodic checkpoint is lost.
 void SharedTaskState::record_lost_member(Gang& gang, const std::string& id, double now) {
   if (gang.started_at == kInfinity_s || gang.member_lost_at != kInfinity_s) return;
-  const double every = jobs_.at(id).spec.checkpoint_interval_s;
-  if (every > 0)
-    save_progress(gang_progress_key(id), std::floor(gang_progress_at(gang, now) / every) * every);
+  const double interval_s = jobs_.at(id).spec.checkpoint_interval_s;
+  if (interval_s > 0)
+    save_progress(gang_progress_key(id),
+                  std::floor(gang_progress_at(gang, now) / interval_s) * interval_s);
   gang.member_lost_at = now;
 }
 
@@ -106,7 +107,7 @@
     save_progress(gang_progress_key(id), gang_progress_at(gang, now));
     gang.progress_saved = true;
   } else if (at == kInfinity_s && now > gang.first_stop_at + timings_.gang_peer_s) {
-    record_lost_member(gang, id, now);  // not all were told in time: the save fails
+    record_lost_member(gang, id, now);  // a member got its stop order too late: the save fails
   }
 }
 
@@ -132,7 +133,8 @@
   apply_elapsed_time(gang, task.job, now);
   const auto member = gang.members.find(task.task);
   if (member == gang.members.end()) return;
-  // Before the gang has started the rest keep waiting, and a replacement completes it.
+  // If the gang has not started yet, the other members go on waiting, and a replacement for the
+  // lost one can complete it.
   if (gang.started_at == kInfinity_s) {
     gang.members.erase(member);
     return;
--- a/lab/model/state_service.cpp
+++ b/lab/model/state_service.cpp
@@ -14,13 +14,17 @@
 
 namespace {
 
-// All from PROTOCOL.
+// Limits set by PROTOCOL.
+// Changes that the log holds; a watch from an older revision fails.
 constexpr std::size_t kMaxLogEntries = 10000;
+// One page of a list.
 constexpr std::size_t kMaxListEntries = 1000;
 constexpr std::size_t kMaxList_bytes = 512 * 1024;
 constexpr std::size_t kMaxTransaction_bytes = 64 * 1024;
 constexpr std::size_t kMaxKey_bytes = 200;
+// Preconditions of a transaction, as a multiple of its allowed writes.
 constexpr std::size_t kMaxPreconditionsPerOp = 4;
+// By how much a lease may expire late.
 constexpr double kMaxExpiryDelay_s = 0.1;
 constexpr std::uint64_t kMinLeaseLifetime_ms = 100;
 constexpr std::uint64_t kMaxLeaseLifetime_ms = 600000;
@@ -38,7 +42,8 @@
   return key;
 }
 
-// A list that may be left out; its items are maps.
+// Returns the list of maps in the field; an empty list if the body lacks the field. Throws
+// wire::BadMessage if it is anything else.
 const Json& optional_map_list(const Json& body, const char* field) {
   static const Json none = Json::array();
   if (wire::find(body, field) == nullptr) return none;
@@ -85,7 +90,7 @@
 void StateService::end_outage(double now) {
   if (!outage_since_) return;
   outage_since_.reset();
-  for (auto& [id, lease_id] : leases_) lease_id.expires_at = draw_expiry(lease_id, now);
+  for (auto& [id, lease] : leases_) lease.expires_at = draw_expiry(lease, now);
 }
 
 void StateService::set_refused(const std::string& node, bool refused) {
@@ -97,13 +102,14 @@
   store_revision_ = backup.store_revision;
   change_log_ = std::move(backup.change_log);
   last_dropped_revision_ = change_log_.empty() ? store_revision_ : change_log_.front().revision - 1;
-  // Permits are of the service's own memory: those that hold nothing any more just run out.
+  // Leases are not part of a backup: the service keeps the current ones, and those without keys
+  // just expire. Restored keys of leases that no longer exist are detached.
   for (auto& [key, item] : items_) {
     if (item.lease_id != 0 && !leases_.contains(item.lease_id)) item.lease_id = 0;
   }
 }
 
-// Late by up to a tenth of a second, never early.
+// Late by up to 0.1 s, never early.
 double StateService::draw_expiry(const Lease& lease, double now) {
   return now + lease.lifetime_s +
          std::uniform_real_distribution<double>(0, kMaxExpiryDelay_s)(random_);
@@ -169,7 +175,7 @@
   if (wire::json_size(body) > kMaxTransaction_bytes) return bad_request("too large");
   const kv::Transaction transaction = decode(body);
   if (too_large(transaction)) return bad_request("too large");
-  // Transactions whose conditions fail are counted as well.
+  // Writes of transactions whose preconditions fail count against the rate as well.
   const auto writes = static_cast<double>(transaction.writes.size());
   if (writes > 0 && write_bucket_.take(writes, now) > 0)
     return {429, {{"error", "too many changes"}}};
@@ -259,10 +265,10 @@
   return found;
 }
 
-std::uint64_t StateService::grant_lease(double life_s, double now) {
-  Lease lease_id{life_s, 0};
-  lease_id.expires_at = draw_expiry(lease_id, now);
-  leases_[++last_lease_id_] = lease_id;
+std::uint64_t StateService::grant_lease(double lifetime_s, double now) {
+  Lease lease{lifetime_s, 0};
+  lease.expires_at = draw_expiry(lease, now);
+  leases_[++last_lease_id_] = lease;
   return last_lease_id_;
 }
 
@@ -290,7 +296,7 @@
   if (renews) id.resize(id.size() - renew.size());
   if (!renews && request.method != "DELETE") return bad_request("no such request");
   const auto at = leases_.find(parse_count(id, "permit"));
-  // One that is over is gone, also if its keys are not removed yet.
+  // An unknown lease has expired or never existed.
   if (at == leases_.end()) return {404, Json::object()};
   if (renews) {
     at->second.expires_at = draw_expiry(at->second, now);
@@ -329,15 +335,15 @@
   return {200, {{"epoch", store_revision_}, {"log", std::move(log)}}};
 }
 
-// During an outage leases do not end, and open watches stay open.
+// During an outage no lease expires and no watch is answered.
 std::vector<StateService::WatchReply> StateService::advance(double now) {
-  std::vector<WatchReply> told;
-  if (outage_since_) return told;
-  std::vector<std::uint64_t> over;
-  for (const auto& [id, lease_id] : leases_) {
-    if (lease_id.expires_at <= now) over.push_back(id);
+  std::vector<WatchReply> replies;
+  if (outage_since_) return replies;
+  std::vector<std::uint64_t> expired;
+  for (const auto& [id, lease] : leases_) {
+    if (lease.expires_at <= now) expired.push_back(id);
   }
-  for (const std::uint64_t id : over) revoke_lease(id);
+  for (const std::uint64_t id : expired) revoke_lease(id);
   for (auto at = watches_.begin(); at != watches_.end();) {
     const Watch& watch = at->second;
     const auto found = changes_after(watch.prefix, watch.after_revision);
@@ -345,16 +351,16 @@
       ++at;
       continue;
     }
-    told.push_back({at->first, watch_response(watch)});
+    replies.push_back({at->first, watch_response(watch)});
     at = watches_.erase(at);
   }
-  return told;
+  return replies;
 }
 
 double StateService::next_event_at() const {
   double due = std::numeric_limits<double>::infinity();
   if (outage_since_) return due;
-  for (const auto& [id, lease_id] : leases_) due = std::min(due, lease_id.expires_at);
+  for (const auto& [id, lease] : leases_) due = std::min(due, lease.expires_at);
   for (const auto& [id, watch] : watches_) due = std::min(due, watch.answer_by);
   return due;
 }
--- a/lab/model/worker.cpp
+++ b/lab/model/worker.cpp
@@ -11,12 +11,18 @@
 
 namespace {
 
-// All from PROTOCOL.
+// Set by PROTOCOL.
+// Report intervals vary by up to this share, up or down.
 constexpr double kReportIntervalJitter = 0.25;
+// Between two reports, however much changes.
 constexpr double kMinReportGap_s = 0.5;
+// Pause before reporting to another node because one did not answer.
 constexpr double kNodeSwitchDelay_s = 1;
+// A report to the node named in a 421 follows after a random delay up to this.
 constexpr double kMaxRedirectDelay_s = 0.5;
+// A new fencing token causes an early report at most once in this many lease times.
 constexpr double kMinTokenReportGapInLeases = 0.5;
+// Differences up to this are rounding errors: in GB of an image, in seconds of progress.
 constexpr double kRoundingTolerance = 1e-9;
 
 SharedTaskState::TaskId parse_task_id(const std::string& name) {
@@ -32,13 +38,13 @@
 
 }  // namespace
 
-Worker::Worker(Machine machine, const settings::WorkerTimings& rules,
-               std::vector<std::string> nodes, SharedTaskState& field, std::uint64_t seed,
+Worker::Worker(Machine machine, const settings::WorkerTimings& timings,
+               std::vector<std::string> nodes, SharedTaskState& shared_state, std::uint64_t seed,
                double now)
     : machine_(std::move(machine)),
-      timings_(rules),
+      timings_(timings),
       nodes_(std::move(nodes)),
-      shared_state_(field),
+      shared_state_(shared_state),
       random_(seed),
       fetches_advanced_at_(now),
       lease_starts_at_(now),
@@ -71,12 +77,13 @@
 void Worker::start_task(const AttemptKey& key, double now) {
   unreported_change_ = true;
   const SharedTaskState::Job* job = shared_state_.find_job(key.first.job);
-  Attempt& piece = attempts_[key];
-  if (job == nullptr || key.first.task >= job->spec.tasks) return exit_task(key, piece, "no_such");
+  Attempt& attempt = attempts_[key];
+  if (job == nullptr || key.first.task >= job->spec.tasks)
+    return exit_task(key, attempt, "no_such");
   double cpus = job->spec.cpus, gpus = job->spec.gpus, ram = job->spec.ram_gb;
-  for (const auto& [other, held] : attempts_) {
-    if (held.state == State::exited || &held == &piece) continue;
-    if (other.first == key.first) return exit_task(key, piece, "in_use");
+  for (const auto& [other, other_attempt] : attempts_) {
+    if (other_attempt.state == State::exited || &other_attempt == &attempt) continue;
+    if (other.first == key.first) return exit_task(key, attempt, "in_use");
     const jobs::Spec& spec = shared_state_.find_job(other.first.job)->spec;
     cpus += spec.cpus;
     gpus += spec.gpus;
@@ -84,7 +91,7 @@
   }
   if (cpus > machine_.type.cpus + 1e-6 || gpus > machine_.type.gpus + 1e-6 ||
       ram > machine_.type.ram_gb + 1e-6) {
-    return exit_task(key, piece, "full");
+    return exit_task(key, attempt, "full");
   }
   const auto [image, fresh] = images_.try_emplace(job->spec.image);
   if (fresh) {
@@ -92,13 +99,13 @@
     image->second.remaining_gb = job->spec.image_gb;
   }
   image->second.last_used_at = now;
-  if (image->second.remaining_gb <= kRoundingTolerance) on_image_ready(key, piece, now);
+  if (image->second.remaining_gb <= kRoundingTolerance) on_image_ready(key, attempt, now);
 }
 
-// The most recently used images stay, as far as the cache holds them.
+// Images that an unfinished attempt uses always stay, even if the cache is too small for them.
 void Worker::evict_images(double need_gb) {
   const auto size = [&](const std::string& image) {
-    for (const auto& [key, piece] : attempts_) {
+    for (const auto& [key, attempt] : attempts_) {
       const SharedTaskState::Job* job = shared_state_.find_job(key.first.job);
       if (job != nullptr && job->spec.image == image) return job->spec.image_gb;
     }
@@ -110,9 +117,9 @@
       return entry.second.state != State::exited && job != nullptr && job->spec.image == image;
     });
   };
-  double held = need_gb;
-  for (const auto& [name, image] : images_) held += size(name);
-  while (held > machine_.type.cache_gb) {
+  double used_gb = need_gb;
+  for (const auto& [name, image] : images_) used_gb += size(name);
+  while (used_gb > machine_.type.cache_gb) {
     auto oldest = images_.end();
     for (auto at = images_.begin(); at != images_.end(); ++at) {
       if (!in_use(at->first) &&
@@ -121,68 +128,71 @@
       }
     }
     if (oldest == images_.end()) return;
-    held -= size(oldest->first);
+    used_gb -= size(oldest->first);
     images_.erase(oldest);
   }
 }
 
-void Worker::on_image_ready(const AttemptKey& key, Attempt& piece, double now) {
+void Worker::on_image_ready(const AttemptKey& key, Attempt& attempt, double now) {
   const SharedTaskState::Job& job = *shared_state_.find_job(key.first.job);
   unreported_change_ = true;
-  if (shared_state_.is_done(key.first)) return exit_task(key, piece, "done");
-  if (machine_.faulty || job.fails) return exit_task(key, piece, "error");
+  if (shared_state_.is_done(key.first)) return exit_task(key, attempt, "done");
+  if (machine_.faulty || job.fails) return exit_task(key, attempt, "error");
   if (is_gang_task(key)) {
-    piece.state = State::waiting;
+    attempt.state = State::waiting;
     shared_state_.join_gang(key.first, key.second, machine_.speed, now);
     return;
   }
-  piece.state = State::running;
-  piece.state_time = now;
-  piece.progress_s = shared_state_.saved_progress_s(key.first);
+  attempt.state = State::running;
+  attempt.state_time = now;
+  attempt.progress_s = shared_state_.saved_progress_s(key.first);
 }
 
-double Worker::progress_at(const AttemptKey& key, const Attempt& piece, double now) const {
+double Worker::progress_at(const AttemptKey& key, const Attempt& attempt, double now) const {
   const double run_s = shared_state_.find_job(key.first.job)->run_time_s;
-  const double gained = piece.progress_s + machine_.speed * std::max(0.0, now - piece.state_time);
+  const double gained =
+      attempt.progress_s + machine_.speed * std::max(0.0, now - attempt.state_time);
   const bool service = shared_state_.find_job(key.first.job)->spec.shape == jobs::Shape::service;
   return service ? gained : std::min(run_s, gained);
 }
 
-void Worker::stop_task(const AttemptKey& key, Attempt& piece, double wind_down_s, double now) {
-  if (piece.state == State::exited) return;
+void Worker::stop_task(const AttemptKey& key, Attempt& attempt, double grace_period_s, double now) {
+  if (attempt.state == State::exited) return;
   const jobs::Spec& spec = shared_state_.find_job(key.first.job)->spec;
-  const bool saves = spec.checkpoint_interval_s > 0 && wind_down_s >= spec.checkpoint_duration_s;
+  const bool saves = spec.checkpoint_interval_s > 0 && grace_period_s >= spec.checkpoint_duration_s;
   unreported_change_ = true;
-  if (piece.state == State::running && saves) {
+  if (attempt.state == State::running && saves) {
     if (is_gang_task(key)) {
       shared_state_.stop_gang_task(key.first, key.second, true, now);
     } else {
-      piece.progress_s = progress_at(key, piece, now);
+      attempt.progress_s = progress_at(key, attempt, now);
     }
-    piece.state = State::saving;
-    piece.state_time = now + spec.checkpoint_duration_s;
+    attempt.state = State::saving;
+    attempt.state_time = now + spec.checkpoint_duration_s;
     return;
   }
-  // A task that is saving goes on, unless it is told to end at once.
-  if (piece.state == State::saving && wind_down_s > 0) return;
+  // A save that has begun continues, unless the new order demands an immediate end.
+  if (attempt.state == State::saving && grace_period_s > 0) return;
   if (is_gang_task(key)) shared_state_.stop_gang_task(key.first, key.second, false, now);
-  exit_task(key, piece, "halted");
+  exit_task(key, attempt, "halted");
 }
 
-void Worker::exit_task(const AttemptKey&, Attempt& piece, const std::string& cause, bool kept) {
-  piece.state = State::exited;
-  piece.exit_cause = cause;
-  piece.progress_saved = kept;
+void Worker::exit_task(const AttemptKey&, Attempt& attempt, const std::string& cause,
+                       bool progress_saved) {
+  attempt.state = State::exited;
+  attempt.exit_cause = cause;
+  attempt.progress_saved = progress_saved;
   unreported_change_ = true;
 }
 
-// Images that are fetched at the same time share the rate; one that no task waits for is given up.
+// Images that are fetched at the same time share the machine's rate equally. An incomplete image
+// that no task waits for any more is dropped.
 void Worker::advance_fetches(double now) {
   double passed = now - std::exchange(fetches_advanced_at_, now);
   for (;;) {
     std::map<std::string, double> wanted;
-    for (const auto& [key, piece] : attempts_) {
-      if (piece.state != State::fetching) continue;
+    for (const auto& [key, attempt] : attempts_) {
+      if (attempt.state != State::fetching) continue;
       const std::string& image = shared_state_.find_job(key.first.job)->spec.image;
       wanted[image] = images_[image].remaining_gb;
     }
@@ -196,13 +206,13 @@
     passed -= step;
     const double at = now - passed;
     for (const auto& [image, left] : wanted) images_[image].remaining_gb = left - step * each;
-    for (auto& [key, piece] : attempts_) {
-      if (piece.state != State::fetching) continue;
+    for (auto& [key, attempt] : attempts_) {
+      if (attempt.state != State::fetching) continue;
       Image& image = images_[shared_state_.find_job(key.first.job)->spec.image];
       if (image.remaining_gb > kRoundingTolerance) continue;
       image.remaining_gb = 0;
       image.last_used_at = at;
-      on_image_ready(key, piece, at);
+      on_image_ready(key, attempt, at);
     }
     if (passed <= 0) return;
   }
@@ -210,47 +220,48 @@
 
 void Worker::advance_tasks(double now) {
   advance_fetches(now);
-  for (auto& [key, piece] : attempts_) {
-    if (piece.state == State::exited || piece.state == State::fetching) continue;
+  for (auto& [key, attempt] : attempts_) {
+    if (attempt.state == State::exited || attempt.state == State::fetching) continue;
     const SharedTaskState::Job& job = *shared_state_.find_job(key.first.job);
     if (is_gang_task(key)) {
       switch (shared_state_.gang_task_state(key.first, key.second, now)) {
         case SharedTaskState::GangTaskState::waiting:
           break;
         case SharedTaskState::GangTaskState::running:
-          if (piece.state == State::waiting) {
-            piece.state = State::running;
+          if (attempt.state == State::waiting) {
+            attempt.state = State::running;
             unreported_change_ = true;
           }
           break;
         case SharedTaskState::GangTaskState::done:
-          exit_task(key, piece, "done");
+          exit_task(key, attempt, "done");
           break;
         case SharedTaskState::GangTaskState::stopped_and_saved:
-          exit_task(key, piece, "halted", true);
+          exit_task(key, attempt, "halted", true);
           break;
         case SharedTaskState::GangTaskState::peers_lost:
-          exit_task(key, piece, "mates_gone");
+          exit_task(key, attempt, "mates_gone");
           break;
         case SharedTaskState::GangTaskState::incomplete:
           shared_state_.lose_gang_task(key.first, key.second, now);
-          exit_task(key, piece, "incomplete");
+          exit_task(key, attempt, "incomplete");
           break;
       }
       continue;
     }
-    if (piece.state == State::saving) {
-      if (now < piece.state_time) continue;
-      shared_state_.save_progress(key.first, piece.progress_s);
-      exit_task(key, piece, "halted", true);
+    if (attempt.state == State::saving) {
+      if (now < attempt.state_time) continue;
+      shared_state_.save_progress(key.first, attempt.progress_s);
+      exit_task(key, attempt, "halted", true);
       continue;
     }
-    const double reached = progress_at(key, piece, now);
-    const double every = job.spec.checkpoint_interval_s;
-    if (every > 0) shared_state_.save_progress(key.first, std::floor(reached / every) * every);
+    const double reached = progress_at(key, attempt, now);
+    const double interval_s = job.spec.checkpoint_interval_s;
+    if (interval_s > 0)
+      shared_state_.save_progress(key.first, std::floor(reached / interval_s) * interval_s);
     if (job.spec.shape != jobs::Shape::service && reached >= job.run_time_s - kRoundingTolerance) {
       shared_state_.mark_done(key.first);
-      exit_task(key, piece, "done");
+      exit_task(key, attempt, "done");
     }
   }
 }
@@ -258,14 +269,14 @@
 // ---- leases, reports, direct orders
 
 void Worker::begin_next_incarnation(double now) {
-  for (auto& [key, piece] : attempts_) {
-    if (piece.state != State::exited && is_gang_task(key))
+  for (auto& [key, attempt] : attempts_) {
+    if (attempt.state != State::exited && is_gang_task(key))
       shared_state_.lose_gang_task(key.first, key.second, now);
   }
   attempts_.clear();
   ++incarnation_;
   lease_starts_at_ = now;
-  report_in_flight_ = false;  // its answer belongs to the session before
+  report_in_flight_ = false;  // its response belongs to the previous incarnation
   unreported_change_ = true;
 }
 
@@ -308,12 +319,12 @@
                                                     {State::saving, "flushing"},
                                                     {State::exited, "exited"}};
   Json pieces = Json::array();
-  for (const auto& [key, piece] : attempts_) {
+  for (const auto& [key, attempt] : attempts_) {
     Json item{{"piece", key.first.job + "/" + std::to_string(key.first.task)},
               {"try", key.second},
-              {"phase", kPhases.at(piece.state)}};
-    if (piece.state == State::exited) item["cause"] = piece.exit_cause;
-    if (piece.progress_saved) item["kept"] = true;
+              {"phase", kPhases.at(attempt.state)}};
+    if (attempt.state == State::exited) item["cause"] = attempt.exit_cause;
+    if (attempt.progress_saved) item["kept"] = true;
     pieces.push_back(std::move(item));
   }
   Json made{{"host", machine_.name},
@@ -350,7 +361,8 @@
   }
   if (!answer.received_response || answer.status != 200) return switch_node(now);
   try {
-    // A lower token or none: dropped, and the lease is not renewed.
+    // A response with a lower fencing token or none comes from a deposed leader: its commands are
+    // ignored, and it doesn't renew the lease.
     const Json* fencing_token = wire::find(answer.body, "baton");
     if (fencing_token == nullptr || wire::count(answer.body, "baton") < fencing_token_) return;
     const std::uint64_t token = wire::count(answer.body, "baton");
@@ -378,7 +390,7 @@
   if (token < fencing_token_ || wire::count(body, "tenure") != incarnation_)
     return {409, make_report(now)};
   if (token > std::exchange(fencing_token_, token)) unreported_change_ = true;
-  // Direct orders do not renew the lease.
+  // Unlike the response to a report, a direct order does not renew the lease.
   for (const Json& order : wire::list(body, "orders")) execute_order(order, now);
   advance_tasks(now);
   return {200, make_report(now)};
@@ -395,9 +407,9 @@
       static_cast<double>(std::count_if(images_.begin(), images_.end(), [](const auto& i) {
         return i.second.remaining_gb > kRoundingTolerance;
       }));
-  for (const auto& [key, piece] : attempts_) {
+  for (const auto& [key, attempt] : attempts_) {
     const SharedTaskState::Job* job = shared_state_.find_job(key.first.job);
-    switch (piece.state) {
+    switch (attempt.state) {
       case State::exited:
         break;
       case State::fetching:
@@ -407,30 +419,31 @@
       default:
         if (is_gang_task(key)) {
           due = std::min(due, shared_state_.next_gang_change_at(key.first, key.second));
-        } else if (piece.state == State::saving) {
-          due = std::min(due, piece.state_time);
+        } else if (attempt.state == State::saving) {
+          due = std::min(due, attempt.state_time);
         } else if (job->spec.shape != jobs::Shape::service) {
-          due = std::min(due,
-                         piece.state_time + (job->run_time_s - piece.progress_s) / machine_.speed);
+          due = std::min(
+              due, attempt.state_time + (job->run_time_s - attempt.progress_s) / machine_.speed);
         }
     }
   }
   return due;
 }
 
-// ---- troubles
+// ---- fault injection
 
-// It does not execute its tasks meanwhile; gangs notice, arrays just lose the time.
+// While the worker hangs, its tasks make no progress. A gang loses the member; a task of an array
+// only loses the time.
 void Worker::hang(double now) {
   if (terminated_ || hung_) return;
   advance_tasks(now);
   hung_ = true;
-  for (auto& [key, piece] : attempts_) {
-    if (piece.state == State::exited) continue;
+  for (auto& [key, attempt] : attempts_) {
+    if (attempt.state == State::exited) continue;
     if (is_gang_task(key)) {
       shared_state_.lose_gang_task(key.first, key.second, now);
-    } else if (piece.state == State::running) {
-      piece.progress_s = progress_at(key, piece, now);
+    } else if (attempt.state == State::running) {
+      attempt.progress_s = progress_at(key, attempt, now);
     }
   }
 }
@@ -439,8 +452,8 @@
   if (terminated_ || !std::exchange(hung_, false)) return;
   fetches_advanced_at_ = now;
   report_in_flight_ = false;
-  for (auto& [key, piece] : attempts_) {
-    if (piece.state == State::running && !is_gang_task(key)) piece.state_time = now;
+  for (auto& [key, attempt] : attempts_) {
+    if (attempt.state == State::running && !is_gang_task(key)) attempt.state_time = now;
   }
 }
 
@@ -451,8 +464,8 @@
 
 void Worker::terminate(double now) {
   if (terminated_) return;
-  for (auto& [key, piece] : attempts_) {
-    if (piece.state != State::exited && is_gang_task(key))
+  for (auto& [key, attempt] : attempts_) {
+    if (attempt.state != State::exited && is_gang_task(key))
       shared_state_.lose_gang_task(key.first, key.second, now);
   }
   attempts_.clear();
@@ -461,8 +474,8 @@
 
 std::vector<std::pair<SharedTaskState::TaskId, std::uint64_t>> Worker::held_tasks() const {
   std::vector<AttemptKey> found;
-  for (const auto& [key, piece] : attempts_) {
-    if (piece.state != State::exited && piece.state != State::fetching) found.push_back(key);
+  for (const auto& [key, attempt] : attempts_) {
+    if (attempt.state != State::exited && attempt.state != State::fetching) found.push_back(key);
   }
   return found;
 }
--- a/lab/model/worker.h
+++ b/lab/model/worker.h
@@ -101,7 +101,7 @@
 
   void execute_order(const wire::Json& order, double now);
   void start_task(const AttemptKey& key, double now);
-  void stop_task(const AttemptKey& key, Attempt& attempt, double wind_down_s, double now);
+  void stop_task(const AttemptKey& key, Attempt& attempt, double grace_period_s, double now);
   void exit_task(const AttemptKey& key, Attempt& attempt, const std::string& cause,
                  bool progress_saved = false);
   // Continues all downloads until `now`.
