--- a/lab/loopback/balancer.cpp
+++ b/lab/loopback/balancer.cpp
@@ -7,8 +7,9 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t kMaxUserConnections = 2000;
+// Connections kept open to each node for reuse.
 constexpr std::size_t kMaxIdleConnectionsPerNode = 64;
-constexpr std::size_t kMaxNodesTried = 3;  // PROTOCOL: up to three nodes in all
+constexpr std::size_t kMaxNodesTried = 3;  // set by PROTOCOL
 constexpr auto kForwardTimeout = 5s;
 
 }  // namespace
@@ -34,7 +35,7 @@
       const jobs::Spec spec = jobs::decode_spec(*body);
       fleet_.upload({spec, run_time_(spec), false});
     } catch (const wire::BadMessage&) {
-      // Nothing that a worker could fetch; the node says what is wrong.
+      // The job is invalid, so no worker will need it. The node's response states the error.
     }
   }
   for (std::size_t i = 0; i < std::min(kMaxNodesTried, nodes_.size()); ++i) {
@@ -42,7 +43,8 @@
     const wire::CallResult answer =
         node.call(request.method.c_str(), request.path, body ? &*body : nullptr, kForwardTimeout);
     if (answer.received_response) return {answer.status, answer.body, answer.retry_after_s};
-    // What a node may have begun is not for another one to repeat: users do that, by the same id.
+    // If the node may have received the request, another one must not repeat it. The user repeats
+    // it, with the same job id.
     if (answer.may_have_been_sent) break;
   }
   return {504, {{"error", "no node answers"}}, 1};
--- a/lab/loopback/child_process.cpp
+++ b/lab/loopback/child_process.cpp
@@ -28,7 +28,7 @@
   return made;
 }
 
-// As the C interface wants it: pointers that end with null.
+// Returns the null-terminated array of C strings that posix_spawn() expects.
 std::vector<char*> pointers_to(std::vector<std::string>& texts) {
   std::vector<char*> pointers;
   for (std::string& text : texts) pointers.push_back(text.data());
@@ -36,7 +36,8 @@
   return pointers;
 }
 
-// The signal that comes with the limit is ignored, here and so in the child: writes fail instead.
+// Limits the size of every file that the child writes. spawn() ignores SIGXFSZ in this process and
+// so in the child, which inherits it: a write past the limit fails instead of killing the child.
 void limit_file_size(pid_t child, std::size_t max_bytes) {
   const rlimit limit{max_bytes, max_bytes};
   ::prlimit(child, RLIMIT_FSIZE, &limit, nullptr);
--- a/lab/loopback/fleet_server.cpp
+++ b/lab/loopback/fleet_server.cpp
@@ -14,13 +14,16 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t kMaxFleetConnections = 4000;
-constexpr auto kReportTimeout = 4000ms;  // PROTOCOL
+constexpr auto kReportTimeout = 4000ms;  // set by PROTOCOL
+// Threads that wait for the next event of an emulator wake up within these limits.
 constexpr double kMaxClockWait_s = 1;
 constexpr double kMinClockWait_s = 0.002;
+// For how long a worker's thread is kept for reuse after its worker has gone.
 constexpr auto kThreadIdleTime = 2s;
-// Of the history: reports that were answered sooner, with 200 and no order, are not noted; so much
-// before a rule is broken, and after it, is told with it.
+// Reports that get an answer sooner than this, with status 200 and without orders, are left out of
+// the history.
 constexpr double kSlowReport_s = 0.5;
+// The period around a violation whose events are given with it.
 constexpr double kHistoryBefore_s = 20;
 constexpr double kHistoryAfter_s = 2;
 
@@ -32,7 +35,7 @@
   return std::chrono::duration<double>(std::clamp(due - now, kMinClockWait_s, kMaxClockWait_s));
 }
 
-// Each worker has an address of its own: 127.0.0.0/8 has room for all.
+// Gives each worker a loopback address of its own, with the same port; 127.0.0.0/8 has enough.
 CloudSpec with_addresses(CloudSpec spec, std::uint16_t port) {
   if (port == 0) return spec;
   spec.worker_address = [port](const std::string& machine) {
@@ -59,20 +62,20 @@
       clock_thread_([this] { run_clock(); }) {}
 
 FleetServer::~FleetServer() {
-  std::map<std::string, WorkerPtr> members;
+  std::map<std::string, WorkerPtr> workers;
   {
     std::lock_guard lock(mutex_);
     stopping_ = true;
     changed_.notify_one();
-    members = workers_;
-    for (auto& [name, member] : members) {
-      member->gone = true;
-      member->changed.notify_all();
+    workers = workers_;
+    for (auto& [name, running] : workers) {
+      running->gone = true;
+      running->changed.notify_all();
     }
   }
   clock_thread_.join();
   cloud_server_.reset();
-  for (auto& [name, member] : members) member->order_server.reset();
+  for (auto& [name, running] : workers) running->order_server.reset();
   removed_workers_.clear();
 }
 
@@ -99,14 +102,14 @@
 
 std::vector<std::string> FleetServer::history_of_violations() {
   std::lock_guard lock(mutex_);
-  std::vector<std::string> told;
+  std::vector<std::string> found;
   for (const PlacementChecker::Violation& violation : placement_checker_.violations()) {
-    told.push_back(violation.text + ":");
+    found.push_back(violation.text + ":");
     const auto lines = history_.lines_about(violation.machines, violation.at - kHistoryBefore_s,
                                             violation.at + kHistoryAfter_s);
-    told.insert(told.end(), lines.begin(), lines.end());
+    found.insert(found.end(), lines.begin(), lines.end());
   }
-  return told;
+  return found;
 }
 
 void FleetServer::record_cloud_request(const wire::Request& request, const wire::Response& reply,
@@ -129,7 +132,8 @@
   const double now = steady_now();
   wire::Response reply = cloud_.handle_request(request, now);
   record_cloud_request(request, reply, now);
-  // Before the answer: by then what was returned is gone.
+  // Machines returned by this request have to be gone by the time it is answered, so their events
+  // are handled first.
   handle_cloud_events(now);
   changed_.notify_one();
   return reply;
@@ -138,74 +142,74 @@
 std::size_t FleetServer::hang_machines_of(const std::string& job) {
   const std::lock_guard lock(mutex_);
   std::size_t hung = 0;
-  for (auto& [name, member] : workers_) {
-    const auto holds = member->worker->held_tasks();
+  for (auto& [name, running] : workers_) {
+    const auto holds = running->worker->held_tasks();
     if (std::none_of(holds.begin(), holds.end(),
                      [&](const auto& held) { return held.first.job == job; })) {
       continue;
     }
-    member->worker->hang(steady_now());
+    running->worker->hang(steady_now());
     ++hung;
   }
   return hung;
 }
 
-wire::Response FleetServer::handle_worker_request(RunningWorker& member,
+wire::Response FleetServer::handle_worker_request(RunningWorker& running,
                                                   const wire::Request& request) {
   std::unique_lock lock(mutex_);
-  member.changed.wait(lock, [&] { return member.gone || !member.worker->is_hung(); });
-  if (member.gone) return {503, {{"error", "gone"}}};
+  running.changed.wait(lock, [&] { return running.gone || !running.worker->is_hung(); });
+  if (running.gone) return {503, {{"error", "gone"}}};
   const double now = steady_now();
-  wire::Response reply = member.worker->handle_request(request, now);
+  wire::Response reply = running.worker->handle_request(request, now);
   if (request.method == "POST") {
     history_.record(
-        now, member.machine.name,
+        now, running.machine.name,
         fmt::format("told directly {} -> {}", wire::decode_map(request.body).dump(), reply.status));
   }
-  check_after_change(member, now);
-  member.changed.notify_one();
+  check_after_change(running, now);
+  running.changed.notify_one();
   return reply;
 }
 
-// Under the lock, after everything that may have changed what is on the machine.
-void FleetServer::check_after_change(RunningWorker& member, double now) {
+// To be called, with mutex_ held, after everything that may have changed the tasks on the machine.
+void FleetServer::check_after_change(RunningWorker& running, double now) {
   expire_leases(now);
-  record_and_check(member, now);
+  record_and_check(running, now);
 }
 
-// Whatever a worker's own thread waits for, its lease ends at its time: before anybody else can be
-// found to hold one of its tasks.
+// A worker's lease must end on time even while its thread waits for the response to a report.
+// Otherwise a task that was restarted elsewhere after the lease would seem to run twice.
 void FleetServer::expire_leases(double now) {
   if (now <= next_lease_end_) return;
   next_lease_end_ = kInfinity_s;
-  for (const auto& [name, member] : workers_) {
-    Worker& worker = *member->worker;
+  for (const auto& [name, running] : workers_) {
+    Worker& worker = *running->worker;
     if (worker.lease_ends_at() < now) {
       worker.expire_lease(now);
-      record_and_check(*member, now);
+      record_and_check(*running, now);
     }
     next_lease_end_ = std::min(next_lease_end_, worker.lease_ends_at());
   }
 }
 
-void FleetServer::record_and_check(RunningWorker& member, double now) {
-  if (member.gone) return;
-  record_changes(member, now);
-  placement_checker_.update_machine(member.machine, member.last_recorded.held_tasks, shared_state_,
-                                    now);
+void FleetServer::record_and_check(RunningWorker& running, double now) {
+  if (running.gone) return;
+  record_changes(running, now);
+  placement_checker_.update_machine(running.machine, running.last_recorded.held_tasks,
+                                    shared_state_, now);
 }
 
-void FleetServer::record_changes(RunningWorker& member, double now) {
-  const Worker& worker = *member.worker;
-  const std::string& machine = member.machine.name;
+void FleetServer::record_changes(RunningWorker& running, double now) {
+  const Worker& worker = *running.worker;
+  const std::string& machine = running.machine.name;
   WorkerSnapshot seen{worker.held_tasks(), worker.incarnation(), worker.fencing_token()};
-  WorkerSnapshot& before = member.last_recorded;
+  WorkerSnapshot& before = running.last_recorded;
   if (seen.incarnation != before.incarnation || seen.fencing_token != before.fencing_token) {
     history_.record(now, machine,
                     fmt::format("incarnation {}, fencing token {}, lease since {:.4f}",
                                 seen.incarnation, seen.fencing_token, worker.lease_starts_at()));
   }
-  const auto note_missing = [&](const auto& from, const auto& in, const char* what) {
+  const auto record_missing = [&](const auto& from, const auto& in, const char* what) {
     for (const auto& held : from) {
       if (std::find(in.begin(), in.end(), held) != in.end()) continue;
       history_.record(now, machine,
@@ -214,18 +218,18 @@
                                   worker.lease_starts_at()));
     }
   };
-  note_missing(before.held_tasks, seen.held_tasks, "ended");
-  note_missing(seen.held_tasks, before.held_tasks, "holds");
+  record_missing(before.held_tasks, seen.held_tasks, "ended");
+  record_missing(seen.held_tasks, before.held_tasks, "holds");
   before = std::move(seen);
 }
 
-void FleetServer::record_report(const RunningWorker& member, const std::string& node,
+void FleetServer::record_report(const RunningWorker& running, const std::string& node,
                                 double sent_at, const wire::CallResult& answer, double now) {
   const bool ordinary = answer.received_response && answer.status == 200 &&
                         now - sent_at < kSlowReport_s && answer.body.is_object() &&
                         answer.body.value("orders", wire::Json::array()).empty();
   if (ordinary) return;
-  history_.record(now, member.machine.name,
+  history_.record(now, running.machine.name,
                   fmt::format("report to {} sent {:.4f} -> {} {}", node, sent_at, answer.status,
                               answer.body.dump()));
 }
@@ -249,10 +253,10 @@
   while (!stopping_) {
     handle_cloud_events(steady_now());
     if (!removed_workers_.empty()) {
-      // A door closes once its threads are done, which may wait for the lock.
-      const std::vector<WorkerPtr> left = std::exchange(removed_workers_, {});
+      // Destroying a server waits for its threads, which may be waiting for the lock.
+      const std::vector<WorkerPtr> removed = std::exchange(removed_workers_, {});
       lock.unlock();
-      for (const WorkerPtr& member : left) member->order_server.reset();
+      for (const WorkerPtr& running : removed) running->order_server.reset();
       lock.lock();
     }
     changed_.wait_for(lock, clamped_wait(cloud_.next_event_at(), steady_now()));
@@ -263,64 +267,64 @@
   const Cloud::Machine& rented = cloud_.machines().at(name);
   const auto type = std::find_if(spec_.cloud.catalog.begin(), spec_.cloud.catalog.end(),
                                  [&](const auto& one) { return one.name == rented.type; });
-  auto member = std::make_shared<RunningWorker>();
-  member->machine = {name, rented.type, rented.zone, rented.spot};
+  auto running = std::make_shared<RunningWorker>();
+  running->machine = {name, rented.type, rented.zone, rented.spot};
   if (spec_.worker_port != 0) {
-    member->order_server = std::make_unique<wire::Server>(
+    running->order_server = std::make_unique<wire::Server>(
         wire::parse_address(rented.address), connection_limiter_, wire::ClientKind::user,
-        classify_all_as_users(), [this, raw = member.get()](const wire::Request& request) {
+        classify_all_as_users(), [this, raw = running.get()](const wire::Request& request) {
           return handle_worker_request(*raw, request);
         });
   }
   std::vector<std::string> nodes;
   for (const auto& [node, where] : spec_.controllers) nodes.push_back(node);
-  member->worker = std::make_unique<Worker>(
+  running->worker = std::make_unique<Worker>(
       Worker::Machine{name, rented.address, *type, rented.zone, rented.spot, 1, false},
       spec_.workers, std::move(nodes), shared_state_, random_(), now);
-  workers_[name] = member;
-  next_lease_end_ = std::min(next_lease_end_, member->worker->lease_ends_at());
-  worker_threads_.run([this, member] { run_worker(member); });
+  workers_[name] = running;
+  next_lease_end_ = std::min(next_lease_end_, running->worker->lease_ends_at());
+  worker_threads_.run([this, running] { run_worker(running); });
 }
 
 void FleetServer::remove_worker(const std::string& name, double now) {
   const auto at = workers_.find(name);
   if (at == workers_.end()) return;
-  const WorkerPtr member = at->second;
+  const WorkerPtr running = at->second;
   workers_.erase(at);
-  member->gone = true;
-  member->worker->terminate(now);
+  running->gone = true;
+  running->worker->terminate(now);
   placement_checker_.remove_machine(name);
   history_.record(now, name, "gone");
-  member->changed.notify_all();
-  removed_workers_.push_back(member);
+  running->changed.notify_all();
+  removed_workers_.push_back(running);
 }
 
-// The worker's own thread: reports, and waits for their answers.
-void FleetServer::run_worker(const WorkerPtr& member) {
+// mutex_ is released while a report waits for its response.
+void FleetServer::run_worker(const WorkerPtr& running) {
   std::map<std::string, std::unique_ptr<wire::Client>> clients;
   std::unique_lock lock(mutex_);
-  while (!member->gone) {
+  while (!running->gone) {
     const double now = steady_now();
-    const auto sending = member->worker->advance(now);
-    check_after_change(*member, now);
-    if (!sending) {
-      member->changed.wait_for(lock, clamped_wait(member->worker->next_event_at(), now));
+    const auto outgoing = running->worker->advance(now);
+    check_after_change(*running, now);
+    if (!outgoing) {
+      running->changed.wait_for(lock, clamped_wait(running->worker->next_event_at(), now));
       continue;
     }
-    auto& client = clients[sending->node];
+    auto& client = clients[outgoing->node];
     if (!client) {
-      client = std::make_unique<wire::Client>(spec_.controllers.at(sending->node), 1,
+      client = std::make_unique<wire::Client>(spec_.controllers.at(outgoing->node), 1,
                                               wire::kMaxBody_bytes);
     }
     lock.unlock();
     const wire::CallResult answer =
-        client->call("POST", "/v1/report", &sending->report, kReportTimeout);
+        client->call("POST", "/v1/report", &outgoing->report, kReportTimeout);
     lock.lock();
-    if (member->gone) break;
-    const double heard = steady_now();
-    record_report(*member, sending->node, now, answer, heard);
-    member->worker->on_report_answer(answer, heard);
-    check_after_change(*member, heard);
+    if (running->gone) break;
+    const double answered_at = steady_now();
+    record_report(*running, outgoing->node, now, answer, answered_at);
+    running->worker->on_report_answer(answer, answered_at);
+    check_after_change(*running, answered_at);
   }
 }
 
--- a/lab/loopback/fleet_server.h
+++ b/lab/loopback/fleet_server.h
@@ -82,20 +82,20 @@
   using WorkerPtr = std::shared_ptr<RunningWorker>;
 
   wire::Response handle_cloud_request(const wire::Request& request);
-  wire::Response handle_worker_request(RunningWorker& worker, const wire::Request& request);
+  wire::Response handle_worker_request(RunningWorker& running, const wire::Request& request);
   // Body of clock_thread_: handles the cloud's events at their times.
   void run_clock();
   void add_worker(const std::string& machine, double now);
   void remove_worker(const std::string& machine, double now);
   // Body of a worker's thread: sends reports and waits for their responses.
-  void run_worker(const WorkerPtr& worker);
+  void run_worker(const WorkerPtr& running);
   void handle_cloud_events(double now);
   void expire_leases(double now);
-  void check_after_change(RunningWorker& worker, double now);
-  void record_and_check(RunningWorker& worker, double now);
+  void check_after_change(RunningWorker& running, double now);
+  void record_and_check(RunningWorker& running, double now);
   // Adds to the history how the worker differs from its last record.
-  void record_changes(RunningWorker& worker, double now);
-  void record_report(const RunningWorker& worker, const std::string& node, double sent_at,
+  void record_changes(RunningWorker& running, double now);
+  void record_report(const RunningWorker& running, const std::string& node, double sent_at,
                      const wire::CallResult& answer, double now);
   void record_cloud_request(const wire::Request& request, const wire::Response& reply, double now);
 
--- a/lab/loopback/fleet_server_test.cpp
+++ b/lab/loopback/fleet_server_test.cpp
@@ -1,5 +1,6 @@
-// The machines' stand-in itself, over loopback: what it says to be gone must be gone. Each test
-// holds a rule of PROTOCOL that a daemon relies on before it starts a task anew elsewhere.
+// Tests the emulated machines over loopback: a task that the emulator has reported as ended must
+// have ended. Each test checks a rule of PROTOCOL on which a controller relies before it restarts a
+// task on another machine.
 #include "loopback/fleet_server.h"
 
 #include <gtest/gtest.h>
@@ -18,9 +19,9 @@
 class FleetServerTest : public ::testing::Test {
  protected:
   void serve(double lease_s) {
-    // The only controller accepts connections, by the kernel, and never answers.
+    // The only controller is a listening socket: the kernel accepts connections, nobody answers.
     const wire::Address controller{"127.0.0.1", ports_.reserve()};
-    silent_ = wire::Socket::listen(controller);
+    unresponsive_controller_ = wire::Socket::listen(controller);
     const std::uint16_t cloud_port = ports_.reserve();
     FleetSpec spec;
     spec.cloud.catalog = {{"small", 4, 0, 16, 50, 1, 0.05, 1, 1, {"a"}}};
@@ -50,7 +51,7 @@
     return answer.body.at("hosts").get<std::vector<std::string>>();
   }
 
-  // Starts a task of the job on the machine by a direct order, once it is up.
+  // Waits until the machine is up and starts a task of the job on it by a direct order.
   void start(const std::string& machine, int task) {
     const std::string address = fleet_->with_cloud(
         [&](const Cloud& cloud) { return cloud.machines().at(machine).address; });
@@ -65,29 +66,29 @@
   }
 
   test::PortReservations ports_;
-  wire::Socket silent_;
+  wire::Socket unresponsive_controller_;
   std::unique_ptr<FleetServer> fleet_;
   std::unique_ptr<wire::Client> cloud_;
 };
 
-// A worker ends its tasks when its lease ends, also while it waits for the answer to a report. The
-// stand-in looked at the lease only between reports, so that a controller which was killed or held
-// up kept tasks on machines for up to 4 s past the lease.
+// Guards against tasks that outlive their worker's lease. The emulator used to check the lease only
+// between reports. While a report to a killed or stalled controller waited for its response, tasks
+// stayed on the machine for up to 4 s past the lease.
 TEST_F(FleetServerTest, LeaseEndsAtItsTimeWhileAReportIsUnanswered) {
   constexpr double kLease_s = 1;
   serve(kLease_s);
   const std::vector<std::string> machines = rent(1);
   start(machines[0], 0);
-  const double up = steady_now();  // the lease began before
+  const double up = steady_now();  // the lease began before this
   ASSERT_EQ(fleet_->held_task_count("j-1"), 1u);
   while (steady_now() <= up + kLease_s) std::this_thread::sleep_for(5ms);
   EXPECT_EQ(fleet_->held_task_count("j-1"), 0u);
 }
 
-// By the time the cloud answers a return, the machine and everything on it is gone. The stand-in
-// answered first and took the machines down afterwards, by a thread that also waits for the doors
-// of machines that went before to close: a controller that did as it may, and started their tasks
-// elsewhere, was taken for one that breaks `ran_twice`.
+// Guards against machines that outlive the response to their return. The emulator used to answer
+// first and remove the machines afterwards, in a thread that also waited for the servers of earlier
+// machines to close. A controller that correctly restarted their tasks elsewhere was then reported
+// for breaking the rule `ran_twice`.
 TEST_F(FleetServerTest, ReturnedMachineIsGoneBeforeTheAnswer) {
   constexpr int kMachines = 12;
   serve(60);
--- a/lab/loopback/nodes.cpp
+++ b/lab/loopback/nodes.cpp
@@ -64,7 +64,8 @@
 
 void ControllerProcesses::start(const std::string& name) {
   const std::string config = folder_ + "/" + name + ".toml";
-  // A Ctrl-C is for the lab, which then ends its children itself.
+  // A process group of its own keeps Ctrl-C from the child; this process handles it and kills the
+  // child itself.
   pids_.at(name) = spawn({.program = program_,
                           .arguments = {"serve", "--config", config},
                           .log_file = folder_ + "/" + name + ".log",
--- a/lab/loopback/state_server.cpp
+++ b/lab/loopback/state_server.cpp
@@ -12,6 +12,7 @@
 
 using kv::steady_now;
 
+// The clock thread wakes up at least this often.
 constexpr double kMaxClockWait_s = 1;
 
 }  // namespace
@@ -39,7 +40,7 @@
 }
 
 wire::Response StateServer::handle_request(const std::string& node, const wire::Request& request) {
-  std::future<wire::Response> told;
+  std::future<wire::Response> watch_reply;
   {
     std::lock_guard lock(mutex_);
     if (stopping_) return {503, {{"error", "stopping"}}};
@@ -55,17 +56,17 @@
       deliver_watch_replies(now);
       return std::move(*reply);
     }
-    told = watch_promises_[std::get<StateService::PendingWatch>(answer).id].get_future();
+    watch_reply = watch_promises_[std::get<StateService::PendingWatch>(answer).id].get_future();
     changed_.notify_one();
   }
-  return told.get();
+  return watch_reply.get();
 }
 
 void StateServer::deliver_watch_replies(double now) {
-  for (StateService::WatchReply& one : model_.advance(now)) {
-    const auto at = watch_promises_.find(one.id);
+  for (StateService::WatchReply& reply : model_.advance(now)) {
+    const auto at = watch_promises_.find(reply.id);
     if (at == watch_promises_.end()) continue;
-    at->second.set_value(std::move(one.reply));
+    at->second.set_value(std::move(reply.reply));
     watch_promises_.erase(at);
   }
 }
