--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -128,12 +128,13 @@
     const std::string& zone = cluster.zones[host->zone];
     listed_machines.push_back(
         {host->name, "", type, zone, host->spot, cloud::MachinePhase::running, 100});
-    workers::Heartbeat report{host->name, "", type, zone, host->spot, 1, 0, kFencingToken, {}, {}};
+    workers::Heartbeat heartbeat{host->name, "", type,          zone, host->spot,
+                                 1,          0,  kFencingToken, {},   {}};
     for (const auto& ref : host->attempts) {
-      report.tasks.push_back({cluster.jobs[ref.job]->spec.id, ref.task, 1,
-                              workers::TaskState::running, workers::ExitReason::none});
+      heartbeat.tasks.push_back({cluster.jobs[ref.job]->spec.id, ref.task, 1,
+                                 workers::TaskState::running, workers::ExitReason::none});
     }
-    heartbeats.push_back(std::move(report));
+    heartbeats.push_back(std::move(heartbeat));
   }
 }
 
--- a/bench/lab_bench.cpp
+++ b/bench/lab_bench.cpp
@@ -1,5 +1,5 @@
-// How fast the lab's key-value store answers over loopback, so that it is known when it is what
-// slows a run down: reads and conditional writes by so many clients at once, one connection each.
+// Measures how fast the emulated key-value store answers over loopback, to know when the emulator
+// itself limits a run: reads and writes by 1 to 16 clients at once, with one connection each.
 #include <benchmark/benchmark.h>
 #include <spdlog/spdlog.h>
 
--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -1,5 +1,6 @@
-// What the leader's decisions cost against the number of machines and of waiting jobs. Whole
-// commands are timed, in one thread, without sockets; run it on a quiet machine and compare ratios.
+// Measures how the cost of the leader's decisions grows with the number of machines and of waiting
+// jobs. Each benchmark times whole operations in one thread, without sockets. Run it on an
+// otherwise idle machine and compare ratios, not absolute times.
 #include <benchmark/benchmark.h>
 #include <spdlog/spdlog.h>
 
@@ -11,13 +12,14 @@
 namespace {
 
 constexpr std::int64_t kWaitingJobs = 100;
-constexpr double kWaitTime_s = 10;  // long enough for gangs to ask others to make room
+constexpr double kWaitTime_s = 10;  // of all jobs; long enough that gangs may preempt others
 
 FleetSize size_of(const benchmark::State& state) {
   return {static_cast<std::size_t>(state.range(0)), static_cast<std::size_t>(state.range(1))};
 }
 
-// All machines are busy and many jobs wait: what a burst looks like, ten times a second.
+// One placement round while all machines are busy and many jobs wait, as in a burst, when there are
+// ten rounds per second.
 void plan_full(benchmark::State& state) {
   const settings::Platform p = platform();
   placement::Cluster cluster(p, 1, jobs::TaskRecordFormat::compact);
@@ -26,7 +28,7 @@
   state.SetComplexityN(state.range(0));
 }
 
-// A hundredth of the machines has come free, and is filled.
+// One placement round after a hundredth of the machines has become free.
 void plan_freed(benchmark::State& state) {
   const settings::Platform p = platform();
   for (auto _ : state) {
@@ -44,11 +46,12 @@
   state.SetComplexityN(state.range(0));
 }
 
+// The decision which machines to rent and which to return.
 void buy(benchmark::State& state) {
   const settings::Platform p = platform();
   placement::Cluster cluster(p, 1, jobs::TaskRecordFormat::compact);
   FleetSize size = size_of(state);
-  size.busy_share = 0.9;  // some are idle and may go back
+  size.busy_share = 0.9;  // a tenth of the machines are idle and may be returned
   fill_cluster(cluster, size, 0);
   acquire::Autoscaler buyer{settings::Policy{}};
   buyer.record_prices(cluster, 0);
@@ -60,7 +63,7 @@
   state.SetComplexityN(state.range(0));
 }
 
-// A leader that has heard all of its machines.
+// A leader that has had a heartbeat from each of its machines.
 struct LeaderWithFleet {
   explicit LeaderWithFleet(const FleetSize& size)
       : fleet(size), leader(platform(), {}, FleetSnapshot::kFencingToken, fleet.snapshot, now) {
@@ -69,10 +72,10 @@
     leader.advance(now);
   }
   void deliver_heartbeat(std::size_t machine) {
-    workers::Heartbeat& report = fleet.heartbeats[machine];
-    ++report.sequence_number;
+    workers::Heartbeat& heartbeat = fleet.heartbeats[machine];
+    ++heartbeat.sequence_number;
     leader.on_heartbeat(
-        report, [](const wire::Json&) {}, now);
+        heartbeat, [](const wire::Json&) {}, now);
   }
 
   double now = 0;
@@ -81,57 +84,60 @@
   controller::Leader leader;
 };
 
-// One second of reports, at the rate of the platform. The owner passes through its round after
-// each, as it does while it keeps up.
+// One second of heartbeats, at the rate of the platform. The leader runs a full round after each,
+// as its owning thread does while it keeps up with the load.
 void second(benchmark::State& state) {
-  LeaderWithFleet led(size_of(state));
-  const std::size_t machines = led.fleet.heartbeats.size();
+  LeaderWithFleet fixture(size_of(state));
+  const std::size_t machines = fixture.fleet.heartbeats.size();
   const double each_s = platform().worker_timings.report_interval_s / static_cast<double>(machines);
   std::size_t next = 0;
   for (auto _ : state) {
-    for (const double end = led.now + 1; led.now < end;) {
-      led.now += each_s;
-      led.leader.on_jobs_read_until(led.now);
-      led.deliver_heartbeat(next++ % machines);
-      const auto out = led.leader.advance(led.now);
+    for (const double end = fixture.now + 1; fixture.now < end;) {
+      fixture.now += each_s;
+      fixture.leader.on_jobs_read_until(fixture.now);
+      fixture.deliver_heartbeat(next++ % machines);
+      const auto out = fixture.leader.advance(fixture.now);
       if (!out.transaction) continue;
       kv::CommitResult stored;
       stored.outcome = kv::Outcome::ok;
-      stored.store_revision = ++led.store_revision;
-      led.leader.on_transaction_completed(stored, led.now);
+      stored.store_revision = ++fixture.store_revision;
+      fixture.leader.on_transaction_completed(stored, fixture.now);
     }
   }
   state.SetComplexityN(state.range(0));
 }
 
+// One heartbeat.
 void report(benchmark::State& state) {
-  LeaderWithFleet led(size_of(state));
+  LeaderWithFleet fixture(size_of(state));
   std::size_t next = 0;
   for (auto _ : state) {
-    led.deliver_heartbeat(next++ % led.fleet.heartbeats.size());
+    fixture.deliver_heartbeat(next++ % fixture.fleet.heartbeats.size());
     state.PauseTiming();
-    if (next % 64 == 0) led.leader.advance(led.now += 1);  // answers what is parked
+    if (next % 64 == 0)
+      fixture.leader.advance(fixture.now += 1);  // answers the heartbeats that wait
     state.ResumeTiming();
   }
   state.SetComplexityN(state.range(0));
 }
 
-// From the records as read to every machine listed and heard under the new fencing token.
+// The takeover by a new leader: from the records as read from the store until every machine is
+// listed and has sent a heartbeat under the new fencing token.
 void takeover(benchmark::State& state) {
   FleetSize size = size_of(state);
   size.tasks_per_array = static_cast<std::size_t>(state.range(2));
-  FleetSnapshot world(size);
+  FleetSnapshot fleet(size);
   for (auto _ : state) {
-    controller::Leader leader(platform(), {}, FleetSnapshot::kFencingToken, world.snapshot, 0);
-    leader.on_host_list(world.listed_machines, 0, 0);
-    for (workers::Heartbeat& one : world.heartbeats) {
-      ++one.sequence_number;
+    controller::Leader leader(platform(), {}, FleetSnapshot::kFencingToken, fleet.snapshot, 0);
+    leader.on_host_list(fleet.listed_machines, 0, 0);
+    for (workers::Heartbeat& heartbeat : fleet.heartbeats) {
+      ++heartbeat.sequence_number;
       leader.on_heartbeat(
-          one, [](const wire::Json&) {}, 1);
+          heartbeat, [](const wire::Json&) {}, 1);
     }
     benchmark::DoNotOptimize(leader.advance(1));
   }
-  state.counters["jobs"] = static_cast<double>(world.snapshot.jobs.size());
+  state.counters["jobs"] = static_cast<double>(fleet.snapshot.jobs.size());
   state.SetComplexityN(state.range(0));
 }
 
--- a/lab/cli/main.cpp
+++ b/lab/cli/main.cpp
@@ -1,4 +1,5 @@
-// ramplab: the systems round reachramp, emulated on one machine.
+// ramplab: emulates everything that reachramp's controllers talk to (cloud, key-value store,
+// workers, users) on one machine and runs real controllers against it.
 #include <arpa/inet.h>
 #include <fmt/format.h>
 #include <poll.h>
@@ -24,8 +25,8 @@
 using namespace reachramp;
 using kv::steady_now;
 
-constexpr int kExitBroken = 1;     // a rule was broken, or a job has no end
-constexpr int kExitCannotRun = 2;  // wrong arguments, a port in use, no such program
+constexpr int kExitBroken = 1;     // a placement rule was broken, or a user's job did not end well
+constexpr int kExitCannotRun = 2;  // invalid arguments, a port in use, a missing program
 
 std::atomic<bool> stopping{false};
 void on_signal(int) { stopping = true; }
@@ -49,7 +50,8 @@
 
 wire::Address loopback_address(int port) { return {"127.0.0.1", static_cast<std::uint16_t>(port)}; }
 
-// A night of its own, small and calm: its figures are the lab's, not of any site.
+// The settings that all controllers share: a small site with few faults. Its figures are chosen for
+// the emulator and describe no real site.
 settings::Platform common_settings(const UpOptions& up) {
   settings::Platform p;
   p.teams = {{"crew", 0, 0, 0, 0}};
@@ -84,7 +86,7 @@
   return fleet;
 }
 
-// Who holds the leader's key; empty: nobody.
+// The name of the node that the store's `leader` key names; empty if there is none.
 std::string leader_name(lab::StateServer& state) {
   return state.with_model([](const lab::StateService& model) {
     const auto key = model.items().find("leader");
@@ -92,6 +94,7 @@
   });
 }
 
+// What a progress line shows.
 struct Counts {
   std::size_t live_jobs = 0, ended_jobs = 0, machines = 0;
   double total_cost = 0;
@@ -123,7 +126,7 @@
   for (const std::string& what : result.contradictions) std::cout << "broken: " << what << "\n";
 }
 
-bool all_jobs_ended(const lab::LoadGenerator::Result& result) {
+bool load_succeeded(const lab::LoadGenerator::Result& result) {
   return result.contradictions.empty() && result.without_end == 0 &&
          result.accepted == result.submitted;
 }
@@ -138,23 +141,23 @@
   std::map<std::string, wire::Address> controllers;
   std::vector<settings::Platform> platforms;
   for (int i = 0; i < up.nodes; ++i) {
-    settings::Platform one = p;
-    one.node_name = node_name(i);
-    one.failure_domain = i % 2 == 0 ? "north" : "south";
-    one.serve_on = loopback_address(up.base_port + 10 + 2 * i);
-    one.cluster_listen = loopback_address(up.base_port + 11 + 2 * i);
-    controllers[one.node_name] = one.serve_on;
-    platforms.push_back(one);
+    settings::Platform platform = p;
+    platform.node_name = node_name(i);
+    platform.failure_domain = i % 2 == 0 ? "north" : "south";
+    platform.serve_on = loopback_address(up.base_port + 10 + 2 * i);
+    platform.cluster_listen = loopback_address(up.base_port + 11 + 2 * i);
+    controllers[platform.node_name] = platform.serve_on;
+    platforms.push_back(platform);
   }
-  for (auto& one : platforms) {
+  for (auto& platform : platforms) {
     for (const auto& other : platforms) {
-      if (other.node_name != one.node_name) {
-        one.members.push_back({other.node_name, other.failure_domain, other.cluster_listen});
+      if (other.node_name != platform.node_name) {
+        platform.members.push_back({other.node_name, other.failure_domain, other.cluster_listen});
       }
     }
   }
-  lab::StateServer state(p.store_limits, up.seed);
-  state.listen_for_node("all", p.store_address.port);
+  lab::StateServer store(p.store_limits, up.seed);
+  store.listen_for_node("all", p.store_address.port);
   lab::FleetSpec spec = make_fleet_spec(up, p);
   spec.controllers = controllers;
   lab::FleetServer fleet(spec, p.cloud_address.port, up.seed);
@@ -162,21 +165,22 @@
       static_cast<std::uint16_t>(up.base_port + 2), controllers, fleet,
       [](const jobs::Spec& job) { return std::max(job.estimated_duration_s, 0.1); });
   lab::ControllerProcesses nodes(up.program, up.folder, platforms);
-  for (const auto& one : platforms) nodes.start(one.node_name);
+  for (const auto& platform : platforms) nodes.start(platform.node_name);
 
   std::cout << "users:         http://"
             << address_text(static_cast<std::uint16_t>(up.base_port + 2))
             << "/submissions (MessagePack)\nstate service: http://"
             << address_text(p.store_address.port) << "\ncloud:         http://"
             << address_text(p.cloud_address.port) << "\n";
-  for (const auto& one : platforms) {
-    std::cout << one.node_name << ":    http://" << address_text(one.serve_on.port) << "\n";
+  for (const auto& platform : platforms) {
+    std::cout << platform.node_name << ":    http://" << address_text(platform.serve_on.port)
+              << "\n";
   }
   std::cout << "settings, logs: " << up.folder << "\nCtrl-C ends it.\n" << std::flush;
 
   lab::LoadGenerator::Result result;
-  std::atomic<bool> loaded{up.jobs_per_second <= 0};
-  std::thread users;
+  std::atomic<bool> load_finished{up.jobs_per_second <= 0};
+  std::thread load_thread;
   if (up.jobs_per_second > 0) {
     lab::LoadSpec load;
     load.address = loopback_address(up.base_port + 2);
@@ -184,64 +188,65 @@
     load.submit_for_s = up.submit_for_s;
     load.team = p.teams.front().name;
     load.withdrawn_share = 0.05;
-    users = std::thread([&, load] {
+    load_thread = std::thread([&, load] {
       result = lab::LoadGenerator(load, up.seed).run(stopping);
-      loaded = true;
+      load_finished = true;
     });
   }
   const double begin = steady_now();
   bool killed = up.kill_leader_after_s <= 0;
-  std::string restart;
-  double restart_at = 0, told_at = begin;
-  const bool terminal = isatty(STDOUT_FILENO) == 1;
-  while (!stopping && !(up.jobs_per_second > 0 && loaded) &&
+  std::string node_to_restart;
+  double restart_at = 0, printed_at = begin;
+  const bool is_terminal = isatty(STDOUT_FILENO) == 1;
+  while (!stopping && !(up.jobs_per_second > 0 && load_finished) &&
          !(up.run_for_s > 0 && steady_now() - begin >= up.run_for_s)) {
     poll(nullptr, 0, 200);
-    const double passed = steady_now() - begin;
-    if (!killed && passed >= up.kill_leader_after_s) {
-      const std::string name = leader_name(state);
+    const double elapsed_s = steady_now() - begin;
+    if (!killed && elapsed_s >= up.kill_leader_after_s) {
+      const std::string name = leader_name(store);
       if (!name.empty()) {
-        std::cout << fmt::format("{:6.1f} s  {} leads and is killed\n", passed, name) << std::flush;
+        std::cout << fmt::format("{:6.1f} s  {} leads and is killed\n", elapsed_s, name)
+                  << std::flush;
         nodes.kill(name);
         killed = true;
-        restart = name;
-        restart_at = passed + 6;
+        node_to_restart = name;
+        restart_at = elapsed_s + 6;
       }
     }
-    if (!restart.empty() && passed >= restart_at) {
-      nodes.start(std::exchange(restart, ""));
+    if (!node_to_restart.empty() && elapsed_s >= restart_at) {
+      nodes.start(std::exchange(node_to_restart, ""));
     }
-    for (const auto& one : platforms) {
-      if (one.node_name != restart && !nodes.is_running(one.node_name)) {
-        std::cout << one.node_name << " has ended by itself; see its log\n";
+    for (const auto& platform : platforms) {
+      if (platform.node_name != node_to_restart && !nodes.is_running(platform.node_name)) {
+        std::cout << platform.node_name << " has ended by itself; see its log\n";
         stopping = true;
       }
     }
-    if (steady_now() - told_at >= (terminal ? 1 : 5)) {
-      told_at = steady_now();
-      const Counts counts = read_counts(state, fleet);
+    if (steady_now() - printed_at >= (is_terminal ? 1 : 5)) {
+      printed_at = steady_now();
+      const Counts counts = read_counts(store, fleet);
       std::cout << fmt::format(
                        "{:6.1f} s  leader {:<12} jobs {:4} live {:4} ended  machines {:4}  spent "
                        "{:.4f}\n",
-                       passed, leader_name(state), counts.live_jobs, counts.ended_jobs,
+                       elapsed_s, leader_name(store), counts.live_jobs, counts.ended_jobs,
                        counts.machines, counts.total_cost)
                 << std::flush;
     }
   }
-  const bool by_hand = stopping.exchange(true);
-  if (users.joinable()) users.join();
+  const bool stopped_by_user = stopping.exchange(true);
+  if (load_thread.joinable()) load_thread.join();
   if (up.jobs_per_second > 0) print_result(result);
-  const std::vector<std::string> broken = fleet.rule_violations();
-  for (const std::string& rule : broken) std::cout << "broken: " << rule << "\n";
-  std::cout << (broken.empty() ? "no rule broken\n" : "");
-  if (!broken.empty()) return kExitBroken;
-  return up.jobs_per_second > 0 && !by_hand && !all_jobs_ended(result) ? kExitBroken : 0;
+  const std::vector<std::string> violations = fleet.rule_violations();
+  for (const std::string& rule : violations) std::cout << "broken: " << rule << "\n";
+  std::cout << (violations.empty() ? "no rule broken\n" : "");
+  if (!violations.empty()) return kExitBroken;
+  return up.jobs_per_second > 0 && !stopped_by_user && !load_succeeded(result) ? kExitBroken : 0;
 }
 
 int run_load(const lab::LoadSpec& spec, std::uint64_t seed) {
   const lab::LoadGenerator::Result result = lab::LoadGenerator(spec, seed).run(stopping);
   print_result(result);
-  return all_jobs_ended(result) ? 0 : kExitBroken;
+  return load_succeeded(result) ? 0 : kExitBroken;
 }
 
 }  // namespace
--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -12,13 +12,15 @@
 using wire::Json;
 using namespace std::chrono_literals;
 
+// Connections kept open for reuse.
 constexpr std::size_t kMaxIdleUserConnections = 256;
-// PROTOCOL: what users wait for an answer, and for how long they repeat a submission.
+// Set by PROTOCOL: for how long users wait for a response, and for how long and how often they
+// repeat a submission.
 constexpr auto kSubmitTimeout = 5000ms;
 constexpr auto kPollTimeout = 2000ms;
 constexpr double kResubmitFor_s = 60;
 constexpr double kResubmitDelay_s = 1;
-// Ten bins for each doubling: within 7% of the value.
+// The histograms have ten bins per factor of two, so a quantile is within 7% of the value.
 constexpr double kHistogramMin = 0.01, kHistogramMax = 1e6;
 constexpr unsigned kHistogramBins = 266;
 
@@ -75,7 +77,7 @@
 void LoadGenerator::run_user(const std::string& id, double due_at, bool withdraw,
                              const std::atomic<bool>& stop) {
   const Json body = make_job(id);
-  const double give_up = due_at + spec_.max_wait_s;
+  const double give_up_at = due_at + spec_.max_wait_s;
   bool accepted = false;
   while (!stop && !accepted && steady_now() < due_at + kResubmitFor_s) {
     const wire::CallResult answer = client_.call("POST", "/submissions", &body, kSubmitTimeout);
@@ -90,13 +92,13 @@
       accepted_ms_(1000 * (steady_now() - due_at));
     }
   }
-  while (accepted && !stop && steady_now() < give_up) {
+  while (accepted && !stop && steady_now() < give_up_at) {
     const std::string path = "/submissions/" + id;
     const wire::CallResult answer =
         withdraw ? client_.call("POST", path + "/withdraw", nullptr, kSubmitTimeout)
                  : client_.call("GET", path, nullptr, kPollTimeout);
-    const bool told = answer.status == 200 && answer.body.is_object();
-    if (record_answer(id, answer.status, told ? answer.body.value("phase", "") : "", withdraw,
+    const bool has_status = answer.status == 200 && answer.body.is_object();
+    if (record_answer(id, answer.status, has_status ? answer.body.value("phase", "") : "", withdraw,
                       due_at))
       return;
     sleep(spec_.poll_interval_s);
@@ -105,37 +107,38 @@
   ++result_.without_end;
 }
 
-// Whether that was the job's end.
 bool LoadGenerator::record_answer(const std::string& id, int status, const std::string& phase,
-                                  bool withdraws, double due) {
+                                  bool withdraw, double due_at) {
   std::lock_guard lock(mutex_);
   if (status == 404) result_.contradictions.push_back(id + ": accepted, then not known");
   if (phase == "aborted") {
     ++result_.aborted;
-    if (!withdraws) result_.contradictions.push_back(id + ": aborted, and nobody withdrew it");
+    if (!withdraw) result_.contradictions.push_back(id + ": aborted, and nobody withdrew it");
   } else if (phase == "done") {
     ++result_.done;
-    done_s_(steady_now() - due);
+    done_s_(steady_now() - due_at);
   }
   return phase == "aborted" || phase == "done";
 }
 
 LoadGenerator::Result LoadGenerator::run(const std::atomic<bool>& stop) {
-  const std::uint64_t run = random_();
+  const std::uint64_t run_id = random_();
   std::exponential_distribution<double> gap(spec_.jobs_per_second);
   std::bernoulli_distribution withdrawn(spec_.withdrawn_share);
   {
-    wire::ThreadPool crew(1s);
+    wire::ThreadPool user_threads(1s);
     const double begin = steady_now();
     std::size_t number = 0;
-    for (double due = begin + gap(random_); due < begin + spec_.submit_for_s && !stop;
-         due += gap(random_)) {
-      sleep(due - steady_now());
-      const std::string id = "j-" + std::to_string(run % 1000000) + "-" + std::to_string(++number);
-      const bool withdraws = withdrawn(random_);
-      crew.run([this, id, due, withdraws, &stop] { run_user(id, due, withdraws, stop); });
+    for (double due_at = begin + gap(random_); due_at < begin + spec_.submit_for_s && !stop;
+         due_at += gap(random_)) {
+      sleep(due_at - steady_now());
+      const std::string id =
+          "j-" + std::to_string(run_id % 1000000) + "-" + std::to_string(++number);
+      const bool withdraw = withdrawn(random_);
+      user_threads.run(
+          [this, id, due_at, withdraw, &stop] { run_user(id, due_at, withdraw, stop); });
     }
-  }  // all users have left
+  }  // the pool's destructor waits for all users
   result_.accepted_p50_ms = quantile(accepted_ms_, 0.5);
   result_.accepted_p99_ms = quantile(accepted_ms_, 0.99);
   result_.done_p50_s = quantile(done_s_, 0.5);
