--- a/lab/checker/event_history_test.cpp
+++ b/lab/checker/event_history_test.cpp
@@ -7,7 +7,7 @@
 
 using Lines = std::vector<std::string>;
 
-TEST(EventHistory, WhatIsAskedForIsToldInOrder) {
+TEST(EventHistory, LinesAreSelectedBySubjectAndPeriodInOrder) {
   EventHistory history;
   history.record(1, "n-1", "up");
   history.record(2, "n-2", "up");
--- a/lab/model/cloud_test.cpp
+++ b/lab/model/cloud_test.cpp
@@ -1,4 +1,5 @@
-// The model against PROTOCOL, asked and understood through the daemon's own codecs.
+// Tests that the emulated cloud behaves as PROTOCOL says. Requests and responses go through the
+// controller's own codecs.
 #include "model/cloud.h"
 
 #include <gtest/gtest.h>
@@ -49,9 +50,10 @@
   return found;
 }
 
-// Never more machines than there is room for; the same request answered the same way for ever; and
-// lists that lag, may go back, and yet never lose what they once showed.
-RC_GTEST_PROP(CloudModel, KeepsToItsRoomAndItsWord, ()) {
+// For any sequence of requests: the pool never has more machines than its capacity, a repeated rent
+// request always gets the same answer, and lists may lag and go back in time but never lose a
+// machine that they have shown, until it is returned.
+RC_GTEST_PROP(CloudModel, RespectsCapacityAndNeverRevokesGrants, ()) {
   Cloud model(spec(), *rc::gen::arbitrary<std::uint64_t>());
   std::map<std::string, std::vector<std::string>> granted;
   std::map<std::string, double> rented, returned;
@@ -100,7 +102,7 @@
   }
 }
 
-TEST(CloudModel, MachinesComeUpWithinTheirTimesAndSpotOnesAreTaken) {
+TEST(CloudModel, MachinesBootWithinTheirBoundsAndSpotMachinesAreReclaimed) {
   CloudSpec harsh = spec();
   harsh.capacity[kSpot] = 50;
   harsh.spot_reclaims_per_hour = 30;
@@ -117,7 +119,7 @@
     }
     if (!std::isfinite(model.next_event_at())) break;
   }
-  EXPECT_GT(up.size(), 30u) << "those that are not taken while they boot";
+  EXPECT_GT(up.size(), 30u) << "all except those reclaimed while they boot";
   for (const auto& [machine, at] : up) {
     EXPECT_GE(at, 0.6 * 40);
     EXPECT_LE(at, 1.5 * 40);
@@ -127,11 +129,11 @@
     }
   }
   EXPECT_GT(noticed.size(), 10u);
-  EXPECT_LT(noticed.size(), up.size()) << "some go without a word";
+  EXPECT_LT(noticed.size(), up.size()) << "some are reclaimed without notice";
 }
 
-// A dead machine is listed as running for half a minute, then as failed until it is deleted.
-TEST(CloudModel, ADeadMachineShowsLate) {
+// A crashed machine is listed as running for 30 s, then as failed until it is returned.
+TEST(CloudModel, ListsACrashedMachineAsFailedOnlyAfterADelay) {
   Cloud model(spec(), 1);
   const std::string name = names(hire(model, "r-1", 1, kOrdinary, 0)).front();
   model.advance(100);
@@ -145,7 +147,7 @@
   EXPECT_TRUE(list(model, 170).empty());
 }
 
-TEST(CloudModel, ChargesAtLeastAMinuteForWhatIsReturned) {
+TEST(CloudModel, ChargesAtLeastAMinuteForAReturnedMachine) {
   Cloud model(spec(), 1);
   const std::string name = names(hire(model, "r-1", 1, kOrdinary, 0)).front();
   EXPECT_NEAR(model.total_cost(10), 0.01, 1e-6);
@@ -153,7 +155,7 @@
   EXPECT_NEAR(model.total_cost(10), 0.06, 1e-6);
 }
 
-TEST(CloudModel, RefusesWhatItCannotTake) {
+TEST(CloudModel, RejectsInvalidRequestsAndThrottlesAboveTheRate) {
   CloudSpec slow = spec();
   slow.limits.rps = 5;
   Cloud model(slow, 1);
@@ -169,7 +171,7 @@
   EXPECT_EQ(model.handle_request({"POST", "/hosts", "", "no map"}, 0).status, 400);
   EXPECT_EQ(model.handle_request({"GET", "/catalog", "", ""}, 0).status, 200);
   EXPECT_EQ(model.handle_request({"GET", "/catalog", "", ""}, 0).status, 429)
-      << "two seconds' worth is gone";
+      << "the burst of two seconds' worth is used up";
   EXPECT_EQ(model.handle_request({"GET", "/catalog", "", ""}, 1).status, 200);
   model.begin_outage();
   const wire::Response out = model.handle_request({"GET", "/catalog", "", ""}, 9);
--- a/lab/model/state_service_test.cpp
+++ b/lab/model/state_service_test.cpp
@@ -1,4 +1,5 @@
-// The model against PROTOCOL, asked through the daemon's own codecs.
+// Tests that the emulated key-value store behaves as PROTOCOL says. Requests and responses go
+// through the controller's own codecs.
 #include "model/state_service.h"
 
 #include <gtest/gtest.h>
@@ -47,10 +48,10 @@
   return {{{key, revision}}, {{key, Json{{"v", value}}, lease_id}}};
 }
 
-// Whatever is asked in whatever order: a transaction applies whole or not at all, exactly if its
-// conditions hold; all its changes carry its revision; and the watch, read from any position that
-// was answered, leads to what is stored.
-RC_GTEST_PROP(StateServiceModel, IsAtomicAndItsWatchTellsAllOfIt, ()) {
+// For any sequence of transactions: each is applied as a whole if all its preconditions hold, and
+// not at all otherwise. All its changes carry its revision. A client that applies the changes of
+// watches, each from the revision the last one returned, has the stored state.
+RC_GTEST_PROP(StateServiceModel, TransactionsAreAtomicAndWatchesReportEveryChange, ()) {
   StateService service(kWide, 1);
   std::map<std::string, std::pair<int, std::uint64_t>> expected;
   std::map<std::string, std::uint64_t> followed;
@@ -104,16 +105,17 @@
   }
 }
 
-// Late by up to 100 ms, never early; renewed in time they go on; with them go the keys that are
-// attached, and only those.
-RC_GTEST_PROP(StateServiceModel, LeasesEndLateAndNeverEarly, ()) {
+// A lease expires up to 100 ms late and never early, and counts anew from each renewal. Its end
+// removes the keys that are attached to it, and no others.
+RC_GTEST_PROP(StateServiceModel, LeasesExpireLateAndNeverEarly, ()) {
   StateService service(kWide, *rc::gen::arbitrary<std::uint64_t>());
   const int life_ms = *rc::gen::inRange(100, 5000);
   const double life = life_ms / 1000.0;
   const std::uint64_t lease_id = hold(service, life_ms, 0);
   RC_ASSERT(commit(service, put("leader", 1, 0, lease_id)).outcome == Outcome::ok);
   RC_ASSERT(commit(service, put("other", 1, 0, lease_id)).outcome == Outcome::ok);
-  RC_ASSERT(commit(service, put("other", 2, 2)).outcome == Outcome::ok);  // without: detached
+  RC_ASSERT(commit(service, put("other", 2, 2)).outcome ==
+            Outcome::ok);  // a write without a lease detaches the key
   const double renewed_at = life * 0.9;
   const std::string renew = "/holds/" + std::to_string(lease_id) + "/renew";
   RC_ASSERT(ask(service, request("POST", renew, "", Json::object()), renewed_at).status == 200);
@@ -127,7 +129,7 @@
   RC_ASSERT(service.changes_after("lead", 0)->back().revision == service.store_revision());
 }
 
-TEST(StateServiceModel, AnOutageRefusesAllAndGivesLeasesTheirFullTime) {
+TEST(StateServiceModel, AnOutageRefusesAllRequestsAndRestartsEveryLease) {
   StateService service(kWide, 1);
   const std::uint64_t lease_id = hold(service, 1000, 0);
   commit(service, put("leader", 1, 0, lease_id));
@@ -140,7 +142,7 @@
   service.end_outage(30);
   service.advance(30.9);
   EXPECT_TRUE(service.items().contains("leader"));
-  EXPECT_EQ(service.advance(31.2).size(), 0u) << "answered when it went on";
+  EXPECT_EQ(service.advance(31.2).size(), 0u) << "the watch was answered when the outage ended";
   EXPECT_FALSE(service.items().contains("leader"));
 }
 
@@ -154,8 +156,9 @@
             404);
 }
 
-// A position that is too old is told so, rather than given a part of what changed.
-TEST(StateServiceModel, AWatchThatFellBehindIsGone) {
+// A watch from a revision that the change log no longer covers fails, instead of returning only
+// some of the changes.
+TEST(StateServiceModel, AWatchFromBeforeTheChangeLogFails) {
   StateService service(kWide, 1);
   for (int i = 0; i < 10050; ++i) commit(service, put("k", i, static_cast<std::uint64_t>(i)));
   EXPECT_EQ(follow(service, 49).outcome, Outcome::absent);
@@ -164,13 +167,13 @@
   EXPECT_EQ(kept.changes.size(), 10000u);
 }
 
-RC_GTEST_PROP(StateServiceModel, NeverTakesMoreThanItsRates, ()) {
+RC_GTEST_PROP(StateServiceModel, NeverExecutesMoreThanTheWriteRate, ()) {
   const double rate = *rc::gen::inRange(2, 40);
   StateService service({1e6, rate, 8, 8}, 1);
   double taken = 0, now = 0;
   for (int i = 0; i < 200; ++i) {
     now += 0.001 * *rc::gen::inRange(0, 100);
-    // Failed conditions count as well.
+    // Transactions whose preconditions fail count against the rate as well.
     const auto outcome =
         commit(service, put("k", i, *rc::gen::inRange(0, 2) ? 0 : 999), now).outcome;
     taken += outcome == Outcome::refused ? 0 : 1;
@@ -179,7 +182,7 @@
   RC_ASSERT(taken >= std::min(200.0, rate));
 }
 
-TEST(StateServiceModel, ListsPageByPageWithinTheirLimits) {
+TEST(StateServiceModel, ListsAreSplitIntoPages) {
   StateService service(kWide, 1);
   for (int i = 0; i < 1500; ++i) commit(service, put("c/" + std::to_string(i), i, 0));
   commit(service, put("d", 1, 0));
@@ -197,7 +200,7 @@
   EXPECT_EQ(found, 1500u);
 }
 
-TEST(StateServiceModel, MalformedRequestsAreRefusedAndChangeNothing) {
+TEST(StateServiceModel, MalformedRequestsAreRejectedAndChangeNothing) {
   StateService service({1e6, 1e6, 1, 2}, 1);
   const auto multi = [&](const Json& body) {
     return ask(service, request("POST", "/multi", "", body)).status;
@@ -218,11 +221,12 @@
   EXPECT_EQ(ask(service, request("GET", "/follow", "after=1&hold_ms=60001")).status, 400);
   EXPECT_EQ(ask(service, request("PUT", "/keys/a")).status, 400);
   EXPECT_EQ(service.store_revision(), 0u);
-  EXPECT_EQ(multi({{"if", {{{"k", "a"}, {"stamp", 0}}}}}), 200) << "a comparison alone";
+  EXPECT_EQ(multi({{"if", {{{"k", "a"}, {"stamp", 0}}}}}), 200) << "preconditions alone are valid";
 }
 
-// Put back, the data are older than what was answered: revisions repeat, with other contents.
-TEST(StateServiceModel, ARestoredServiceGoesOnFromOlderData) {
+// After a restore the data are older than responses that clients already have: the same revisions
+// are assigned again, to other values.
+TEST(StateServiceModel, ARestoreRepeatsRevisions) {
   StateService service(kWide, 1);
   commit(service, put("a", 1, 0));
   const StateService::Backup backup = service.backup();
