--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -13,7 +13,7 @@
 // How many machines and jobs the fleet has.
 struct FleetSize {
   std::size_t machines = 0;
-  std::size_t waiting_jobs = 0;  // jobs that find no room: half are job arrays, half gangs
+  std::size_t waiting_jobs = 0;  // jobs without room: half of them arrays, half gangs
   std::size_t tasks_per_array = 200;
   double busy_share = 1;  // share of the machines that run tasks
 };
--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -12,14 +12,14 @@
 namespace {
 
 constexpr std::int64_t kWaitingJobs = 100;
-constexpr double kWaitTime_s = 10;  // of all jobs; long enough that gangs may preempt others
+constexpr double kWaitTime_s = 10;  // age of the jobs; enough for gangs to preempt others
 
 FleetSize size_of(const benchmark::State& state) {
   return {static_cast<std::size_t>(state.range(0)), static_cast<std::size_t>(state.range(1))};
 }
 
-// One placement round while all machines are busy and many jobs wait, as in a burst, when there are
-// ten rounds per second.
+// One placement round while all machines are busy and many jobs wait. During a burst of jobs the
+// leader runs ten such rounds per second.
 void plan_full(benchmark::State& state) {
   const settings::Platform p = platform();
   placement::Cluster cluster(p, 1, jobs::TaskRecordFormat::compact);
@@ -46,7 +46,7 @@
   state.SetComplexityN(state.range(0));
 }
 
-// The decision which machines to rent and which to return.
+// Decides which machines to rent and which to return.
 void buy(benchmark::State& state) {
   const settings::Platform p = platform();
   placement::Cluster cluster(p, 1, jobs::TaskRecordFormat::compact);
--- a/lab/checker/placing_rules.h
+++ b/lab/checker/placing_rules.h
@@ -11,7 +11,7 @@
 
 namespace reachramp::lab {
 
-// Is told of every change of the tasks on a machine and collects the violations.
+// Receives every change of the set of tasks on a machine and collects rule violations.
 class PlacementChecker {
  public:
   // A machine as far as the rules depend on it.
--- a/lab/cli/main.cpp
+++ b/lab/cli/main.cpp
@@ -25,7 +25,8 @@
 using namespace reachramp;
 using kv::steady_now;
 
-constexpr int kExitBroken = 1;     // a placement rule was broken, or a user's job did not end well
+constexpr int kExitBroken =
+    1;  // a placement rule was broken, or a user's job failed or did not end
 constexpr int kExitCannotRun = 2;  // invalid arguments, a port in use, a missing program
 
 std::atomic<bool> stopping{false};
@@ -94,7 +95,7 @@
   });
 }
 
-// What a progress line shows.
+// Numbers for a line of progress on standard output.
 struct Counts {
   std::size_t live_jobs = 0, ended_jobs = 0, machines = 0;
   double total_cost = 0;
--- a/lab/loopback/child_process.h
+++ b/lab/loopback/child_process.h
@@ -17,7 +17,7 @@
   std::string log_file = {};                // standard error is appended to it; empty: inherited
   std::string log_level = {};               // value of LOG_LEVEL; empty: inherited
   bool own_process_group = false;           // so that a Ctrl-C does not reach it
-  std::size_t max_log_bytes = 0;            // size at which each file it writes ends; 0: no limit
+  std::size_t max_log_bytes = 0;            // per file; writes beyond it are lost; 0: no limit
 };
 
 // Starts the program and returns its process id. Throws std::system_error if it can't be started.
--- a/lab/loopback/fleet_server.cpp
+++ b/lab/loopback/fleet_server.cpp
@@ -23,7 +23,7 @@
 // Reports that get an answer sooner than this, with status 200 and without orders, are left out of
 // the history.
 constexpr double kSlowReport_s = 0.5;
-// The period around a violation whose events are given with it.
+// history_of_violations() shows the events of this period before and after each violation.
 constexpr double kHistoryBefore_s = 20;
 constexpr double kHistoryAfter_s = 2;
 
--- a/lab/loopback/fleet_server.h
+++ b/lab/loopback/fleet_server.h
@@ -100,7 +100,7 @@
   void record_cloud_request(const wire::Request& request, const wire::Response& reply, double now);
 
   FleetSpec spec_;
-  std::mutex mutex_;  // guards all up to stopping_, and what the workers consist of
+  std::mutex mutex_;  // guards everything up to stopping_, and each RunningWorker
   std::condition_variable changed_;
   std::mt19937_64 random_;
   Cloud cloud_;
--- a/lab/model/cloud.cpp
+++ b/lab/model/cloud.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Set by PROTOCOL.
+// PROTOCOL sets these values.
 constexpr std::uint64_t kMaxMachinesPerRent = 50;
 constexpr std::uint64_t kMaxMachinesPerListPage = 500;
 // Requests may come in bursts of this many seconds' worth.
@@ -30,7 +30,8 @@
 constexpr double kCrashListedAfter_s = 30;
 // A reclaim notice varies by this share: 0.5 to 1.5 times the nominal one.
 constexpr double kNoticeJitter = 0.5;
-// Choices of the emulator, which PROTOCOL leaves open.
+
+// PROTOCOL leaves these values open; they are choices of the emulator.
 // Period of the sine along which spot prices move.
 constexpr double kSpotPricePeriod_s = 900;
 // Share of lists that lag by more than the nominal list_lag_s, up to twice as much.
--- a/lab/model/cloud.h
+++ b/lab/model/cloud.h
@@ -25,9 +25,9 @@
   cloud::Catalog catalog;           // its spot prices are the means around which prices move
   std::map<PoolKey, int> capacity;  // machines per pool; a pool that is not listed has none
   settings::CloudLimits limits;
-  double slow_boot_share = 0;  // share of machines whose boot time grows by `slow_boot_factor`
+  double slow_boot_share = 0;  // share of machines that take `slow_boot_factor` times as long
   double slow_boot_factor = 3;
-  double failed_boot_share = 0;          // share of machines that never finish booting
+  double failed_boot_share = 0;          // share of machines that stay `starting` for ever
   double spot_reclaims_per_hour = 0;     // mean number of times the cloud takes a spot machine back
   double nominal_notice_s = 25;          // notice before a reclaim, without its random variation
   double unannounced_reclaim_share = 0;  // share of spot machines reclaimed without notice
@@ -44,14 +44,14 @@
   // up: a machine has booted. reclaim_notice: the cloud will take it back. gone: it was returned or
   // reclaimed, or it crashed.
   enum class EventKind { up, reclaim_notice, gone };
-  // A change of a machine that its worker has to be told of.
+  // A change of a machine that concerns its worker.
   struct Event {
     EventKind kind = EventKind::up;
     std::string machine;
     double at = 0;
     double reclaim_in_s = 0;  // reclaim_notice only: time left until the cloud takes the machine
   };
-  // A machine from its rent on. An infinite time means that the event is not foreseen.
+  // A rented machine, also after its end. Times are infinite for events that are not scheduled.
   struct Machine {
     std::string name;
     std::string address;
--- a/lab/model/state_service.cpp
+++ b/lab/model/state_service.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-// Limits set by PROTOCOL.
-// Changes that the log holds; a watch from an older revision fails.
+// PROTOCOL sets these limits.
+// Number of changes in the log; a watch from an older revision fails.
 constexpr std::size_t kMaxLogEntries = 10000;
-// One page of a list.
+// The size of one page of a list.
 constexpr std::size_t kMaxListEntries = 1000;
 constexpr std::size_t kMaxList_bytes = 512 * 1024;
 constexpr std::size_t kMaxTransaction_bytes = 64 * 1024;
--- a/lab/model/state_service.h
+++ b/lab/model/state_service.h
@@ -38,8 +38,8 @@
     std::uint64_t id = 0;
     wire::Response reply;
   };
-  // A copy of the stored data, for restore(). Restoring loses changes that clients were already
-  // told of.
+  // A copy of the stored data, for restore(). Restoring undoes changes that clients may already
+  // have seen.
   struct Backup {
     std::map<std::string, Item> items;
     std::uint64_t store_revision = 0;
@@ -123,7 +123,7 @@
   std::deque<kv::KeyChange> change_log_;
   std::uint64_t store_revision_ = 0;
   std::uint64_t request_count_ = 0;
-  std::uint64_t last_dropped_revision_ = 0;  // change_log_ starts after this revision
+  std::uint64_t last_dropped_revision_ = 0;  // change_log_ holds only changes after this revision
   std::map<std::uint64_t, Lease> leases_;
   std::map<std::uint64_t, Watch> watches_;
   std::uint64_t last_lease_id_ = 0;
--- a/lab/model/worker.cpp
+++ b/lab/model/worker.cpp
@@ -11,18 +11,19 @@
 
 namespace {
 
-// Set by PROTOCOL.
+// PROTOCOL sets these values.
 // Report intervals vary by up to this share, up or down.
 constexpr double kReportIntervalJitter = 0.25;
-// Between two reports, however much changes.
+// Minimum time between two reports, however often the state changes.
 constexpr double kMinReportGap_s = 0.5;
 // Pause before reporting to another node because one did not answer.
 constexpr double kNodeSwitchDelay_s = 1;
-// A report to the node named in a 421 follows after a random delay up to this.
+// After a 421 the worker reports to the node named there, with a random delay up to this.
 constexpr double kMaxRedirectDelay_s = 0.5;
 // A new fencing token causes an early report at most once in this many lease times.
 constexpr double kMinTokenReportGapInLeases = 0.5;
-// Differences up to this are rounding errors: in GB of an image, in seconds of progress.
+
+// Differences up to this count as rounding errors: GB of an image, seconds of progress.
 constexpr double kRoundingTolerance = 1e-9;
 
 SharedTaskState::TaskId parse_task_id(const std::string& name) {
--- a/lab/model/worker.h
+++ b/lab/model/worker.h
@@ -42,7 +42,7 @@
     wire::Json report;
   };
 
-  // `nodes`: the names of all controllers. Its first lease counts from `now`.
+  // `nodes`: the names of all controllers. The worker's first lease starts at `now`.
   Worker(Machine machine, const settings::WorkerTimings& timings, std::vector<std::string> nodes,
          SharedTaskState& shared_state, std::uint64_t seed, double now);
 
@@ -139,7 +139,7 @@
   std::uint64_t sent_incarnation_ = 0;  // of the report in flight
   double report_sent_at_ = 0;           // of the report in flight
   double next_report_at_;
-  double no_report_before_ = -kInfinity_s;  // set by switch_node()
+  double no_report_before_ = -kInfinity_s;  // pause set by switch_node()
   double last_report_at_ = -kInfinity_s;
   double fencing_token_reported_at_ = -kInfinity_s;
   bool unreported_change_ = false;  // something changed since the last report
