--- a/lab/cli/main.cpp
+++ b/lab/cli/main.cpp
@@ -25,8 +25,7 @@
 using namespace reachramp;
 using kv::steady_now;
 
-constexpr int kExitBroken =
-    1;  // a placement rule was broken, or a user's job failed or did not end
+constexpr int kExitBroken = 1;     // a rule was broken, or a user's job was lost or did not end
 constexpr int kExitCannotRun = 2;  // invalid arguments, a port in use, a missing program
 
 std::atomic<bool> stopping{false};
