--- a/test/answer_history.h
+++ b/test/answer_history.h
@@ -1,5 +1,5 @@
-// What users were told of jobs, by any node, in the order in which they were told; and whether an
-// answer is older than one that its user had before asking.
+// Finds responses that show an older state of a job than some user had received, from whatever
+// node, before the request was sent.
 #pragma once
 
 #include <mutex>
@@ -9,20 +9,24 @@
 
 namespace reachramp::test {
 
-// How far a job has come, as its users see it. A later answer never tells of an earlier state, and
-// the two ends do not follow one another.
+// The state of a job as users see it, in order of progress. A later response must not show an
+// earlier state, and neither of `done` and `cancelled` may follow the other.
 enum class JobView { unknown, active, done, cancelled };
 
+// The job states that all users of a test have received. Every function may be called from any
+// thread.
 class AnswerHistory {
  public:
-  // The job as known to users when a question is about to be sent.
+  // The most advanced state of `job` that any user has received. A user reads it just before
+  // sending a request.
   JobView newest_view(const std::string& job) {
     const std::lock_guard lock(mutex_);
     return views_[job];
   }
 
-  // An answer to a question that was sent when `known` was. A node may answer what became of the
-  // job since; so only the view before the question counts.
+  // Records the state in the response of `node`; `view_before_request` is what newest_view()
+  // returned before the request was sent. The node may answer with any state that the job has had
+  // since then, so only a state older than `view_before_request` is a violation.
   void record_answer(const std::string& job, JobView view_before_request, JobView answer,
                      const std::string& node) {
     const std::lock_guard lock(mutex_);
@@ -38,10 +42,12 @@
     if (!final_view && answer > view) view = answer;
   }
 
+  // One line for each response that showed an older state.
   std::vector<std::string> violations() {
     const std::lock_guard lock(mutex_);
     return violations_;
   }
+  // The number of recorded responses.
   std::size_t answer_count() {
     const std::lock_guard lock(mutex_);
     return answer_count_;
@@ -53,7 +59,7 @@
       case JobView::unknown:
         return "unknown";
       case JobView::active:
-        return "live";
+        return "active";
       case JobView::done:
         return "done";
       case JobView::cancelled:
--- a/test/cluster_fixtures.h
+++ b/test/cluster_fixtures.h
@@ -1,4 +1,4 @@
-// Machines and gangs for tests of decisions.
+// Builders of hosts and jobs for unit tests of scheduling decisions.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 namespace reachramp::test {
 
-// One that is up and was last heard at `heard_at`; named by its number unless `name` says
-// otherwise.
+// Adds a host that is up and sent its last heartbeat at `last_heartbeat_at`. Without a `name` it is
+// called n-<number of hosts before it>.
 inline placement::Index add_machine(placement::Cluster& cluster, const std::string& type,
                                     const std::string& zone, bool is_spot,
                                     double last_heartbeat_at = 0, std::string name = "") {
@@ -20,29 +20,29 @@
   return index;
 }
 
-// An array of tasks of one core each, of the team "red".
+// Makes a job array of the team "red" whose tasks need one core each.
 inline jobs::Header make_array(const std::string& id, std::uint32_t tasks) {
-  jobs::Header made;
-  made.spec.id = id;
-  made.spec.team = "red";
-  made.spec.tasks = tasks;
-  made.spec.cpus = 1;
-  made.spec.image = "img";
-  return made;
+  jobs::Header header;
+  header.spec.id = id;
+  header.spec.team = "red";
+  header.spec.tasks = tasks;
+  header.spec.cpus = 1;
+  header.spec.image = "img";
+  return header;
 }
 
-// A gang that must share a zone, named by its number among the cluster's jobs.
+// Makes a gang whose tasks must share a zone. Its id is j-<number of jobs in `cluster`>.
 inline jobs::Header make_gang(const placement::Cluster& cluster, const std::string& team,
                               std::uint32_t tasks) {
-  jobs::Header made;
-  made.spec.id = "j-" + std::to_string(cluster.jobs.size());
-  made.spec.team = team;
-  made.spec.shape = jobs::Shape::gang;
-  made.spec.single_zone = true;
-  made.spec.tasks = tasks;
-  made.spec.cpus = 30;
-  made.spec.image = "img";
-  return made;
+  jobs::Header header;
+  header.spec.id = "j-" + std::to_string(cluster.jobs.size());
+  header.spec.team = team;
+  header.spec.shape = jobs::Shape::gang;
+  header.spec.single_zone = true;
+  header.spec.tasks = tasks;
+  header.spec.cpus = 30;
+  header.spec.image = "img";
+  return header;
 }
 
 }  // namespace reachramp::test
--- a/test/failure_artifacts.h
+++ b/test/failure_artifacts.h
@@ -1,5 +1,6 @@
-// Files about a test with real processes: the nodes' logs and what the stand-ins saw. They are
-// deleted with the test if it passes; else they stay, and their folder is printed.
+// Files that help to explain the failure of a test with real processes: the nodes' logs and the
+// histories of the emulated services. They are deleted if the test passes; otherwise they are kept
+// and their directory is printed.
 #pragma once
 
 #include <fmt/format.h>
@@ -16,30 +17,35 @@
 
 namespace reachramp::test {
 
+// The directory of one test's files, below REACHRAMP_EVIDENCE. It is made when the test starts; the
+// destructor deletes it or, after a failure, keeps it.
 class FailureArtifacts {
  public:
+  // The size limit of one log of a node. What a node logs beyond it is lost.
   static constexpr std::size_t kMaxLog_bytes = std::size_t{16} << 20;
 
-  FailureArtifacts() { std::filesystem::create_directories(folder_); }
+  FailureArtifacts() { std::filesystem::create_directories(directory_); }
   ~FailureArtifacts() {
     if (::testing::Test::HasFailure()) {
-      std::cout << "kept: " << folder_.string() << "\n";
+      std::cout << "kept: " << directory_.string() << "\n";
       return;
     }
     std::error_code ignored;
-    std::filesystem::remove_all(folder_, ignored);
+    std::filesystem::remove_all(directory_, ignored);
   }
   FailureArtifacts(const FailureArtifacts&) = delete;
 
-  // How much the nodes log: LOG_LEVEL of the test itself, or info.
+  // The log level for the nodes: LOG_LEVEL in the environment of the test program, or else info.
   static std::string log_level() {
     const char* level = std::getenv("LOG_LEVEL");
     return level == nullptr ? "info" : level;
   }
 
-  std::string path(const std::string& name) const { return (folder_ / name).string(); }
+  // The path of the file `name` in the directory.
+  std::string path(const std::string& name) const { return (directory_ / name).string(); }
+  // Writes the lines to the file `name` in the directory.
   void write_lines(const std::string& name, const std::vector<std::string>& lines) const {
-    std::ofstream file(folder_ / name);
+    std::ofstream file(directory_ / name);
     for (const std::string& line : lines) file << line << "\n";
   }
 
@@ -51,7 +57,7 @@
     return name;
   }
 
-  const std::filesystem::path folder_ = std::filesystem::path(REACHRAMP_EVIDENCE) / test_name();
+  const std::filesystem::path directory_ = std::filesystem::path(REACHRAMP_EVIDENCE) / test_name();
 };
 
 }  // namespace reachramp::test
--- a/test/port_reservations.h
+++ b/test/port_reservations.h
@@ -1,4 +1,4 @@
-// Ports of this machine for tests that talk over loopback.
+// Reservation of loopback ports for tests.
 #pragma once
 
 #include <arpa/inet.h>
@@ -11,9 +11,10 @@
 
 namespace reachramp::test {
 
-// Holds each port it gave for as long as it lives, by a socket that is bound and does not listen.
-// The kernel then gives the port to no outgoing connection and to no other reservation, in whatever
-// process; a server that sets SO_REUSEADDR can still listen on it, also again after it ended.
+// Holds each reserved port until the object is destroyed, by a socket that is bound but does not
+// listen. Meanwhile the kernel gives the port neither to an outgoing connection nor to another
+// reservation of any process. A server that sets SO_REUSEADDR can listen on the port, and can do so
+// again after it was restarted.
 class PortReservations {
  public:
   PortReservations() = default;
@@ -22,6 +23,7 @@
   }
   PortReservations(const PortReservations&) = delete;
 
+  // Reserves a free port; aborts the program if there is none.
   std::uint16_t reserve() {
     const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in address{};
@@ -30,7 +32,8 @@
     socklen_t size = sizeof address;
     if (::bind(socket, reinterpret_cast<sockaddr*>(&address), size) != 0) std::abort();
     ::getsockname(socket, reinterpret_cast<sockaddr*>(&address), &size);
-    // Only now: a socket that shares its port from the start may be given one that is held.
+    // SO_REUSEADDR is set only after bind(): if it is set before, the kernel may choose a port that
+    // another reservation holds.
     const int yes = 1;
     if (::setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes) != 0) std::abort();
     sockets_.push_back(socket);
--- a/test/port_reservations_test.cpp
+++ b/test/port_reservations_test.cpp
@@ -10,6 +10,7 @@
 namespace reachramp::test {
 namespace {
 
+// Whether a socket without SO_REUSEADDR can be bound to the port.
 bool can_bind_alone(std::uint16_t port) {
   const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in address{};
@@ -21,17 +22,17 @@
   return bound;
 }
 
-// A node whose port went to a proxy of the same test could not listen, and what users asked it was
-// answered by the proxy's target.
+// Without reservations a proxy of the same test could be reserved the port of a node. The node then
+// could not listen, and the target of that proxy answered the users of the node.
 TEST(Ports, AReservedPortIsFreeForOneServerAndForNobodyElse) {
   PortReservations ports;
-  std::set<std::uint16_t> given;
+  std::set<std::uint16_t> reserved;
   constexpr std::size_t kPorts = 300;
-  for (std::size_t i = 0; i < kPorts; ++i) given.insert(ports.reserve());
-  EXPECT_EQ(given.size(), kPorts);
-  const std::uint16_t port = *given.begin();
-  for (int start = 0; start < 2; ++start) {
-    EXPECT_FALSE(can_bind_alone(port)) << "held while no server listens";
+  for (std::size_t i = 0; i < kPorts; ++i) reserved.insert(ports.reserve());
+  EXPECT_EQ(reserved.size(), kPorts);
+  const std::uint16_t port = *reserved.begin();
+  for (int round = 0; round < 2; ++round) {
+    EXPECT_FALSE(can_bind_alone(port)) << "the port must be reserved while no server listens";
     const wire::Socket server = wire::Socket::listen({"127.0.0.1", port});
     boost::beast::error_code error;
     const wire::Socket user =
--- a/test/recording_server.h
+++ b/test/recording_server.h
@@ -1,4 +1,5 @@
-// A service on a port of its own that keeps what it was asked and answers what the test wants.
+// An HTTP server for tests of clients. It listens on a loopback port of its own, records every
+// request and responds with the test's handler.
 #pragma once
 
 #include <mutex>
@@ -11,13 +12,16 @@
 
 namespace reachramp::test {
 
+// A request as the server received it.
 struct RecordedRequest {
   std::string request_line;  // method, path and query
-  wire::Json body;           // null: none
+  wire::Json body;           // null if the request has none
 };
 
+// Serves from construction to destruction. All functions may be called from any thread.
 class RecordingServer {
  public:
+  // `handler` makes the response to every request.
   explicit RecordingServer(wire::Handler handler)
       : handler_(std::move(handler)),
         server_(
@@ -25,7 +29,9 @@
             [](const wire::Request&) { return wire::ClientKind::user; },
             [this](const wire::Request& request) { return serve(request); }) {}
 
+  // The address that the server listens on.
   const wire::Address& address() const { return address_; }
+  // All requests so far, in the order of their arrival.
   std::vector<RecordedRequest> requests() {
     const std::lock_guard lock(mutex_);
     return requests_;
--- a/test/tcp_proxy.h
+++ b/test/tcp_proxy.h
@@ -1,7 +1,7 @@
-// Passes TCP connections on to a port of this machine, until it is cut: then it holds them, takes
-// new ones and passes nothing on, as a network does that gives no errors. Mended, held connections
-// go on. It can hold the answers alone, and send again what has come through it, as a network does
-// that delivers copies late.
+// A TCP proxy on loopback that emulates a network which fails without errors. While it is blocked
+// it keeps its connections and accepts new ones but forwards nothing; afterwards the connections
+// continue. It can also hold back responses alone, and replay earlier requests, as a network does
+// that delivers duplicates late.
 #pragma once
 
 #include <poll.h>
@@ -18,8 +18,10 @@
 
 namespace reachramp::test {
 
+// Forwards connections from construction to destruction.
 class TcpProxy {
  public:
+  // Listens on `listen_port` and connects to `target_port`, both on loopback.
   TcpProxy(std::uint16_t listen_port, std::uint16_t target_port)
       : target_port_(target_port),
         listener_(wire::Socket::listen({"127.0.0.1", listen_port})),
@@ -27,15 +29,16 @@
   ~TcpProxy() {
     stopping_ = true;
     accept_thread_.join();
-    for (std::thread& pump : connection_threads_) pump.join();
+    for (std::thread& thread : connection_threads_) thread.join();
   }
   TcpProxy(const TcpProxy&) = delete;
 
+  // Stops or resumes forwarding in both directions.
   void set_blocked(bool blocked) { blocked_ = blocked; }
-  // Requests go on, answers are held.
+  // While `hold` is true, requests are forwarded and responses are held back.
   void set_hold_responses(bool hold) { hold_responses_ = hold; }
-  // Copies of the newest requests that came through, the oldest first, each on a connection of its
-  // own whose answer nobody takes.
+  // Sends copies of the recent requests to the target, oldest first, each on a new connection whose
+  // response nobody reads.
   void replay_requests() {
     std::vector<std::string> copies;
     {
@@ -44,9 +47,9 @@
     }
     for (const std::string& copy : copies) {
       boost::beast::error_code error;
-      const wire::Socket to = wire::Socket::connect({"127.0.0.1", target_port_},
-                                                    std::chrono::milliseconds(1000), error);
-      if (to.is_open()) send(to, copy.data(), copy.size());
+      const wire::Socket target = wire::Socket::connect({"127.0.0.1", target_port_},
+                                                        std::chrono::milliseconds(1000), error);
+      if (target.is_open()) send(target, copy.data(), copy.size());
     }
   }
 
@@ -64,13 +67,15 @@
       if (!is_readable(listener_.fd())) continue;
       wire::Socket socket = listener_.accept();
       if (socket.is_open()) {
-        connection_threads_.emplace_back(
-            [this, from = std::move(socket)]() mutable { forward_connection(std::move(from)); });
+        connection_threads_.emplace_back([this, client = std::move(socket)]() mutable {
+          forward_connection(std::move(client));
+        });
       }
     }
   }
 
-  // Each connection has a thread until it or the proxy ends.
+  // Forwards a connection until it ends or the proxy stops. Each connection has a thread of its
+  // own.
   void forward_connection(wire::Socket client) {
     boost::beast::error_code error;
     wire::Socket target;
@@ -103,7 +108,9 @@
     return true;
   }
 
-  // A request that does not come in one piece is no request in what is kept, and is refused.
+  // Forwards what one read returns; false once the connection has ended. Each read from a client is
+  // stored as one request: a request that arrives in several reads is replayed in pieces, which the
+  // target refuses.
   bool forward_once(const wire::Socket& from, const wire::Socket& to, bool is_request) {
     char bytes[16384];
     const ssize_t received_size = ::recv(from.fd(), bytes, sizeof bytes, 0);
@@ -123,7 +130,7 @@
   std::atomic<bool> hold_responses_{false};
   std::mutex mutex_;
   std::deque<std::string> recent_requests_;
-  std::vector<std::thread> connection_threads_;  // the acceptor's
+  std::vector<std::thread> connection_threads_;  // written only by accept_thread_
   std::thread accept_thread_;
 };
 
