--- a/test/behaviour_digests.cpp
+++ b/test/behaviour_digests.cpp
@@ -1,7 +1,7 @@
-// Prints one digest per seed of how the leaders of a simulated cluster behaved through its
-// troubles, and at the end one of all: `behaviour_digests FIRST_SEED SEEDS`. A change that is to
-// keep the behaviour leaves every line as it is; scripts/same-behaviour compares two versions. How
-// often each kind of event was recorded goes to standard error.
+// Prints one digest per seed of the behaviour of the leaders in a simulated cluster with faults,
+// and at the end one digest of all: `behaviour_digests FIRST_SEED SEEDS`. A change that must not
+// alter the behaviour leaves every line as it is; scripts/same-behaviour compares two versions. The
+// number of recorded events of each kind goes to standard error.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -21,45 +21,48 @@
 constexpr int kRounds = 18;
 constexpr double kRound_s = 8;
 
+// The outcome of one seed.
 struct Recording {
   std::uint64_t digest = 0;
   BehaviourRecorder::Counts counts{};
 };
 
-// In turn by seed: an ordinary cluster, and those of the meetings (meetings_test.cpp). Every second
-// seed begins with nodes of version 0.2.0 that are changed one by one.
+// Chooses by seed between the default cluster and those of combined_faults_test.cpp. Even seeds
+// start with nodes of version 0.2.0 that are upgraded one by one.
 SimulationOptions options_for_seed(std::uint64_t seed) {
-  SimulationOptions world;
-  if (seed % 2 == 1) world.all_upgraded_after_s = 0;
+  SimulationOptions options;
+  if (seed % 2 == 1) options.all_upgraded_after_s = 0;
   switch (seed / 2 % 6) {
     case 0:
       break;
     case 1:
-      world.platform.teams = {{"red", 2, 6, 0, 0}, {"blue", 2, 5, 0, 0}};
-      world.task_duration_s = 40;
+      options.platform.teams = {{"red", 2, 6, 0, 0}, {"blue", 2, 5, 0, 0}};
+      options.task_duration_s = 40;
       break;
     case 2:
-      world.min_boot_s = 0.2;
-      world.max_boot_s = 2;
-      world.unanswered_transaction_share = 0.4;
-      world.rental_response_delay_s = 3;
+      options.min_boot_s = 0.2;
+      options.max_boot_s = 2;
+      options.unanswered_transaction_share = 0.4;
+      options.rental_response_delay_s = 3;
       break;
     case 3:
-      world.replayed_report_share = 0.3;
-      world.task_duration_s = 7;
+      options.replayed_report_share = 0.3;
+      options.task_duration_s = 7;
       break;
     case 4:
-      world.platform.store_limits.write_rps = world.platform.upcoming_store_limits.write_rps = 30;
-      world.task_duration_s = 3;
+      options.platform.store_limits.write_rps = options.platform.upcoming_store_limits.write_rps =
+          30;
+      options.task_duration_s = 3;
       break;
     default:
-      world.message_delay_factor = 10;
-      world.machines_per_pool = 1;
-      world.task_duration_s = 5;
+      options.message_delay_factor = 10;
+      options.machines_per_pool = 1;
+      options.task_duration_s = 5;
   }
-  return world;
+  return options;
 }
 
+// Makes the job with this number, with random properties; it may depend on the five before it.
 jobs::Spec make_job(int number, std::mt19937_64& random) {
   const std::uint64_t choice = random() % 1000;
   jobs::Spec spec;
@@ -76,16 +79,17 @@
   spec.allow_spot = choice % 3 != 0;
   spec.priority = choice % 4 == 2 ? jobs::Priority::high : jobs::Priority::normal;
   spec.estimated_duration_s = 5;
-  if (spec.shape == jobs::Shape::gang && choice % 2 == 0) {  // long enough to be moved
+  // Runs long enough to be moved to other machines.
+  if (spec.shape == jobs::Shape::gang && choice % 2 == 0) {
     spec.checkpoint_interval_s = 2;
     spec.checkpoint_duration_s = 0.5;
     spec.estimated_duration_s = 20;
   }
-  if (choice % 4 == 1) {  // longer than a cancelled task may stay
+  if (choice % 4 == 1) {  // runs for longer than cancel_s
     spec.tasks = std::min(spec.tasks, 4u);
     spec.estimated_duration_s = 60;
   }
-  if (number % 6 == 5) {  // a gang over two machines: drains stop it at both at once
+  if (number % 6 == 5) {  // a gang on two machines: a drain stops it on both at once
     spec.team = "blue";
     spec.shape = jobs::Shape::gang;
     spec.tasks = 2;
@@ -100,7 +104,8 @@
   return spec;
 }
 
-// The operators' and users' part; the cluster's own troubles go on beside it.
+// Submits jobs, cancels some of them, changes leaders and starts outages, in addition to the random
+// faults of the cluster itself.
 void run_user_activity(SimulatedCluster& cluster, std::mt19937_64& random) {
   for (int round = 0; round < kRounds; ++round) {
     cluster.submit(make_job(2 * round, random));
@@ -115,24 +120,27 @@
   cluster.run_for(60);
 }
 
+// Simulates one seed: first with faults, then without until all jobs have ended.
 Recording record_seed(std::uint64_t seed) {
-  constexpr int kCalmRounds = 15;
-  constexpr double kCalmRound_s = 20;
+  constexpr int kRecoveryRounds = 15;
+  constexpr double kRecoveryRound_s = 20;
   BehaviourRecorder recorder;
   SimulatedCluster cluster(seed, options_for_seed(seed));
   cluster.set_recorder(recorder);
   std::mt19937_64 random(seed + 1);
   run_user_activity(cluster, random);
   cluster.end_faults();
-  for (int i = 0; i < kCalmRounds && !(cluster.all_jobs_ended() && cluster.settled()); ++i) {
-    cluster.run_for(kCalmRound_s);
+  for (int i = 0; i < kRecoveryRounds && !(cluster.all_jobs_ended() && cluster.is_schema_settled());
+       ++i) {
+    cluster.run_for(kRecoveryRound_s);
   }
-  recorder.record(BehaviourRecorder::kSimulationEnd, 0,
-                  {cluster.all_jobs_ended(), cluster.settled(), Json(cluster.violations)});
+  recorder.record(
+      BehaviourRecorder::kSimulationEnd, 0,
+      {cluster.all_jobs_ended(), cluster.is_schema_settled(), Json(cluster.violations)});
   return {recorder.digest(), recorder.counts()};
 }
 
-// Seeds know nothing of each other: each thread takes the next one.
+// The simulations are independent of each other: each thread takes the next seed.
 std::vector<Recording> record_all(std::uint64_t first, std::size_t seeds) {
   std::vector<Recording> recordings(seeds);
   std::atomic<std::size_t> next{0};
@@ -147,6 +155,7 @@
   return recordings;
 }
 
+// Prints the digests to standard output and the numbers of events to standard error.
 void print_digests(std::uint64_t first, const std::vector<Recording>& recordings) {
   Digest all;
   BehaviourRecorder::Counts counts{};
--- a/test/behaviour_recorder.cpp
+++ b/test/behaviour_recorder.cpp
@@ -19,7 +19,7 @@
 
 void BehaviourRecorder::record(Kind kind, double now, const Json& values) {
   ++counts_[kind];
-  // MessagePack keeps doubles exactly and tells where one value ends.
+  // MessagePack preserves doubles exactly and marks where each value ends.
   const std::vector<std::uint8_t> bytes =
       Json::to_msgpack(Json::array({static_cast<unsigned>(kind), now, values}));
   digest_.add(bytes.data(), bytes.size());
--- a/test/behaviour_recorder.h
+++ b/test/behaviour_recorder.h
@@ -1,7 +1,7 @@
-// Records what leaves the simulated leaders, and what users are told, as one digest: two builds
-// whose digests are equal behaved the same, byte for byte and in order. Events are encoded as they
-// go over the wire, or as plain lists of values, never with names of C++ types or members, so that
-// a change that only renames them leaves the digest as it is.
+// Computes one digest over everything that simulated leaders send and users are told. Two builds
+// with equal digests behaved the same, byte for byte and in the same order. Events are encoded as
+// they go over the wire, or as plain lists of values, never with names of C++ types or members, so
+// a change that only renames those leaves the digest unchanged.
 #pragma once
 
 #include <array>
@@ -12,19 +12,24 @@
 
 namespace reachramp::test {
 
-// 64-bit FNV-1a: short, and the same on every machine. It guards against mistakes, not malice.
+// A 64-bit FNV-1a hash, which is short and the same on every machine. It detects accidental
+// differences; it is not a cryptographic hash.
 class Digest {
  public:
+  // Hashes `size` more bytes.
   void add(const void* bytes, std::size_t size);
+  // The digest of all bytes so far.
   std::uint64_t value() const { return value_; }
 
  private:
   std::uint64_t value_ = 0xcbf29ce484222325;
 };
 
+// Digests the events of one simulation, and counts them by kind.
 class BehaviourRecorder {
  public:
-  // What an event is about. The numbers go into the digest: new kinds are added at the end.
+  // The kind of an event. The enumerators' numbers enter the digest, so new kinds are added at the
+  // end.
   enum Kind : std::uint8_t {
     kElected,
     kTransaction,
@@ -44,16 +49,20 @@
     kSimulationEnd,
     kKindCount
   };
+  // The number of events, indexed by Kind.
   using Counts = std::array<std::uint64_t, kKindCount>;
 
-  // `values`: a list; doubles in it count to their last bit.
+  // Adds an event at the simulated time `now`. `values` must be a list; doubles in it enter the
+  // digest with all their bits.
   void record(Kind kind, double now, const wire::Json& values);
-  // Everything that a leader wants done, by its fencing token.
+  // Adds everything that the leader with this fencing token requests by `effects`.
   void record_effects(double now, std::uint64_t fencing_token, const controller::Effects& effects);
-  // A leader's response to a worker's report; null: it may not answer.
+  // Adds a leader's response to a worker's heartbeat. A null `body` means that the leader must not
+  // answer.
   void record_response(double now, std::uint64_t fencing_token, const workers::Heartbeat& heartbeat,
                        const wire::Json& body);
 
+  // The digest of all events so far.
   std::uint64_t digest() const { return digest_.value(); }
   const Counts& counts() const { return counts_; }
 
--- a/test/combined_faults_test.cpp
+++ b/test/combined_faults_test.cpp
@@ -1,6 +1,6 @@
-// Meetings of troubles (docs/design/meetings.md), each brought about in every world of the
-// simulated cluster, whose other troubles go on beside it. A test also asserts that its meeting
-// took place.
+// Combinations of faults (docs/design/meetings.md). Each runs with many seeds of the simulated
+// cluster, whose random faults continue meanwhile. A test also asserts that its combination
+// occurred.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -14,7 +14,7 @@
 
 std::string job_id(int number) { return std::string("j-").append(std::to_string(number)); }
 
-// An array whose tasks take one core each.
+// A job array whose tasks need one core each.
 jobs::Spec array_job(int number, const std::string& team, std::uint32_t tasks) {
   jobs::Spec spec;
   spec.id = job_id(number);
@@ -30,15 +30,16 @@
   return spec;
 }
 
-// Nodes of the present version, whose stored state is at its last form soon.
+// All nodes run the current version, so that the newest schema level is settled soon.
 SimulationOptions current_version_options() {
-  SimulationOptions world;
-  world.all_upgraded_after_s = 0;
-  return world;
+  SimulationOptions options;
+  options.all_upgraded_after_s = 0;
+  return options;
 }
 
-// Plays the meeting in as many worlds; when the trouble is over all jobs end and no rule broke.
-// `play` tells whether the meeting took place, which it must in most worlds.
+// Runs `scenario` with the seeds from 1 to `seed_count`. After the faults end, all jobs must end
+// and no rule may be broken. `scenario` returns whether its combination of faults occurred, which
+// it must for most seeds.
 void run_scenario(const SimulationOptions& options,
                   const std::function<bool(SimulatedCluster&)>& scenario,
                   std::uint64_t seed_count = kSeedCount) {
@@ -51,17 +52,17 @@
     EXPECT_EQ(cluster.violations, std::vector<std::string>{}) << "seed " << seed;
     EXPECT_TRUE(cluster.all_jobs_ended()) << "seed " << seed << "\n" << cluster.unfinished_jobs();
   }
-  EXPECT_GT(scenarios_reached, seed_count / 2) << "the meeting did not take place";
+  EXPECT_GT(scenarios_reached, seed_count / 2) << "the combination of faults did not occur";
 }
 
-// "Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the
-// leader changes."
-TEST(Meetings, EveryTeamAtItsLimitWhileCancelledTasksHangAndTheLeaderChanges) {
-  SimulationOptions world = current_version_options();
-  world.platform.teams = {{"red", 2, 6, 0, 0}, {"blue", 2, 5, 0, 0}};
-  world.task_duration_s = 60;
-  run_scenario(world, [](SimulatedCluster& cluster) {
-    bool met = false;
+// Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the
+// leader changes.
+TEST(CombinedFaults, EveryTeamAtItsLimitWhileCancelledTasksHangAndTheLeaderChanges) {
+  SimulationOptions options = current_version_options();
+  options.platform.teams = {{"red", 2, 6, 0, 0}, {"blue", 2, 5, 0, 0}};
+  options.task_duration_s = 60;
+  run_scenario(options, [](SimulatedCluster& cluster) {
+    bool occurred = false;
     for (int round = 0; round < 3; ++round) {
       for (int i = 0; i < 2; ++i) {
         cluster.submit(array_job(4 * round + 2 * i, "red", 6));
@@ -73,21 +74,22 @@
       }
       const bool at_limit = cluster.is_team_at_limit("red") && cluster.is_team_at_limit("blue");
       cluster.cancel_running_jobs(cluster.random_between(3, 70));
-      met = met || (at_limit && cluster.running_cancelled_task_count() > 0);
+      occurred = occurred || (at_limit && cluster.running_cancelled_task_count() > 0);
       cluster.run_for(cluster.random_between(0, 3));
       cluster.change_leader();
       cluster.run_for(35);
     }
-    return met;
+    return occurred;
   });
 }
 
-// "Jobs are cancelled in the seconds in which one controller's work changes hands"; "leaders change
-// ten times in two minutes"; "jobs of two or three tasks end far apart across a change of leaders".
-TEST(Meetings, CancelledWhileTheLeadChangesHandsTenTimesInTwoMinutes) {
-  SimulationOptions world = current_version_options();
-  world.task_duration_s = 9;
-  run_scenario(world, [](SimulatedCluster& cluster) {
+// Jobs are cancelled in the seconds in which the leadership changes, and leaders change ten times
+// in two minutes. The tasks of jobs with two or three of them end far apart, before and
+// after a change of leaders.
+TEST(CombinedFaults, CancelledWhileTheLeadChangesHandsTenTimesInTwoMinutes) {
+  SimulationOptions options = current_version_options();
+  options.task_duration_s = 9;
+  run_scenario(options, [](SimulatedCluster& cluster) {
     int cancelled = 0;
     for (int round = 0; round < 10; ++round) {
       cluster.submit(array_job(3 * round, "red", 2));
@@ -106,16 +108,17 @@
   });
 }
 
-// "New machines are up within two seconds and get work at once while writes lag, and the leader
-// ends": they report before their rental is answered.
-TEST(Meetings, MachinesUpBeforeTheirRentalIsAnsweredWhileWritesLagAndTheLeaderEnds) {
-  SimulationOptions world = current_version_options();
-  world.min_boot_s = 0.2;
-  world.max_boot_s = 2;
-  world.rental_response_delay_s = 3;
-  world.unanswered_transaction_share = 0.4;
-  world.task_duration_s = 6;
-  run_scenario(world, [](SimulatedCluster& cluster) {
+// New machines boot within two seconds and get tasks at once while transactions are applied late,
+// and the leader changes. The machines report before the response to their scale-out request
+// arrives.
+TEST(CombinedFaults, MachinesUpBeforeTheirRentalIsAnsweredWhileWritesLagAndTheLeaderEnds) {
+  SimulationOptions options = current_version_options();
+  options.min_boot_s = 0.2;
+  options.max_boot_s = 2;
+  options.rental_response_delay_s = 3;
+  options.unanswered_transaction_share = 0.4;
+  options.task_duration_s = 6;
+  run_scenario(options, [](SimulatedCluster& cluster) {
     for (int round = 0; round < 6; ++round) {
       cluster.submit(array_job(2 * round, "red", 8));
       cluster.submit(array_job(2 * round + 1, "blue", 20));
@@ -127,14 +130,13 @@
   });
 }
 
-// "An old report reaches every controller just as a new leader begins", "a report is held back
-// until a new leader has acted": a copy of every third report waits for the next leader, and
-// reaches the one before as well.
-TEST(Meetings, OldReportsReachEveryControllerAsALeaderBegins) {
-  SimulationOptions world = current_version_options();
-  world.replayed_report_share = 0.3;
-  world.task_duration_s = 7;
-  run_scenario(world, [](SimulatedCluster& cluster) {
+// Old reports reach every controller just as a new leader starts: copies of 30% of the reports wait
+// for the next leader, and are sent to the former leader as well.
+TEST(CombinedFaults, OldReportsReachEveryControllerAsALeaderBegins) {
+  SimulationOptions options = current_version_options();
+  options.replayed_report_share = 0.3;
+  options.task_duration_s = 7;
+  run_scenario(options, [](SimulatedCluster& cluster) {
     std::size_t copies = 0;
     for (int round = 0; round < 8; ++round) {
       cluster.submit(array_job(2 * round, "red", 5));
@@ -149,14 +151,14 @@
   });
 }
 
-// "One-task jobs come four a second for minutes, a quarter of them cancelled", where the state
-// service takes 30 changes a second, under leaders that change.
-TEST(Meetings, OneTaskJobsFourASecondAQuarterCancelled) {
-  SimulationOptions world = current_version_options();
-  world.platform.store_limits.write_rps = world.platform.upcoming_store_limits.write_rps = 30;
-  world.task_duration_s = 3;
+// One-task jobs arrive at four a second for two minutes and a quarter of them are cancelled, while
+// the key-value store accepts 30 writes a second and leaders change.
+TEST(CombinedFaults, OneTaskJobsFourASecondAQuarterCancelled) {
+  SimulationOptions options = current_version_options();
+  options.platform.store_limits.write_rps = options.platform.upcoming_store_limits.write_rps = 30;
+  options.task_duration_s = 3;
   run_scenario(
-      world,
+      options,
       [](SimulatedCluster& cluster) {
         constexpr int kJobs = 480;
         for (int i = 0; i < kJobs; ++i) {
@@ -170,13 +172,14 @@
       4);
 }
 
-// "There is more work than room, urgent and not, over slow links."
-TEST(Meetings, MoreWorkThanRoomUrgentAndNotOverSlowLinks) {
-  SimulationOptions world = current_version_options();
-  world.message_delay_factor = 10;
-  world.machines_per_pool = 1;
-  world.task_duration_s = 5;
-  run_scenario(world, [](SimulatedCluster& cluster) {
+// There are more tasks, of high and normal priority, than the machines have room for, and messages
+// are slow.
+TEST(CombinedFaults, MoreWorkThanRoomUrgentAndNotOverSlowLinks) {
+  SimulationOptions options = current_version_options();
+  options.message_delay_factor = 10;
+  options.machines_per_pool = 1;
+  options.task_duration_s = 5;
+  run_scenario(options, [](SimulatedCluster& cluster) {
     for (int i = 0; i < 16; ++i) {
       jobs::Spec spec = array_job(i, i % 2 == 0 ? "red" : "blue", 20);
       spec.priority = i % 3 == 0 ? jobs::Priority::high : jobs::Priority::normal;
--- a/test/simulated_cluster.cpp
+++ b/test/simulated_cluster.cpp
@@ -10,15 +10,15 @@
 namespace reachramp::test {
 
 settings::Platform SimulationOptions::default_platform() {
-  settings::Platform p;
-  p.node_name = "node-0";
-  p.members = {{"node-1", "a", {}}, {"node-2", "b", {}}};
-  p.teams = {{"red", 4, 10, 0, 0}, {"blue", 0, 0, 0, 0}};
-  p.worker_timings = {1, 10, 15, 4, 30};
-  p.store_limits = {1000, 200, 3, 8};
-  p.upcoming_store_limits = {1000, 100, 1, 4};
-  p.cloud_limits = {10, 2};
-  return p;
+  settings::Platform platform;
+  platform.node_name = "node-0";
+  platform.members = {{"node-1", "a", {}}, {"node-2", "b", {}}};
+  platform.teams = {{"red", 4, 10, 0, 0}, {"blue", 0, 0, 0, 0}};
+  platform.worker_timings = {1, 10, 15, 4, 30};
+  platform.store_limits = {1000, 200, 3, 8};
+  platform.upcoming_store_limits = {1000, 100, 1, 4};
+  platform.cloud_limits = {10, 2};
+  return platform;
 }
 
 cloud::Catalog simulated_catalog() {
@@ -114,14 +114,14 @@
   outage_ends_at_ = outage_starts_at_ + outage_s;
   unreachable_node_ = happens(0.5) ? &nodes_[random_() % std::size(nodes_)] : nullptr;
   for (const auto& [id, spec] : specs_) {
-    const bool live = store_.items().contains(jobs::job_key(id));
-    if (live && happens(spec.estimated_duration_s > 30 ? 0.7 : 0.2)) {
+    const bool is_live = store_.items().contains(jobs::job_key(id));
+    if (is_live && happens(spec.estimated_duration_s > 30 ? 0.7 : 0.2)) {
       schedule(random_between(0, leader_only_s), [this, id = id] { cancel(id); });
     }
   }
 }
 
-bool SimulatedCluster::settled() const {
+bool SimulatedCluster::is_schema_settled() const {
   const auto at = store_.items().find(schema::kLevelKey);
   if (at == store_.items().end()) return false;
   const schema::StoredSchema stored = schema::decode_stored(at->second.value);
@@ -159,8 +159,8 @@
     violations.push_back(what + " at " + std::to_string(now_));
 }
 
-void SimulatedCluster::schedule(double delay, std::function<void()> deliver) {
-  scheduled_calls_.push_back({now_ + delay, std::move(deliver)});
+void SimulatedCluster::schedule(double delay, std::function<void()> call) {
+  scheduled_calls_.push_back({now_ + delay, std::move(call)});
 }
 
 void SimulatedCluster::poll_cancellations(std::uint64_t fencing_token,
@@ -173,15 +173,17 @@
     const double response_delay = happens(0.05) ? random_between(1, 5) : 0.1;
     schedule(0.1, [this, fencing_token, asked_at, response_delay, i, window = windows[i]] {
       if (!nodes_[i].alive) return;
-      const peers::RecentCancellations::Confirmed told =
+      const peers::RecentCancellations::Confirmed confirmed =
           nodes_[i].recent_cancellations->confirmed_within(window, now_);
-      leadership::CancellationDigest word{i, window, told.covered_s, asked_at, 0, told.jobs};
-      schedule(response_delay, [this, fencing_token, word]() mutable {
-        word.received_at = now_;
+      leadership::CancellationDigest digest{i,        window, confirmed.covered_s,
+                                            asked_at, 0,      confirmed.jobs};
+      schedule(response_delay, [this, fencing_token, digest]() mutable {
+        digest.received_at = now_;
         record(BehaviourRecorder::kCancellationDigest,
-               {fencing_token, word.member, word.window_s, word.covered_s, Json(word.cancelled)});
+               {fencing_token, digest.member, digest.window_s, digest.covered_s,
+                Json(digest.cancelled)});
         if (leader_ && leader_->cluster().fencing_token == fencing_token)
-          leader_->on_cancellation_digests({word}, now_);
+          leader_->on_cancellation_digests({digest}, now_);
       });
     });
   }
@@ -205,13 +207,13 @@
   if (!is_leader_refused() && happens(0.004)) depose();
   if (!leader_ && !is_store_down()) elect();
   std::vector<ScheduledCall> due;
-  std::erase_if(scheduled_calls_, [&](ScheduledCall& message) {
-    if (message.due_at > now_) return false;
-    due.push_back(std::move(message));
+  std::erase_if(scheduled_calls_, [&](ScheduledCall& scheduled) {
+    if (scheduled.due_at > now_) return false;
+    due.push_back(std::move(scheduled));
     return true;
   });
   std::shuffle(due.begin(), due.end(), random_);
-  for (ScheduledCall& message : due) message.call();
+  for (ScheduledCall& scheduled : due) scheduled.call();
   for (auto& [name, machine] : machines_) update_machine(machine);
   check_rules();
   if (leader_ && !is_leader_refused()) deliver_job_changes();
@@ -275,12 +277,12 @@
   node.last_alive_at = now_;
   const bool upgrades_now = node.upgrades_at != 0 && now_ >= node.upgrades_at;
   if (!upgrades_now && !happens(0.002)) return;
-  if (upgrades_now) {  // versions may be skipped
+  if (upgrades_now) {  // an upgrade may skip versions
     node.upgrades_at =
         node.newest_level == schema::kCompact && happens(0.5) ? now_ + random_between(5, 60) : 0;
     node.newest_level = node.upgrades_at == 0 ? schema::kNewestLevel : schema::kTimeline;
   } else if (happens(0.2)) {
-    node.newest_level = schema::kCompact;  // it comes back old
+    node.newest_level = schema::kCompact;  // the node restarts with an older version
     node.upgrades_at = now_ + random_between(5, 60);
   } else if (node.newest_level > schema::kCompact) {
     node.hold_at = happens(0.5) ? static_cast<std::uint32_t>(random_between(2, 6)) : 0;
@@ -364,17 +366,17 @@
 void SimulatedCluster::verify_transaction(std::uint64_t fencing_token, const std::string& key) {
   schedule(0.05, [this, fencing_token, key] {
     const auto read = [this](const std::string& name) {
-      kv::ReadResult answer;
-      if (is_leader_refused() || happens(0.1)) return answer;
+      kv::ReadResult result;
+      if (is_leader_refused() || happens(0.1)) return result;
       const auto entry = read_entry(name);
-      answer.outcome = entry ? kv::Outcome::ok : kv::Outcome::absent;
-      if (entry) answer.entry = *entry;
-      return answer;
+      result.outcome = entry ? kv::Outcome::ok : kv::Outcome::absent;
+      if (entry) result.entry = *entry;
+      return result;
     };
-    const kv::ReadResult answer = read(key);
-    const kv::ReadResult leader = read("leader");
+    const kv::ReadResult transaction_key = read(key);
+    const kv::ReadResult leader_key = read("leader");
     if (leader_ && leader_->cluster().fencing_token == fencing_token) {
-      leader_->on_transaction_verified(answer, leader, now_);
+      leader_->on_transaction_verified(transaction_key, leader_key, now_);
     }
   });
 }
@@ -427,20 +429,20 @@
   std::set<std::string> cancelled;
   for (auto& [name, machine] : machines_) {
     if (!is_alive(machine)) continue;
-    bool holds = false;
+    bool runs_tasks = false;
     for (const auto& [key, task] : machine.tasks) {
       if (task.state == "exited") continue;
       cancelled.insert(key.first.substr(0, key.first.rfind('/')));
-      holds = true;
+      runs_tasks = true;
     }
-    if (holds && hang_s > 0) hang(machine, hang_s);
+    if (runs_tasks && hang_s > 0) hang(machine, hang_s);
   }
   for (const std::string& id : cancelled) cancel(id);
 }
 
 void SimulatedCluster::depose() {
   if (leader_lease_id_ == 0) return;
-  // The old leader may go on for a while, not knowing.
+  // The former leader may continue for a while because it does not know that its lease has ended.
   store_.revoke_lease(leader_lease_id_);
   leader_lease_id_ = 0;
   if (happens(0.5)) {
@@ -458,7 +460,8 @@
   const std::uint32_t current_level =
       level.empty() ? schema::kCompact : schema::decode_stored(level.front().value).level;
   for (SimulatedNode& node : nodes_) {
-    // 0.3.0 knows of no level and is not locked out; the levels so far do it no harm.
+    // Version 0.3.0 knows no schema levels, so the stored level does not exclude it from leading;
+    // the levels so far do it no harm.
     if (node.alive &&
         (node.newest_level >= current_level || node.newest_level == schema::kCompact)) {
       candidates.push_back(&node);
@@ -469,11 +472,11 @@
   const bool is_old_version = leader_node_->newest_level == schema::kCompact;
   old_version_led_ = old_version_led_ || (is_old_version && current_level > schema::kCompact);
   leader_lease_id_ = store_.grant_lease(1e9, now_);
-  const auto won = store_.commit(
+  const auto committed = store_.commit(
       {{{"leader", 0}},
        {{"leader", leadership::encode_holder(identity(*leader_node_), leader_lease_id_),
          leader_lease_id_}}});
-  ASSERT_EQ(won.outcome, kv::Outcome::ok);
+  ASSERT_EQ(committed.outcome, kv::Outcome::ok);
   controller::LeaderSnapshot snapshot;
   snapshot.jobs = store_.list("job/");
   snapshot.tasks = store_.list("task/");
@@ -492,13 +495,13 @@
   if (!is_old_version && !level.empty()) snapshot.stored_schema = level.front();
   snapshot.revision_clock = leader_node_->revision_clock;
   snapshot.revision_clock.observe(store_.store_revision(), now_);
-  record(BehaviourRecorder::kElected, {won.store_revision, node_name(*leader_node_)});
+  record(BehaviourRecorder::kElected, {committed.store_revision, node_name(*leader_node_)});
   led_since_ = now_;
   job_watch_revision_ = store_.store_revision();
   schema::SupportedLevels supported_levels;
   supported_levels.newest = leader_node_->newest_level;
-  leader_ = std::make_unique<Leader>(platform_, settings::Policy{}, won.store_revision, snapshot,
-                                     now_, supported_levels);
+  leader_ = std::make_unique<Leader>(platform_, settings::Policy{}, committed.store_revision,
+                                     snapshot, now_, supported_levels);
   for (const workers::Heartbeat& report : std::exchange(report_copies_, {})) {
     for (const auto* controller : {&leader_, &former_leader_}) {
       schedule(random_between(0, 0.5), [this, report, controller] {
@@ -515,7 +518,7 @@
   if (happens(0.2)) return;
   auto changes = *store_.changes_after("job/", job_watch_revision_);
   job_watch_revision_ = store_.store_revision();
-  // The watch may lag behind what the leader has been told of its own writes.
+  // The watch may lag behind the writes that the leader already knows to be committed.
   if (!changes.empty() && happens(0.3)) {
     const std::uint64_t until = changes[changes.size() / 2].revision;
     std::erase_if(changes, [&](const auto& change) { return change.revision > until; });
@@ -559,18 +562,19 @@
     schedule(random_message_delay(), [=, this] { probe_worker(fencing_token, address); });
   }
   if (effects.read_obsolete_records && !is_leader_refused()) {
-    std::vector<kv::Entry> stale;
+    std::vector<kv::Entry> obsolete;
     for (const auto& [key, item] : store_.items()) {
       const auto prefixes = controller::obsolete_record_prefixes();
-      const bool read = std::any_of(prefixes.begin(), prefixes.end(),
-                                    [&](const auto& prefix) { return key.starts_with(prefix); });
-      if (read && controller::is_obsolete_at_any_level(key, item.value)) {
-        stale.push_back({key, item.value, item.revision});
+      const bool is_listed = std::any_of(prefixes.begin(), prefixes.end(), [&](const auto& prefix) {
+        return key.starts_with(prefix);
+      });
+      if (is_listed && controller::is_obsolete_at_any_level(key, item.value)) {
+        obsolete.push_back({key, item.value, item.revision});
       }
     }
-    schedule(random_message_delay(), [this, fencing_token, stale] {
+    schedule(random_message_delay(), [this, fencing_token, obsolete] {
       if (leader_ && leader_->cluster().fencing_token == fencing_token)
-        leader_->on_obsolete_records(stale, now_);
+        leader_->on_obsolete_records(obsolete, now_);
     });
   }
   if (effects.transaction) {
@@ -580,19 +584,22 @@
                     [](const auto& condition) { return condition.first == schema::kLevelKey; });
     }
     check_record_formats(transaction);
-    if (!is_leader_refused() &&
-        happens(options_.unanswered_transaction_share)) {  // no answer, but applied, perhaps late
+    if (!is_leader_refused() && happens(options_.unanswered_transaction_share)) {
+      // The transaction is applied, perhaps late, and its response is lost.
       schedule(happens(0.5) ? random_message_delay() : random_between(0.5, 12),
                [this, transaction] { apply_transaction(transaction); });
-      schedule(1.5, [this, fencing_token] { settled(fencing_token, {}); });
+      schedule(1.5, [this, fencing_token] { deliver_commit_result(fencing_token, {}); });
     } else if (is_leader_refused() || happens(0.03)) {
       kv::CommitResult refused;
       refused.outcome = kv::Outcome::refused;
-      schedule(0.05, [this, fencing_token, refused] { settled(fencing_token, refused); });
+      schedule(0.05,
+               [this, fencing_token, refused] { deliver_commit_result(fencing_token, refused); });
     } else {
       schedule(0.02, [this, fencing_token, transaction] {
         const kv::CommitResult committed = commit_transaction(transaction);
-        schedule(0.02, [this, fencing_token, committed] { settled(fencing_token, committed); });
+        schedule(0.02, [this, fencing_token, committed] {
+          deliver_commit_result(fencing_token, committed);
+        });
       });
     }
   }
@@ -600,8 +607,8 @@
     schedule(random_message_delay(),
              [this, fencing_token, id] { read_job_end(fencing_token, id); });
   }
-  for (const CloudRequest& order : effects.cloud_requests)
-    schedule(0.2, [this, fencing_token, order] { send_cloud_request(fencing_token, order); });
+  for (const CloudRequest& request : effects.cloud_requests)
+    schedule(0.2, [this, fencing_token, request] { send_cloud_request(fencing_token, request); });
   if (effects.step_down) depose();
 }
 
@@ -633,7 +640,7 @@
     return refused;
   }
   kv::CommitResult committed = apply_transaction(transaction);
-  // One that was put together before the limits fell may be sent again for a while.
+  // A transaction that was built before the limits were lowered may be retried for a while.
   if (committed.outcome == kv::Outcome::malformed && now_ > limits_lowered_at_ + 10) {
     report_violation("a transaction too large");
   }
@@ -642,14 +649,14 @@
 
 void SimulatedCluster::read_job_end(std::uint64_t fencing_token, const std::string& id) {
   if (!leader_ || leader_->cluster().fencing_token != fencing_token) return;
-  kv::ReadResult found;
+  kv::ReadResult result;
   const auto at = store_.items().find(jobs::end_key(id));
   if (at == store_.items().end()) {
-    found.outcome = kv::Outcome::absent;
+    result.outcome = kv::Outcome::absent;
   } else if (!happens(0.2)) {
-    found = {kv::Outcome::ok, {at->first, at->second.value, at->second.revision}, 0};
+    result = {kv::Outcome::ok, {at->first, at->second.value, at->second.revision}, 0};
   }
-  leader_->on_job_end_read(id, found, now_);
+  leader_->on_job_end_read(id, result, now_);
 }
 
 void SimulatedCluster::record(BehaviourRecorder::Kind kind, const Json& values) const {
@@ -665,13 +672,15 @@
     const Leader& leader, const workers::Heartbeat& report,
     Leader::HeartbeatResponder responder) const {
   if (recorder_ == nullptr) return responder;
-  return [this, token = leader.cluster().fencing_token, report, responder](const Json& body) {
-    recorder_->record_response(now_, token, report, body);
-    responder(body);
-  };
+  return
+      [this, fencing_token = leader.cluster().fencing_token, report, responder](const Json& body) {
+        recorder_->record_response(now_, fencing_token, report, body);
+        responder(body);
+      };
 }
 
-void SimulatedCluster::settled(std::uint64_t fencing_token, const kv::CommitResult& committed) {
+void SimulatedCluster::deliver_commit_result(std::uint64_t fencing_token,
+                                             const kv::CommitResult& committed) {
   if (leader_ && leader_->cluster().fencing_token == fencing_token)
     leader_->on_transaction_completed(committed, now_);
 }
--- a/test/simulated_cluster_rules.cpp
+++ b/test/simulated_cluster_rules.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Until a leader looks at its machines again and the cloud has answered, also when its first answer
-// is lost.
+// The time until a leader has checked its machines again and the cloud has responded, also if the
+// cloud's first response is lost.
 constexpr double kMachineReturnDelay_s = 3;
 
 }  // namespace
@@ -34,15 +34,15 @@
 }
 
 std::size_t SimulatedCluster::running_cancelled_task_count() const {
-  std::size_t found = 0;
+  std::size_t count = 0;
   for (const auto& [name, machine] : machines_) {
     if (!is_alive(machine)) continue;
     for (const auto& [key, task] : machine.tasks) {
       const bool cancelled = cancelled_at_.contains(key.first.substr(0, key.first.rfind('/')));
-      found += cancelled && task.state != "exited" ? 1 : 0;
+      count += cancelled && task.state != "exited" ? 1 : 0;
     }
   }
-  return found;
+  return count;
 }
 
 void SimulatedCluster::check_rules() {
@@ -50,8 +50,8 @@
   std::map<std::string, double> used = used_cpus();
   for (const auto& [name, machine] : machines_) {
     if (!is_alive(machine)) continue;
-    for (const auto& [key, piece] : machine.tasks) {
-      if (piece.state == "exited") continue;
+    for (const auto& [key, task] : machine.tasks) {
+      if (task.state == "exited") continue;
       const std::string id = key.first.substr(0, key.first.rfind('/'));
       const auto cancelled = cancelled_at_.find(id);
       if (cancelled != cancelled_at_.end() &&
@@ -68,17 +68,17 @@
   }
   for (const auto& [id, spec] : specs_) {
     const auto end = store_.items().find(jobs::end_key(id));
-    const bool live = store_.items().contains(jobs::job_key(id));
-    if (live == (end != store_.items().end())) report_violation("forgotten " + id);
-    const auto fell = effective_cancellation_time(id);
-    if (faults_ended_ && live && fell &&
-        now_ - std::max(*fell, faults_ended_at_) > platform_.worker_timings.cancel_s &&
+    const bool is_live = store_.items().contains(jobs::job_key(id));
+    if (is_live == (end != store_.items().end())) report_violation("forgotten " + id);
+    const auto cancelled_since = effective_cancellation_time(id);
+    if (faults_ended_ && is_live && cancelled_since &&
+        now_ - std::max(*cancelled_since, faults_ended_at_) > platform_.worker_timings.cancel_s &&
         !jobs::decode_header(store_.items().at(jobs::job_key(id)).value).cancelled) {
       report_violation("orphaned " + id);
     }
     if (end == store_.items().end()) continue;
     const jobs::FinalState ending = jobs::decode_final_state(end->second.value);
-    const auto [known, fresh] = ended_as_cancelled_.try_emplace(id, ending.cancelled);
+    const auto [known, is_new] = ended_as_cancelled_.try_emplace(id, ending.cancelled);
     if (known->second != ending.cancelled) report_violation("went_back " + id);
     if (ending.cancelled != effective_cancellation_time(id).has_value())
       report_violation("went_back " + id);
@@ -113,11 +113,11 @@
 
 std::optional<double> SimulatedCluster::effective_cancellation_time(const std::string& id) const {
   std::optional<double> at;
-  const auto own = cancelled_at_.find(id);
-  if (own != cancelled_at_.end()) at = own->second;
-  for (const std::string& need : specs_.at(id).depends_on) {
-    if (const auto with = effective_cancellation_time(need))
-      at = std::min(at.value_or(*with), *with);
+  const auto own_cancellation = cancelled_at_.find(id);
+  if (own_cancellation != cancelled_at_.end()) at = own_cancellation->second;
+  for (const std::string& dependency : specs_.at(id).depends_on) {
+    if (const auto dependency_time = effective_cancellation_time(dependency))
+      at = std::min(at.value_or(*dependency_time), *dependency_time);
   }
   return at;
 }
--- a/test/simulated_machines.cpp
+++ b/test/simulated_machines.cpp
@@ -46,9 +46,9 @@
   if (result.machines.empty()) rentals_.erase(at);
   if (gets_response) {
     schedule(options_.rental_response_delay_s,
-             [this, fencing_token, hire = request.scale_out, result] {
+             [this, fencing_token, scale_out = request.scale_out, result] {
                if (leader_ && leader_->cluster().fencing_token == fencing_token)
-                 leader_->on_scale_out_completed(hire, result, now_);
+                 leader_->on_scale_out_completed(scale_out, result, now_);
              });
   } else {
     schedule(1, [this, fencing_token, request] { send_cloud_request(fencing_token, request); });
@@ -57,8 +57,8 @@
 
 void SimulatedCluster::list_machines() {
   next_listing_at_ = now_ + 2;
-  const double lag = random_between(0, 2 * platform_.cloud_limits.list_lag_s);
-  const double as_of = now_ - lag;
+  const double lag_s = random_between(0, 2 * platform_.cloud_limits.list_lag_s);
+  const double as_of = now_ - lag_s;
   std::vector<cloud::ListedMachine> listed;
   for (const auto& [name, machine] : machines_) {
     if (machine.created_at > as_of || (machine.spot && machine.dead_at < as_of)) continue;
@@ -74,7 +74,7 @@
   return now_ >= machine.up_at && now_ < machine.dead_at;
 }
 
-// Its tasks lose the time.
+// The tasks of a hung machine make no progress, so they end later by the same time.
 void SimulatedCluster::hang(SimulatedMachine& machine, double seconds) {
   machine.hung_until = now_ + seconds;
   for (auto& [key, task] : machine.tasks) task.ends_at += seconds;
@@ -106,11 +106,11 @@
     ++machine.incarnation;
     machine.lease_renewed_at = now_;
   }
-  for (auto& [key, piece] : machine.tasks) {
-    if (piece.state == "running" && now_ >= piece.ends_at) {
-      piece.state = "exited";
-      piece.exit_reason = happens(0.03) ? "error" : "done";
-      if (piece.exit_reason == "done") complete_task(key.first);
+  for (auto& [key, task] : machine.tasks) {
+    if (task.state == "running" && now_ >= task.ends_at) {
+      task.state = "exited";
+      task.exit_reason = happens(0.03) ? "error" : "done";
+      if (task.exit_reason == "done") complete_task(key.first);
       if (happens(0.03)) {
         schedule(random_between(0, 3),
                  [this, id = key.first.substr(0, key.first.rfind('/'))] { cancel(id); });
@@ -123,21 +123,24 @@
   machine.next_report_at = now_ + random_between(0.75, 1.25);
   machine.awaited_sequence_number = ++machine.sequence_number;
   machine.response_timeout_at = now_ + 4;
-  if (now_ < machine.outbound_blocked_until || happens(0.05)) return;  // lost
+  if (now_ < machine.outbound_blocked_until || happens(0.05)) return;  // the report is lost
   const std::string name = machine.name;
   const double sent_at = now_;
   const workers::Heartbeat report =
       workers::decode_heartbeat(wire::decode_map(wire::encode(make_report(machine))));
-  const int life = machine.generation;
-  schedule(random_message_delay(),
-           [this, name, life, report, sent_at] { deliver_report(name, life, report, sent_at); });
+  const int generation = machine.generation;
+  schedule(random_message_delay(), [this, name, generation, report, sent_at] {
+    deliver_report(name, generation, report, sent_at);
+  });
   if (happens(options_.replayed_report_share)) report_copies_.push_back(report);
-  // Copies come from seconds to well over a lease later; their answers reach nobody.
+  // Copies arrive 1 to 30 s later, which may be well after the end of the lease. Responses to them
+  // reach nobody.
   while (happens(0.05)) {
     schedule(random_between(1, 30), [this, report] {
-      Leader* to = former_leader_ && happens(0.5) ? former_leader_.get() : leader_.get();
-      if (to != nullptr)
-        to->on_heartbeat(report, recording_responder(*to, report, [](const Json&) {}), now_);
+      Leader* leader = former_leader_ && happens(0.5) ? former_leader_.get() : leader_.get();
+      if (leader != nullptr)
+        leader->on_heartbeat(report, recording_responder(*leader, report, [](const Json&) {}),
+                             now_);
     });
   }
 }
@@ -151,20 +154,20 @@
     done_tasks_.insert(id + "/" + std::to_string(task));
   }
   for (auto& [other, machine] : machines_) {
-    for (auto& [key, piece] : machine.tasks) {
-      if (key.first.starts_with(id + "/") && piece.state == "running") {
-        piece = {"exited", "done", 0};
+    for (auto& [key, task] : machine.tasks) {
+      if (key.first.starts_with(id + "/") && task.state == "running") {
+        task = {"exited", "done", 0};
       }
     }
   }
 }
 
 Json SimulatedCluster::make_report(const SimulatedMachine& machine) const {
-  Json pieces = Json::array();
-  for (const auto& [key, piece] : machine.tasks) {
-    Json item{{"piece", key.first}, {"try", key.second}, {"phase", piece.state}};
-    if (!piece.exit_reason.empty()) item["cause"] = piece.exit_reason;
-    pieces.push_back(item);
+  Json tasks = Json::array();
+  for (const auto& [key, task] : machine.tasks) {
+    Json item{{"piece", key.first}, {"try", key.second}, {"phase", task.state}};
+    if (!task.exit_reason.empty()) item["cause"] = task.exit_reason;
+    tasks.push_back(item);
   }
   return {{"host", machine.name},
           {"address", machine.name},
@@ -175,22 +178,22 @@
           {"tick", machine.sequence_number},
           {"baton", machine.fencing_token},
           {"reclaim_in_s", nullptr},
-          {"pieces", std::move(pieces)}};
+          {"pieces", std::move(tasks)}};
 }
 
-void SimulatedCluster::deliver_report(const std::string& name, int life,
+void SimulatedCluster::deliver_report(const std::string& name, int generation,
                                       const workers::Heartbeat& report, double sent_at) {
-  // A former leader that has not noticed yet still gets some reports.
+  // A former leader that does not know yet that it was replaced still receives some reports.
   Leader* leader = former_leader_ && happens(0.5) ? former_leader_.get() : leader_.get();
   if (leader == nullptr) return;
-  const auto answer = [this, name, life, report, sent_at](const Json& body) {
+  const auto respond = [this, name, generation, report, sent_at](const Json& body) {
     if (body.is_null() || happens(0.04)) return;
-    schedule(random_message_delay(), [this, name, life, report, sent_at, body] {
-      execute_response(name, life, report, sent_at, body);
+    schedule(random_message_delay(), [this, name, generation, report, sent_at, body] {
+      execute_response(name, generation, report, sent_at, body);
     });
   };
   const auto result =
-      leader->on_heartbeat(report, recording_responder(*leader, report, answer), now_);
+      leader->on_heartbeat(report, recording_responder(*leader, report, respond), now_);
   const bool accepted = result != controller::HeartbeatResult::deposed;
   if (!accepted)
     record(BehaviourRecorder::kHeartbeatToDeposedLeader,
@@ -201,7 +204,7 @@
   }
 }
 
-void SimulatedCluster::execute_response(const std::string& name, int life,
+void SimulatedCluster::execute_response(const std::string& name, int generation,
                                         const workers::Heartbeat& report, double sent_at,
                                         const Json& body) {
   const auto at = machines_.find(name);
@@ -209,12 +212,12 @@
   SimulatedMachine& machine = at->second;
   if (now_ < machine.hung_until) {
     schedule(machine.hung_until - now_,
-             [=, this] { execute_response(name, life, report, sent_at, body); });
+             [=, this] { execute_response(name, generation, report, sent_at, body); });
     return;
   }
   if (machine.awaited_sequence_number != report.sequence_number ||
       now_ >= machine.response_timeout_at || machine.incarnation != report.incarnation ||
-      machine.generation != life || now_ < machine.inbound_blocked_until) {
+      machine.generation != generation || now_ < machine.inbound_blocked_until) {
     return;
   }
   machine.awaited_sequence_number.reset();
@@ -226,14 +229,14 @@
     const std::string verb = order.at("verb");
     const std::pair key{order.at("piece").get<std::string>(), order.at("try").get<std::uint64_t>()};
     if (verb == "clear") {
-      const auto piece = machine.tasks.find(key);
-      if (piece != machine.tasks.end() && piece->second.state == "exited") {
-        machine.tasks.erase(piece);
+      const auto task = machine.tasks.find(key);
+      if (task != machine.tasks.end() && task->second.state == "exited") {
+        machine.tasks.erase(task);
       }
     } else if (verb == "stop") {
-      const auto piece = machine.tasks.find(key);
-      if (piece != machine.tasks.end() && piece->second.state != "exited") {
-        piece->second = {"exited", "halted", 0};
+      const auto task = machine.tasks.find(key);
+      if (task != machine.tasks.end() && task->second.state != "exited") {
+        task->second = {"exited", "halted", 0};
       }
     } else if (!machine.tasks.contains(key)) {
       start_task(machine, key);
@@ -247,11 +250,11 @@
   const jobs::Spec& spec = specs_.at(id);
   for (const auto& [name, other] : machines_) {
     if (!is_alive(other)) continue;
-    for (const auto& [held, piece] : other.tasks) {
-      if (held.first == key.first && piece.state != "exited") {
+    for (const auto& [held_key, task] : other.tasks) {
+      if (held_key.first == key.first && task.state != "exited") {
         report_violation("ran_twice " + key.first);
       }
-      if (spec.single_zone && held.first.starts_with(id + "/") && piece.state != "exited" &&
+      if (spec.single_zone && held_key.first.starts_with(id + "/") && task.state != "exited" &&
           other.zone != machine.zone) {
         report_violation("wrong_place " + key.first);
       }
@@ -263,27 +266,27 @@
   if ((machine.spot && !spec.allow_spot) || !jobs::fits_type(spec, *type)) {
     report_violation("wrong_place " + key.first);
   }
-  for (const std::string& need : spec.depends_on) {
-    const auto end = store_.items().find(jobs::end_key(need));
+  for (const std::string& dependency : spec.depends_on) {
+    const auto end = store_.items().find(jobs::end_key(dependency));
     if (end == store_.items().end() || jobs::decode_final_state(end->second.value).cancelled) {
       report_violation("too_early " + key.first);
     }
   }
   double used = 0;
-  for (const auto& [held, piece] : machine.tasks) {
-    if (piece.state != "exited") {
-      used += specs_.at(held.first.substr(0, held.first.rfind('/'))).cpus;
+  for (const auto& [held_key, task] : machine.tasks) {
+    if (task.state != "exited") {
+      used += specs_.at(held_key.first.substr(0, held_key.first.rfind('/'))).cpus;
     }
   }
   if (used + spec.cpus > type->cpus + 1e-6) {
     machine.tasks[key] = {"exited", "full", 0};
     return;
   }
-  const double runs = options_.task_duration_s > 0     ? options_.task_duration_s
-                      : spec.estimated_duration_s > 30 ? random_between(40, 80)
-                      : spec.checkpoint_interval_s > 0 ? random_between(10, 30)
-                                                       : random_between(1, 8);
-  machine.tasks[key] = {"running", "", now_ + runs};
+  const double duration_s = options_.task_duration_s > 0     ? options_.task_duration_s
+                            : spec.estimated_duration_s > 30 ? random_between(40, 80)
+                            : spec.checkpoint_interval_s > 0 ? random_between(10, 30)
+                                                             : random_between(1, 8);
+  machine.tasks[key] = {"running", "", now_ + duration_s};
 }
 
 }  // namespace reachramp::test
--- a/test/simulation_test.cpp
+++ b/test/simulation_test.cpp
@@ -1,5 +1,5 @@
-// Whatever happens to the simulated cluster, the rules hold, and when the trouble ends all work is
-// done and the last step of the levels is settled.
+// A randomized test of the whole simulated cluster: the rules hold whatever happens, and after the
+// faults end all jobs end and the newest schema level is settled.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -25,18 +25,20 @@
   spec.single_zone = choice % 7 == 0;
   spec.allow_spot = choice % 3 != 0;
   spec.estimated_duration_s = 5;
-  if (spec.shape == jobs::Shape::gang && choice % 2 == 0) {  // long enough to be moved
+  // Runs long enough to be moved to other machines.
+  if (spec.shape == jobs::Shape::gang && choice % 2 == 0) {
     spec.checkpoint_interval_s = 2;
     spec.checkpoint_duration_s = 0.5;
     spec.estimated_duration_s = 20;
   }
-  if (choice % 4 == 1) {  // longer than a cancelled task may stay
+  if (choice % 4 == 1) {  // runs for longer than cancel_s
     spec.tasks = std::min(spec.tasks, 4u);
     spec.estimated_duration_s = 60;
   }
   return spec;
 }
 
+// Jobs that may depend on earlier ones are submitted and cancelled during the random faults.
 RC_GTEST_PROP(Simulation, KeepsTheRulesThroughTroubleAndFinishesAfterIt, ()) {
   const auto seed = *rc::gen::arbitrary<std::uint64_t>();
   SimulatedCluster simulation(seed);
@@ -53,16 +55,16 @@
   simulation.run_for(60);
   simulation.end_faults();
   simulation.run_for(400);
-  for (const std::string& rule : simulation.violations) RC_LOG() << rule << "\n";
+  for (const std::string& violation : simulation.violations) RC_LOG() << violation << "\n";
   RC_ASSERT(simulation.violations.empty());
   RC_LOG() << simulation.unfinished_jobs();
   RC_ASSERT(simulation.all_jobs_ended());
-  RC_ASSERT(simulation.settled());
+  RC_ASSERT(simulation.is_schema_settled());
 }
 
-// The users' first meeting alone, so that it happens in every world: long tasks run, their users
-// cancel them at nodes of which the leader may be unable to reach one, and the outage is longer
-// than cancel_s.
+// The first combination of faults that users described, by itself, so that it occurs with every
+// seed: long tasks run, their users cancel them at nodes of which the leader may be unable to reach
+// one, and the outage lasts longer than cancel_s.
 RC_GTEST_PROP(Simulation, WhatIsCancelledElsewhereIsGoneInTimeThoughTheServiceIsOut, ()) {
   const auto seed = *rc::gen::arbitrary<std::uint64_t>();
   SimulatedCluster simulation(seed);
@@ -83,7 +85,7 @@
   }
   simulation.end_faults();
   simulation.run_for(300);
-  for (const std::string& rule : simulation.violations) RC_LOG() << rule << "\n";
+  for (const std::string& violation : simulation.violations) RC_LOG() << violation << "\n";
   RC_ASSERT(simulation.violations.empty());
   RC_LOG() << simulation.unfinished_jobs();
   RC_ASSERT(simulation.all_jobs_ended());
