--- a/test/answers_test.cpp
+++ b/test/answers_test.cpp
@@ -1,5 +1,5 @@
-// Users ask at all nodes at once, repeat submissions and cancel, right after a job was accepted,
-// ended or cancelled; the answers of all nodes are one history.
+// Users query, resubmit and cancel jobs at all nodes at once, right after a job was accepted, ended
+// or was cancelled. Over the answers of all nodes together, no job may return to an earlier state.
 #include <atomic>
 #include <optional>
 
@@ -9,9 +9,10 @@
 namespace reachramp::test {
 namespace {
 
+// Runs concurrent users who follow jobs, and collects the answers that they get.
 class Answers : public CutOff {
  protected:
-  // A user with connections of their own. Each two follow the same jobs.
+  // A user with connections of its own. The users numbered 2n and 2n + 1 follow the same jobs.
   class User {
    public:
     User(Answers& cluster, int number) : cluster_(cluster), number_(number) {
@@ -21,26 +22,26 @@
       }
     }
 
-    // Submits a job, and follows it with questions at all nodes until it has ended.
+    // Submits a job and queries it at all nodes until it has ended.
     void follow_one_job(int round) {
       const std::string id = std::string("j-").append(std::to_string(number_ / 2 * 1000 + round));
       const Json body = cluster_.job_body(id, 1 + round % 3);
       cluster_.cloud_->upload({jobs::decode_spec(body), 0.3, false});
-      const bool cancels = (number_ / 2 + round) % 3 == 0;
+      const bool cancels_job = (number_ / 2 + round) % 3 == 0;
       int node = number_ % kNodeCount;
       for (int step = 0; step < 400 && !cluster_.stopping_; ++step) {
-        const JobView known = cluster_.history_.newest_view(id);
-        if (known == JobView::done || known == JobView::cancelled) break;
+        const JobView view = cluster_.history_.newest_view(id);
+        if (view == JobView::done || view == JobView::cancelled) break;
         node = (node + 1) % kNodeCount;
         const std::string path = "/submissions/" + id;
-        if (known == JobView::unknown || step % 5 == 4)
+        if (view == JobView::unknown || step % 5 == 4)
           request_and_record(node, id, "POST", "/submissions", &body);
-        if (known == JobView::active && cancels)
+        if (view == JobView::active && cancels_job)
           request_and_record(node, id, "POST", path + "/withdraw", nullptr);
         for (int other = 0; other < kNodeCount; ++other)
           request_and_record(other, id, "GET", path, nullptr);
       }
-      // Once more everywhere, after its end was told.
+      // A user has learned of the job's end, so all nodes are asked again.
       for (int other = 0; other < kNodeCount; ++other) {
         request_and_record(other, id, "GET", "/submissions/" + id, nullptr);
         request_and_record(other, id, "POST", "/submissions", &body);
@@ -49,6 +50,7 @@
     }
 
    private:
+    // Sends a request and adds the answer to the history.
     void request_and_record(int node, const std::string& id, const char* method,
                             const std::string& path, const Json* body) {
       const JobView view_before_request = cluster_.history_.newest_view(id);
@@ -57,7 +59,7 @@
       if (view) cluster_.history_.record_answer(id, view_before_request, *view, node_name(node));
     }
 
-    // Nothing where the node cannot tell, or did not answer.
+    // The job's state in an answer; empty if the node did not respond or could not tell the state.
     static std::optional<JobView> view_of(const wire::CallResult& answer) {
       if (!answer.received_response) return std::nullopt;
       if (answer.status == 400 || answer.status == 404 || answer.status == 422) {
@@ -74,9 +76,9 @@
     std::vector<std::unique_ptr<wire::Client>> clients_;
   };
 
-  // So many users at once, each with one job after another, while `trouble` goes on.
-  template <class Trouble>
-  void run_users(int users, Trouble inject_faults) {
+  // Runs `users` users at once, each with one job after another, until `inject_faults` returns.
+  template <class InjectFaults>
+  void run_users(int users, InjectFaults inject_faults) {
     std::vector<std::thread> threads;
     for (int number = 0; number < users; ++number) {
       threads.emplace_back([this, number] {
@@ -89,10 +91,11 @@
     for (std::thread& thread : threads) thread.join();
   }
 
-  // Answers of the key-value store to this node are held back; what it sent is carried out.
+  // Holds back the key-value store's responses to this node, or releases them. The node's requests
+  // are carried out all the same.
   void set_responses_held(int node, bool held) {
-    for (auto& [from, other, proxy] : links_) {
-      if (from == other && from == node) proxy->set_hold_responses(held);
+    for (auto& [from_node, to_node, proxy] : links_) {
+      if (from_node == to_node && from_node == node) proxy->set_hold_responses(held);
     }
   }
 
@@ -100,6 +103,7 @@
   AnswerHistory history_;
 };
 
+// Leaders are killed and started again while users ask.
 TEST_F(Answers, OfAllNodesAreOneHistoryWhileLeadersEnd) {
   ASSERT_TRUE(accepts(0, job_body("j-1", 1)));
   ASSERT_TRUE(within(30, [&] { return job_phase(0, "j-1") == "done"; }));
@@ -118,8 +122,8 @@
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// A transaction is carried out at once and only its answer is lost, while other nodes read what it
-// wrote and tell users.
+// A transaction is applied but its response is lost, while other nodes read the new values and
+// report them to users.
 TEST_F(Answers, OfAllNodesAreOneHistoryWhileAnswersOfTheStateServiceAreLost) {
   ASSERT_TRUE(accepts(0, job_body("j-1", 1)));
   ASSERT_TRUE(within(30, [&] { return job_phase(0, "j-1") == "done"; }));
--- a/test/end_to_end_test.cpp
+++ b/test/end_to_end_test.cpp
@@ -1,14 +1,17 @@
-// Three real processes against the lab's models; the leader is killed while work runs. With
-// REACHRAMP_PRODUCTION naming a program of the version in production, the processes are changed
-// from that one to this one while they serve.
+// Three real processes with the lab's models of the other services; processes are killed, suspended
+// and cut off while jobs run. For each of REACHRAMP_PRODUCTION (the version in production),
+// REACHRAMP_0_3_0 and REACHRAMP_0_4_0 that names a program, the processes are also upgraded from
+// that program to this one while they serve.
 #include "process_cluster.h"
 
 namespace reachramp::test {
 namespace {
 
+// Each node is killed in turn while jobs run. The jobs must end all the same, and all nodes must
+// answer alike; invalid requests must get their error statuses.
 TEST_F(EndToEnd, JobsOutliveTheLeaderAndAnswersAgree) {
   ASSERT_EQ(submit(0, job_body("j-1", 20)), 201);
-  EXPECT_EQ(submit(1, job_body("j-1", 20)), 200) << "known already";
+  EXPECT_EQ(submit(1, job_body("j-1", 20)), 200) << "the job is known already";
   ASSERT_EQ(submit(1, job_body("j-2", 3)), 201);
   Json service = job_body("j-3", 6);
   service["shape"] = "service";
@@ -27,7 +30,7 @@
 
   ASSERT_TRUE(within(30, [&] { return job_phase(0, "j-3") == "running"; }));
   for (int i = 0; i < kNodeCount; ++i) {
-    kill_node(i);  // one of them leads; the others take over in turn
+    kill_node(i);  // one of them leads; another node takes over
     const int other = (i + 1) % kNodeCount;
     EXPECT_TRUE(within(30, [&] { return !job_phase(other, "j-1").empty(); }));
     start_node(i);
@@ -45,6 +48,8 @@
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
+// Jobs must run only after their dependencies, also after the key-value store lowers its limits
+// while a large job runs, and after a node is restarted.
 TEST_F(EndToEnd, PipelinesRunInOrderAlsoWhenLimitsFall) {
   ASSERT_TRUE(accepts(0, job_body("j-large", 600)));
   run_job_chains("a");
@@ -56,8 +61,8 @@
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// Platforms start a process again within a fraction of a second, again and again. Whoever leads is
-// killed twenty times, then all are at once, five times.
+// Platforms restart a process within a fraction of a second, again and again. The test kills the
+// leader twenty times, then all nodes at once five times.
 TEST_F(EndToEnd, WorkIsDoneWhileProcessesEndAgainAndAgain) {
   ASSERT_TRUE(accepts(0, job_body("j-1", 60)));
   ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewestLevel; }));
@@ -81,30 +86,28 @@
     for (int i = 0; i < kNodeCount; ++i) start_node(i);
     std::this_thread::sleep_for(300ms);
   }
-  EXPECT_EQ(claims(), claimed) << "not written anew, and never missing";
+  EXPECT_EQ(claims(), claimed) << "a restarted process must keep the claim of its predecessor";
   for (const char* id : {"j-1", "j-2"}) {
     EXPECT_TRUE(within(60, [&] { return job_phase(2, id) == "done"; })) << id;
   }
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// The operators' file is changed under running processes: by SIGHUP at one node, found by itself at
-// another, where it is older; a wrong one is refused whole. A zone is emptied while a service in it
-// goes on, one replica after another, and stays empty through the death of the leader.
-// The users' trouble: whoever leads stands still for longer than a lease, its clocks run on, and it
-// carries on as if nothing had been; another leads meanwhile, and then stands still itself.
+// A failure that users described: the leader is suspended for longer than a lease while its clocks
+// run on, and then continues as if nothing had happened. Meanwhile another node leads, which is
+// suspended next.
 TEST_F(EndToEnd, LeadersThatStandStillDoNoHarm) {
   ASSERT_TRUE(accepts(0, job_body("j-1", 80)));
   for (int round = 0; round < 3; ++round) {
     ASSERT_TRUE(within(30, [&] { return leader_node() >= 0; }));
-    const int still = leader_node();
+    const int suspended = leader_node();
     ASSERT_TRUE(
-        within(30, [&] { return job_phase((still + 1) % kNodeCount, "j-1") != "pending"; }));
-    ::kill(pids_[still], SIGSTOP);
-    EXPECT_TRUE(within(30, [&] { return leader_node() >= 0 && leader_node() != still; }));
-    EXPECT_TRUE(accepts((still + 1) % kNodeCount, job_body("j-2" + std::to_string(round), 10)));
+        within(30, [&] { return job_phase((suspended + 1) % kNodeCount, "j-1") != "pending"; }));
+    ::kill(pids_[suspended], SIGSTOP);
+    EXPECT_TRUE(within(30, [&] { return leader_node() >= 0 && leader_node() != suspended; }));
+    EXPECT_TRUE(accepts((suspended + 1) % kNodeCount, job_body("j-2" + std::to_string(round), 10)));
     std::this_thread::sleep_for(4s);
-    ::kill(pids_[still], SIGCONT);
+    ::kill(pids_[suspended], SIGCONT);
   }
   for (int i = 0; i < kNodeCount; ++i) {
     for (const char* id : {"j-1", "j-20", "j-21", "j-22"}) {
@@ -114,78 +117,84 @@
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// The users' trouble: a leader loses the key-value store and the other controllers, but not its
-// workers, who would stay with it for as long as it answers them, unheard by whoever leads.
+// A failure that users described: a leader loses the key-value store and the other controllers, but
+// not its workers. They would stay with it as long as it answers them, and the new leader would not
+// receive their reports.
 TEST_F(CutOff, ALeaderThatOnlyItsWorkersReachLetsThemGo) {
   ASSERT_TRUE(accepts(0, job_body("j-1", 60)));
   ASSERT_TRUE(within(30, [&] { return job_phase(0, "j-1") == "running"; }));
-  const int alone = leader_node();
-  ASSERT_GE(alone, 0);
-  set_node_cut(alone, true);
-  ASSERT_TRUE(within(30, [&] { return leader_node() >= 0 && leader_node() != alone; }));
-  EXPECT_TRUE(within(30, [&] { return report_status(alone) == 503; }));
-  const int other = (alone + 1) % kNodeCount;
-  EXPECT_TRUE(within(60, [&] { return job_phase(other, "j-1") == "done"; })) << "while it is cut";
+  const int isolated = leader_node();
+  ASSERT_GE(isolated, 0);
+  set_node_cut(isolated, true);
+  ASSERT_TRUE(within(30, [&] { return leader_node() >= 0 && leader_node() != isolated; }));
+  EXPECT_TRUE(within(30, [&] { return report_status(isolated) == 503; }));
+  const int other = (isolated + 1) % kNodeCount;
+  EXPECT_TRUE(within(60, [&] { return job_phase(other, "j-1") == "done"; }))
+      << "while the former leader is cut off";
   EXPECT_TRUE(accepts(other, job_body("j-2", 20)));
   EXPECT_TRUE(within(60, [&] { return job_phase(other, "j-2") == "done"; }));
-  set_node_cut(alone, false);
+  set_node_cut(isolated, false);
   for (int i = 0; i < kNodeCount; ++i) {
     EXPECT_TRUE(within(75, [&] { return job_phase(i, "j-2") == "done"; })) << i;
   }
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// In an outage for all the workers stay, or they would lose their leases.
+// In an outage of the key-value store for all nodes, the workers stay with the leader; otherwise
+// they would lose their leases.
 TEST_F(CutOff, InAnOutageTheLeaderKeepsItsWorkers) {
   ASSERT_TRUE(accepts(0, job_body("j-1", 4)));
   ASSERT_TRUE(
       within(30, [&] { return leader_node() >= 0 && report_status(leader_node()) == 200; }));
   const int node = leader_node();
   set_store_cut(true);
-  std::this_thread::sleep_for(6s);  // four times what its lease lasts
+  std::this_thread::sleep_for(6s);  // four times the duration of the leader's lease
   EXPECT_EQ(report_status(node), 200);
   set_store_cut(false);
   EXPECT_TRUE(within(75, [&] { return job_phase(node, "j-1") == "done"; }));
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// Cut from the key-value store alone, a node says that it is not ready, so that users go elsewhere;
-// in an outage for all, all stay.
+// A node that alone is cut from the key-value store reports that it is not ready, so that users go
+// to other nodes. In an outage for all nodes, all of them stay ready.
 TEST_F(CutOff, ANodeThatTheStateServiceDoesNotReachIsNotReady) {
   ASSERT_TRUE(accepts(0, job_body("j-1", 2)));
   const auto ready = [&](int node) { return call_node(node, "GET", "/ready").status == 200; };
   for (int i = 0; i < kNodeCount; ++i) ASSERT_TRUE(within(30, [&] { return ready(i); }));
-  for (auto& [from, other, proxy] : links_) {
-    if (from == other && from == 1) proxy->set_blocked(true);
+  for (auto& [from_node, to_node, proxy] : links_) {
+    if (from_node == to_node && from_node == 1) proxy->set_blocked(true);
   }
   EXPECT_TRUE(within(30, [&] { return !ready(1); }));
   EXPECT_TRUE(ready(0));
   set_store_cut(true);
-  EXPECT_TRUE(within(60, [&] { return ready(0) && ready(1) && ready(2); })) << "nobody is served";
+  EXPECT_TRUE(within(60, [&] { return ready(0) && ready(1) && ready(2); }))
+      << "in an outage for all nodes, all must be ready";
   set_store_cut(false);
   for (int i = 0; i < kNodeCount; ++i) {
     EXPECT_TRUE(within(75, [&] { return job_phase(i, "j-1") == "done"; })) << i;
   }
 }
 
-// Each node has a door of its own to the key-value store, which can refuse it alone.
+// Each node connects to a port of its own of the key-value store, which can refuse that node alone.
 class RefusedAlone : public CutOff {
  protected:
-  std::uint16_t connect_port(int from, std::uint16_t to, int other) override {
-    if (from != other) return CutOff::connect_port(from, to, other);
+  std::uint16_t connect_port(int from_node, std::uint16_t to, int to_node) override {
+    if (from_node != to_node) return CutOff::connect_port(from_node, to, to_node);
     const std::uint16_t port = ports_.reserve();
-    store_->listen_for_node(node_name(from), port);
+    store_->listen_for_node(node_name(from_node), port);
     return port;
   }
+  // Makes the key-value store refuse the node, or serve it again.
   void set_store_refused(int node, bool refused) {
     store_->with_model(
         [&](lab::StateService& model) { model.set_refused(node_name(node), refused); });
   }
 };
 
-// The users' first meeting: the key-value store refuses whoever leads, another node confirms a
-// cancellation, then the service is down for all, for longer than cancel_s, while workers go on
-// reporting to that leader. The tasks are gone in time; other workers keep their leases.
+// The first combination of faults that users described: the key-value store refuses the leader,
+// another node confirms a cancellation, and then the store is down for all nodes for longer than
+// cancel_s, while workers still report to that leader. The cancelled tasks must be gone in time,
+// and the other workers must keep their leases.
 TEST_F(RefusedAlone, WhatAnotherNodeHasConfirmedIsStoppedInAnOutageForAll) {
   endless_jobs_.insert("j-1");
   endless_jobs_.insert("j-stays");
@@ -195,18 +204,22 @@
   ASSERT_TRUE(accepts(1, stays));
   ASSERT_TRUE(within(30, [&] { return cloud_->held_task_count("j-1") == 12; }));
   ASSERT_TRUE(within(30, [&] { return cloud_->held_task_count("j-stays") == 3; }));
-  const int alone = leader_node();
-  ASSERT_GE(alone, 0);
-  set_store_refused(alone, true);
+  const int isolated = leader_node();
+  ASSERT_GE(isolated, 0);
+  set_store_refused(isolated, true);
   std::this_thread::sleep_for(500ms);
   const std::string path = "/submissions/j-1/withdraw";
-  ASSERT_EQ(call_node((alone + 1) % kNodeCount, "POST", path).body.value("phase", ""), "aborted");
+  ASSERT_EQ(call_node((isolated + 1) % kNodeCount, "POST", path).body.value("phase", ""),
+            "aborted");
   store_->with_model([](lab::StateService& model) { model.begin_outage(kv::steady_now()); });
-  EXPECT_TRUE(within(30, [&] { return cloud_->held_task_count("j-1") == 0; })) << "still out";
-  // Longer than without the others' words, and a lease more: the outage outlasts cancel_s.
+  EXPECT_TRUE(within(30, [&] { return cloud_->held_task_count("j-1") == 0; }))
+      << "the outage has not ended";
+  // Longer than a leader may answer workers without the other nodes' cancellation digests, and a
+  // lease more; the outage outlasts cancel_s.
   std::this_thread::sleep_for(21s);
-  EXPECT_EQ(cloud_->held_task_count("j-stays"), 3u) << "all nodes have vouched, so leases live on";
-  set_store_refused(alone, false);
+  EXPECT_EQ(cloud_->held_task_count("j-stays"), 3u)
+      << "all nodes have sent their cancellation digests, so leases must be renewed";
+  set_store_refused(isolated, false);
   store_->with_model([](lab::StateService& model) { model.end_outage(kv::steady_now()); });
   for (int i = 0; i < kNodeCount; ++i) {
     EXPECT_TRUE(within(75, [&] { return job_phase(i, "j-1") == "aborted"; })) << i;
@@ -215,31 +228,33 @@
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// The users' acceptance: a leader is refused by the key-value store and cut from the other
-// controllers, not from its workers. Nothing tells it that this is no outage; its staleness ends
-// its answers.
+// An acceptance test that users described: the key-value store refuses a leader that is also cut
+// from the other controllers, but not from its workers. The leader cannot distinguish this from an
+// outage for all nodes, and stops answering its workers only when its knowledge of cancellations is
+// too old.
 TEST_F(RefusedAlone, ALeaderWithoutStateServiceAndPeersLetsCancelledTasksGo) {
   endless_jobs_.insert("j-1");
   ASSERT_TRUE(accepts(0, job_body("j-1", 12)));
   ASSERT_TRUE(within(30, [&] { return cloud_->held_task_count("j-1") == 12; }));
-  const int alone = leader_node();
-  ASSERT_GE(alone, 0);
-  set_store_refused(alone, true);
-  set_node_cut(alone, true);
-  ASSERT_TRUE(within(30, [&] { return leader_node() >= 0 && leader_node() != alone; }));
+  const int isolated = leader_node();
+  ASSERT_GE(isolated, 0);
+  set_store_refused(isolated, true);
+  set_node_cut(isolated, true);
+  ASSERT_TRUE(within(30, [&] { return leader_node() >= 0 && leader_node() != isolated; }));
   const int other = leader_node();
   ASSERT_EQ(call_node(other, "POST", "/submissions/j-1/withdraw").body.value("phase", ""),
             "aborted");
-  EXPECT_TRUE(within(30, [&] { return cloud_->held_task_count("j-1") == 0; })) << "still cut";
+  EXPECT_TRUE(within(30, [&] { return cloud_->held_task_count("j-1") == 0; }))
+      << "the former leader is still cut off";
   ASSERT_TRUE(accepts(other, job_body("j-2", 6)));
   EXPECT_TRUE(within(60, [&] { return job_phase(other, "j-2") == "done"; }));
-  set_store_refused(alone, false);
-  set_node_cut(alone, false);
-  EXPECT_TRUE(within(75, [&] { return job_phase(alone, "j-1") == "aborted"; }));
+  set_store_refused(isolated, false);
+  set_node_cut(isolated, false);
+  EXPECT_TRUE(within(75, [&] { return job_phase(isolated, "j-1") == "aborted"; }));
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// Workers reach the nodes through proxies.
+// Workers connect to the nodes through proxies.
 class WorkersCut : public EndToEnd {
  protected:
   std::uint16_t worker_connect_port(std::uint16_t to) override {
@@ -248,18 +263,20 @@
     return port;
   }
   void TearDown() override {
-    cloud_.reset();  // its workers first
+    cloud_.reset();  // the workers stop before the proxies
     EndToEnd::TearDown();
     proxies_.clear();
   }
+  // Sends copies of recent reports of all workers to the nodes.
   void replay_reports() {
-    for (const auto& way : proxies_) way->replay_requests();
+    for (const auto& proxy : proxies_) proxy->replay_requests();
   }
   std::vector<std::unique_ptr<TcpProxy>> proxies_;
 };
 
-// Copies of all workers' reports reach every node as a new leader begins, and again when their
-// sessions may be over: nothing that they list or lack may be believed.
+// Copies of all workers' reports reach every node as a new leader starts, and again when the
+// incarnations that sent them may have ended. A leader must draw no conclusion from the tasks that
+// such a copy lists or lacks.
 TEST_F(WorkersCut, CopiesOfReportsProveNothing) {
   Json work = job_body("j-1", 60);
   work["expected_s"] = 3.0;
@@ -281,8 +298,9 @@
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// Reports arrive, answers do not, for longer than a lease, and a job is cancelled meanwhile: its
-// tasks end with their leases, the other job's are placed anew, and none runs twice.
+// Reports arrive but responses do not, for longer than a lease, and a job is cancelled meanwhile.
+// Its tasks must end with their leases, those of the other job must be placed again, and none may
+// run twice.
 TEST_F(WorkersCut, WhoseAnswersAreLostLosesItsTasksAndNothingRunsTwice) {
   endless_jobs_.insert("j-1");
   Json work = job_body("j-2", 40);
@@ -290,10 +308,10 @@
   ASSERT_TRUE(accepts(0, job_body("j-1", 12)));
   ASSERT_TRUE(accepts(1, work));
   ASSERT_TRUE(within(30, [&] { return cloud_->held_task_count("j-1") == 12; }));
-  for (const auto& way : proxies_) way->set_hold_responses(true);
+  for (const auto& proxy : proxies_) proxy->set_hold_responses(true);
   ASSERT_EQ(call_node(2, "POST", "/submissions/j-1/withdraw").body.value("phase", ""), "aborted");
   EXPECT_TRUE(within(kCancelTime_s, [&] { return cloud_->held_task_count("j-1") == 0; }));
-  for (const auto& way : proxies_) way->set_hold_responses(false);
+  for (const auto& proxy : proxies_) proxy->set_hold_responses(false);
   for (int i = 0; i < kNodeCount; ++i) {
     EXPECT_TRUE(within(90, [&] { return job_phase(i, "j-2") == "done"; })) << i;
   }
@@ -301,9 +319,10 @@
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// All machines with tasks of a job hang, which are more than a third, its user is told that it is
-// cancelled, and the leader ends: whoever leads next has the machines returned in time, though it
-// has listened to them for a shorter time than makes them silent.
+// All machines that run a job's tasks hang, which are more than a third of the machines; then the
+// user is told that the job is cancelled, and the leader is killed. The next leader must return the
+// machines in time, although it has waited for their heartbeats for a shorter time than the one
+// after which a machine counts as silent.
 TEST_F(EndToEnd, CancelledTasksOnMachinesThatHangAreGoneInTimeAcrossAChangeOfLeaders) {
   ASSERT_NO_FATAL_FAILURE(run_and_hang("j-1", 12));
   const int killed = leader_node();
@@ -311,11 +330,11 @@
   const int other = (killed + 1) % kNodeCount;
   ASSERT_EQ(call_node(other, "POST", "/submissions/j-1/withdraw").body.value("phase", ""),
             "aborted");
-  const double told_at = kv::steady_now();
+  const double confirmed_at = kv::steady_now();
   std::this_thread::sleep_for(8s);
   kill_node(killed);
   start_node(killed);
-  EXPECT_TRUE(within(told_at + kCancelTime_s - kv::steady_now(),
+  EXPECT_TRUE(within(confirmed_at + kCancelTime_s - kv::steady_now(),
                      [&] { return cloud_->held_task_count("j-1") == 0; }));
   for (int i = 0; i < kNodeCount; ++i) {
     EXPECT_TRUE(within(30, [&] { return job_phase(i, "j-1") == "aborted"; })) << i;
@@ -323,14 +342,14 @@
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// The same while the key-value store is out, so that the leader cannot renew its own lease: it
-// rents and returns nothing then, but for the sake of a cancellation.
+// The same during an outage of the key-value store, in which the leader cannot renew its own lease.
+// It then rents and returns no machines, except to end cancelled tasks.
 TEST_F(CutOff, CancelledTasksOnMachinesThatHangAreGoneInTimeInAnOutage) {
   ASSERT_NO_FATAL_FAILURE(run_and_hang("j-1", 12));
   ASSERT_EQ(call_node(0, "POST", "/submissions/j-1/withdraw").body.value("phase", ""), "aborted");
-  const double told_at = kv::steady_now();
+  const double confirmed_at = kv::steady_now();
   set_store_cut(true);
-  EXPECT_TRUE(within(told_at + kCancelTime_s - kv::steady_now(),
+  EXPECT_TRUE(within(confirmed_at + kCancelTime_s - kv::steady_now(),
                      [&] { return cloud_->held_task_count("j-1") == 0; }));
   set_store_cut(false);
   for (int i = 0; i < kNodeCount; ++i) {
@@ -339,13 +358,14 @@
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// A lease outlasts the time in which cancelled tasks must be gone.
+// Sets cancel_s below the duration of a worker's lease.
 class ShortCancelTime : public EndToEnd {
  protected:
   double cancel_s() const override { return 2; }
 };
 
-// No bound could keep the promise there: users are told once it is kept already.
+// With such a cancel_s no bound on stale answers could end the tasks in time, so users are told
+// that a job is cancelled only after its tasks have ended.
 TEST_F(ShortCancelTime, UsersAreToldOfACancellationOnceItsTasksAreGone) {
   endless_jobs_.insert("j-1");
   ASSERT_TRUE(accepts(0, job_body("j-1", 8)));
@@ -354,23 +374,25 @@
   ASSERT_GT(cloud_->hang_machines_of("j-1"), 0u);
   EXPECT_EQ(call_node(0, "POST", "/submissions/j-1/withdraw").status, 503);
   EXPECT_EQ(call_node(1, "GET", "/submissions/j-1").status, 503)
-      << "neither the old state nor the new";
+      << "the node must report neither the old state nor the new one";
   EXPECT_EQ(submit_once(2, job_body("j-1", 8)), 503);
   std::size_t left = 8;
   EXPECT_TRUE(within(60, [&] {
-    const bool told =
+    const bool confirmed =
         call_node(0, "POST", "/submissions/j-1/withdraw").body.value("phase", "") == "aborted";
-    if (told) left = cloud_->held_task_count("j-1");
-    return told;
+    if (confirmed) left = cloud_->held_task_count("j-1");
+    return confirmed;
   }));
   EXPECT_EQ(left, 0u);
   for (int i = 0; i < kNodeCount; ++i) EXPECT_EQ(job_phase(i, "j-1"), "aborted");
-  EXPECT_TRUE(accepts(0, dependent_job_body("j-3", 1, {"j-1"}))) << "cancelled from the first";
+  EXPECT_TRUE(accepts(0, dependent_job_body("j-3", 1, {"j-1"})))
+      << "the job is accepted, already cancelled";
   EXPECT_TRUE(within(30, [&] { return job_phase(1, "j-3") == "aborted"; }));
   EXPECT_TRUE(within(60, [&] { return job_phase(2, "j-2") == "done"; }));
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
+// Starts the nodes with an operators' policy file that the test can change.
 class Drained : public EndToEnd {
  protected:
   Drained() {
@@ -380,6 +402,7 @@
   }
   ~Drained() override { std::remove(policy_file_.c_str()); }
   void write_policy(const std::string& text) { std::ofstream(policy_file_) << text; }
+  // The number of machines in the zone that are not terminated.
   std::size_t machine_count(const std::string& zone) {
     return cloud_->with_cloud([&](const lab::Cloud& cloud) {
       const auto& all = cloud.machines();
@@ -388,12 +411,17 @@
       }));
     });
   }
+  // The serial of the accepted drain policy; 0 if there is none.
   std::uint64_t accepted_serial() {
     const Json value = read_entry(*store_, "drains").first;
     return value.is_object() ? value.value("serial", std::uint64_t{0}) : 0;
   }
 };
 
+// The operators' policy file changes while the processes run. One node reads it on SIGHUP; another
+// finds a later change by itself, whose serial is lower and must not count; a malformed file must
+// be refused as a whole. A zone is drained while a service in it runs, one replica after another,
+// and must stay empty after the leader is killed.
 TEST_F(Drained, AZoneIsEmptiedByAChangedFile) {
   Json service = job_body("j-stays", 8);
   service["shape"] = "service";
@@ -403,26 +431,27 @@
   write_policy("(policy (drains (serial 4) (machines (zone nowhere)))");
   for (int i = 0; i < kNodeCount; ++i) ::kill(pids_[i], SIGHUP);
   std::this_thread::sleep_for(2s);
-  EXPECT_EQ(accepted_serial(), 0u) << "a bracket is missing";
+  EXPECT_EQ(accepted_serial(), 0u) << "a policy file with a missing bracket must be refused";
   write_policy(
       "(policy (drains (serial 5) (budget (replicas-up 0.5) (down 0.5) (stops-a-job 1000))"
       " (machines (zone a))))");
   ::kill(pids_[2], SIGHUP);
   ASSERT_TRUE(within(10, [&] { return accepted_serial() == 5; }));
   write_policy("(policy (drains (serial 3) (machines (zone b))))");
-  const auto leads = [&] { return read_entry(*store_, "leader").first.value("node", ""); };
-  int least = 8;
+  const auto leader_name = [&] { return read_entry(*store_, "leader").first.value("node", ""); };
+  int min_running = 8;
   const auto emptied = [&] {
     const wire::CallResult answer = call_node(1, "GET", "/submissions/j-stays");
-    if (answer.status == 200) least = std::min(least, answer.body.value("running", 8));
+    if (answer.status == 200) min_running = std::min(min_running, answer.body.value("running", 8));
     return machine_count("a") == 0 && machine_count("b") > 0;
   };
-  // A machine that is drained stays for its first minute, which is paid for.
-  EXPECT_TRUE(within(150, emptied)) << machine_count("a") << " are left";
-  EXPECT_GE(least, 4) << "half of the replicas at least";
+  // A drained machine stays for its first minute, which is paid for.
+  EXPECT_TRUE(within(150, emptied))
+      << machine_count("a") << " machines are left in the drained zone";
+  EXPECT_GE(min_running, 4) << "at least half of the replicas must run at any time";
   EXPECT_EQ(accepted_serial(), 5u);
   for (int i = 0; i < kNodeCount; ++i) {
-    if (leads() != node_name(i)) continue;
+    if (leader_name() != node_name(i)) continue;
     kill_node(i);
     start_node(i);
     break;
@@ -433,20 +462,21 @@
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// A second process with the same settings cannot have the ports, and has said nothing to the state
-// service in its node's name when it ends.
-// drawn-11 on the site of forty machines: every node's claim failed while transactions were lost,
-// and each then watched for a change of a key that nobody had: nobody ever stood again.
+// Found by the benchmark day drawn-11 on the site with forty machines: every node's attempt to
+// become leader failed while transactions were lost. Each node then watched for a change of the
+// leader's key, which nobody held, so no node ever campaigned again.
 TEST_F(EndToEnd, WhoseClaimFailsStandsAgain) {
   ASSERT_TRUE(within(30, [&] { return leader_node() >= 0; }));
   store_->refuse_if([](const wire::Request& request) { return request.path == "/multi"; });
   kill_node(leader_node());
   ASSERT_TRUE(within(30, [&] { return leader_node() < 0; }));
-  std::this_thread::sleep_for(4s);  // both others have stood
+  std::this_thread::sleep_for(4s);  // both other nodes have campaigned by then
   store_->refuse_if(nullptr);
   EXPECT_TRUE(within(30, [&] { return leader_node() >= 0; }));
 }
 
+// A second process with the same settings cannot bind the ports of the first. It must end without
+// having written anything to the key-value store in the name of its node.
 TEST_F(EndToEnd, ASecondProcessOfANodeEndsWithoutAWord) {
   ASSERT_TRUE(accepts(0, job_body("j-1", 3)));
   ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewestLevel; }));
@@ -470,8 +500,9 @@
   EXPECT_EQ(keys(), before);
 }
 
-// Found by reading: under a leader that has led for longer than the key-value store remembers, a
-// new process asked for the key and for a watch from its old revision in turn, without a pause.
+// Found by reading the code: under a leader that had led for longer than the key-value store keeps
+// its history, a new process alternated without a pause between reading the leader's key and
+// watching it from its old revision.
 TEST_F(EndToEnd, AProcessThatComesBackUnderAnOldLeaderAsksLittle) {
   ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewestLevel; }));
   store_->with_model([](lab::StateService& model) {
@@ -479,21 +510,22 @@
   });
   const Json leader = read_entry(*store_, "leader").first;
   const int other = leader.at("node") == node_name(0) ? 1 : 0;
-  std::this_thread::sleep_for(2s);  // watches find their place again
-  const auto asked = [&] {
+  std::this_thread::sleep_for(2s);  // by then the watches have resumed
+  const auto request_count = [&] {
     return store_->with_model([](const lab::StateService& model) { return model.request_count(); });
   };
   kill_node(other);
   start_node(other);
   ASSERT_TRUE(within(20, [&] { return call_node(other, "GET", "/ready").status == 200; }));
-  const std::uint64_t before = asked();
+  const std::uint64_t before = request_count();
   std::this_thread::sleep_for(3s);
-  EXPECT_LT(asked() - before, 300u) << "it was five times as many; 20 are usual";
+  EXPECT_LT(request_count() - before, 300u)
+      << "the fault caused five times as many requests; 20 are usual";
   EXPECT_EQ(read_entry(*store_, "leader").first, leader);
 }
 
-// A later version has taken the fleet on, or the record cannot be read: whoever does not know what
-// that means serves nobody until it does.
+// A later version has raised the stored schema level, or the level's record is malformed. A node
+// that does not support the stored level must serve nobody until it does.
 TEST_F(EndToEnd, WhoDoesNotSpeakTheLevelServesNobody) {
   ASSERT_TRUE(accepts(0, job_body("j-1", 5)));
   ASSERT_TRUE(within(30, [&] { return settled_level() == schema::kNewestLevel; }));
@@ -516,7 +548,8 @@
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// Versions that are in use, or have been: built from history, named by the environment.
+// Rolling upgrades from versions that are or were in use. Their programs are built from history and
+// named by environment variables.
 class Roll : public EndToEnd, public ::testing::WithParamInterface<const char*> {
  protected:
   Roll() { program_ = std::getenv(GetParam()); }
@@ -526,9 +559,12 @@
                                            "REACHRAMP_0_4_0"),
                          [](const auto& from) { return std::string(from.param); });
 
+// The nodes are upgraded one by one while users submit jobs. A service must keep running, the
+// newest schema level must not be settled before the last node is upgraded, and jobs with
+// dependencies must be refused as long as a node does not know them.
 TEST_P(Roll, NodesAreChangedOneByOneWhileTheyServe) {
   if (program_ == nullptr) GTEST_SKIP() << GetParam() << " names no program";
-  const bool knows_needs = std::string(GetParam()) != "REACHRAMP_PRODUCTION";
+  const bool knows_dependencies = std::string(GetParam()) != "REACHRAMP_PRODUCTION";
   Json service = job_body("j-stays", 6);
   service["shape"] = "service";
   ASSERT_TRUE(accepts(0, service));
@@ -542,11 +578,11 @@
     std::this_thread::sleep_for(3s);
     EXPECT_TRUE(within(10, [&] { return job_phase(i, "j-stays") == "running"; }));
     if (i + 1 < kNodeCount) {
-      EXPECT_LT(settled_level(), schema::kNewestLevel) << "a node is not changed yet";
+      EXPECT_LT(settled_level(), schema::kNewestLevel) << "a node is not upgraded yet";
     }
-    if (i + 1 < kNodeCount && !knows_needs) {
+    if (i + 1 < kNodeCount && !knows_dependencies) {
       EXPECT_EQ(call_node(i, "POST", "/submissions", &early).status, 503)
-          << "an old node could start it";
+          << "a node of the old version could start the job too early";
     }
   }
   EXPECT_TRUE(within(10, [&] { return member_count() == kNodeCount; }));
--- a/test/process_cluster.h
+++ b/test/process_cluster.h
@@ -1,5 +1,6 @@
-// Three real processes against the lab's models of the key-value store, the cloud and its workers,
-// on loopback; each can be killed and started again, and their ways to each other can be cut.
+// Test fixtures that run three real controller processes on loopback, with the lab's models of the
+// key-value store, the cloud and its workers. Tests can kill and restart each process and cut the
+// connections between nodes.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -29,20 +30,27 @@
 using wire::Json;
 using namespace std::chrono_literals;
 
+// The number of controller processes.
 inline constexpr int kNodeCount = 3;
-// Well above a lease: a machine that is slow for a second must not decide what a leader may answer.
+// The setting cancel_s. It is well above a lease, so that a test machine that stalls for a second
+// does not change what a leader may answer.
 inline constexpr double kCancelTime_s = 20;
+// Limits of the key-value store: requests and writes a second, KB of a value, operations of a
+// transaction.
 inline constexpr settings::StoreLimits kStoreLimits{500, 100, 8, 8};
 
+// The loopback address with this port, as a TOML string that ends its line.
 inline std::string toml_loopback_address(std::uint16_t port) {
   return "\"127.0.0.1:" + std::to_string(port) + "\"\n";
 }
+// The name of a node in the settings and in stored records.
 inline std::string node_name(int node) { return "node-" + std::to_string(node); }
 
+// Starts the models and the three nodes before a test, and kills the nodes after it.
 class EndToEnd : public ::testing::Test {
  protected:
   void SetUp() override {
-    const std::uint16_t state_port = ports_.reserve();
+    const std::uint16_t store_port = ports_.reserve();
     const std::uint16_t cloud_port = ports_.reserve();
     std::map<std::string, wire::Address> controllers;
     for (int i = 0; i < kNodeCount; ++i) {
@@ -53,7 +61,7 @@
           std::make_unique<wire::Client>(controllers[node_name(i)], 1, wire::kMaxBody_bytes);
     }
     store_ = std::make_unique<lab::StateServer>(kStoreLimits, 1);
-    store_->listen_for_node("all", state_port);
+    store_->listen_for_node("all", store_port);
     lab::FleetSpec fleet;
     fleet.cloud.catalog = {{"small", 4, 0, 16, 50, 1, 0.4, 0.1, 1, {"a", "b"}}};
     for (const char* zone : {"a", "b"}) {
@@ -78,7 +86,7 @@
              << toml_loopback_address(connect_port(i, peer_ports_[other], other));
       }
       file << "[services]\ncloud = " << toml_loopback_address(cloud_port)
-           << "state = " << toml_loopback_address(connect_port(i, state_port, i))
+           << "state = " << toml_loopback_address(connect_port(i, store_port, i))
            << "[[facts.teams]]\nname = \"red\"\n"
               "[facts.workers]\nreport_s = 0.2\nlease_s = 5.0\ngang_wait_s = 10.0\n"
               "gang_peer_s = 2.0\ncancel_s = "
@@ -94,14 +102,20 @@
     }
   }
 
-  // The port under which the node reaches another, or the key-value store, which is no node.
-  virtual std::uint16_t connect_port(int, std::uint16_t to, int) { return to; }
+  // The port at which the node `from_node` connects to a service of `to_node` that listens on `to`.
+  // The key-value store belongs to no node; for it, `to_node` equals `from_node`. Fixtures that put
+  // a proxy between them return the proxy's port.
+  virtual std::uint16_t connect_port(int /*from_node*/, std::uint16_t to, int /*to_node*/) {
+    return to;
+  }
 
+  // The setting cancel_s: the longest time that a cancelled task may remain.
   virtual double cancel_s() const { return kCancelTime_s; }
 
-  // The port under which workers reach a node.
+  // The port at which workers connect to a node that listens for them on `to`.
   virtual std::uint16_t worker_connect_port(std::uint16_t to) { return to; }
 
+  // The number of the node that the key-value store names as the leader; -1: none.
   int leader_node() {
     const Json value = store_->with_model([](const lab::StateService& model) {
       const auto at = model.items().find("leader");
@@ -119,11 +133,13 @@
     for (int i = 0; i < kNodeCount; ++i) std::remove(settings_file(i).c_str());
   }
 
+  // The path of the node's settings.
   std::string settings_file(int node) const {
     return ::testing::TempDir() + "reachramp-" + std::to_string(::getpid()) + "-" +
            node_name(node) + ".toml";
   }
 
+  // Starts the node's process with a log file of its own for each start.
   void start_node(int node) {
     std::vector<std::string> arguments{"serve", "--config", settings_file(node)};
     if (!policy_file_.empty()) arguments.insert(arguments.end(), {"--policy", policy_file_});
@@ -135,7 +151,7 @@
                               .max_log_bytes = FailureArtifacts::kMaxLog_bytes});
   }
 
-  // What the machines and the key-value store saw, beside the nodes' logs.
+  // Writes the histories of the machines and of the key-value store beside the nodes' logs.
   void write_artifacts() {
     if (!cloud_) return;
     artifacts_.write_lines("machines.log", cloud_->history());
@@ -143,17 +159,20 @@
     for (const std::string& line : cloud_->history_of_violations()) std::cout << line << "\n";
   }
 
+  // Kills the node's process and waits for its end, if it runs.
   void kill_node(int node) {
     if (pids_[node] <= 0) return;
     lab::kill_and_wait(pids_[node]);
     pids_[node] = 0;
   }
 
+  // Sends a request to the node as a user; the timeout is 3 s.
   wire::CallResult call_node(int node, const char* method, const std::string& path,
                              const Json* body = nullptr) {
     return clients_[node]->call(method, path, body, 3000ms);
   }
 
+  // Polls `condition` every 100 ms; false if it has not held after `seconds`.
   template <class Condition>
   bool within(double seconds, Condition condition) {
     const double end = kv::steady_now() + seconds;
@@ -164,6 +183,7 @@
     return false;
   }
 
+  // The submission of a job array of `tasks` tasks that need one core and run for 1 s.
   Json job_body(const std::string& id, int tasks) {
     return {{"ref", id},           {"jobclass", "c"}, {"owner", "red"},    {"shape", "array"},
             {"urgency", "normal"}, {"pieces", tasks}, {"vcpus", 1.0},      {"accelerators", 0},
@@ -172,7 +192,8 @@
             {"snapshot_cost_s", 0}};
   }
 
-  // Uploads what is well-formed, then submits. Refused at first while no node knows the machine
+  // Uploads a well-formed job to the emulated cloud, then submits it at `node`. Retries for up to
+  // 30 s while the node does not respond or responds 503, as it does until a node knows the machine
   // types.
   int submit(int node, const Json& body) {
     const jobs::Spec spec = jobs::decode_spec(body);
@@ -186,33 +207,38 @@
     return status;
   }
 
+  // Sends the submission once and returns the status.
   int submit_once(int node, const Json& body) {
     return call_node(node, "POST", "/submissions", &body).status;
   }
 
-  // Known already: a first answer may have been lost.
+  // Whether `node` accepts the job. Status 200, for a job that is already known, counts as well:
+  // the response to an earlier attempt may have been lost.
   bool accepts(int node, const Json& body) {
     const int status = submit(node, body);
     return status == 201 || status == 200;
   }
 
+  // The phase of the job in the node's response; empty if the status is not 200.
   std::string job_phase(int node, const std::string& id) {
     const wire::CallResult answer = call_node(node, "GET", "/submissions/" + id);
     return answer.status == 200 ? answer.body.value("phase", "") : "";
   }
 
+  // As job_body(), for a job that starts only after its dependencies are done.
   Json dependent_job_body(const std::string& id, int tasks,
                           const std::vector<std::string>& dependencies) {
-    Json made = job_body(id, tasks);
-    made["waits_on"] = dependencies;
-    return made;
+    Json body = job_body(id, tasks);
+    body["waits_on"] = dependencies;
+    return body;
   }
 
-  // A job that runs with so many tasks, on machines that then all hang.
+  // Runs a job of `tasks` endless tasks and then hangs all machines that they run on.
   void run_and_hang(const std::string& id, std::size_t tasks);
 
-  // A chain, a job that needs two of it, and a chain that is cancelled at its head.
-  void run_job_chains(const std::string& node_name);
+  // Runs a chain of jobs, a job that depends on two jobs of the chain, and a chain whose first job
+  // is cancelled, and checks the outcome of each. `name` is part of the jobs' ids.
+  void run_job_chains(const std::string& name);
 
   FailureArtifacts artifacts_;
   const char* program_ = REACHRAMP_PROGRAM;
@@ -221,33 +247,36 @@
   pid_t pids_[kNodeCount] = {};
   int start_counts_[kNodeCount] = {};
   std::unique_ptr<wire::Client> clients_[kNodeCount];
+  // The number of nodes with a record under member/ in the key-value store.
   std::size_t member_count() {
     return store_->with_model(
         [](const lab::StateService& model) { return model.list("member/").size(); });
   }
 
-  // The level that is stored and settled; 0: none.
+  // The stored schema level if it is settled, otherwise 0.
   std::uint32_t settled_level() {
     return store_->with_model([](const lab::StateService& model) -> std::uint32_t {
       const auto at = model.items().find(schema::kLevelKey);
       if (at == model.items().end()) return 0;
-      const schema::StoredSchema read_entry = schema::decode_stored(at->second.value);
-      return read_entry.settled ? read_entry.level : 0;
+      const schema::StoredSchema stored = schema::decode_stored(at->second.value);
+      return stored.settled ? stored.level : 0;
     });
   }
+  // Overwrites the record of the schema level.
   void write_level(const Json& value) {
     store_->with_model([&](lab::StateService& model) {
       model.commit({{}, {{schema::kLevelKey, value, std::nullopt}}});
     });
   }
 
+  // Lowers the limits of the key-value store to those that the settings announce as the next ones.
   void lower_store_limits() {
     store_->with_model([](lab::StateService& model) { model.set_limits({500, 100, 2, 4}); });
   }
 
-  std::string policy_file_;  // its file; empty: none
+  std::string policy_file_;  // path of the operators' policy; empty: none
   std::unique_ptr<lab::StateServer> store_;
-  std::set<std::string> endless_jobs_;  // jobs whose tasks end only when they are stopped
+  std::set<std::string> endless_jobs_;  // jobs whose tasks run until they are stopped
   std::unique_ptr<lab::FleetServer> cloud_;
 };
 
@@ -259,8 +288,8 @@
   ASSERT_GT(cloud_->hang_machines_of(id), 0u);
 }
 
-inline void EndToEnd::run_job_chains(const std::string& node_name) {
-  const auto id = [&](int i) { return "j-" + node_name + std::to_string(i); };
+inline void EndToEnd::run_job_chains(const std::string& name) {
+  const auto id = [&](int i) { return "j-" + name + std::to_string(i); };
   ASSERT_TRUE(accepts(0, job_body(id(0), 3)));
   ASSERT_TRUE(accepts(1, dependent_job_body(id(1), 9, {id(0)})));
   ASSERT_TRUE(accepts(2, dependent_job_body(id(2), 2, {id(1), id(0), id(1)})));
@@ -268,52 +297,56 @@
   ASSERT_TRUE(accepts(0, job_body(id(3), 1)));
   ASSERT_TRUE(accepts(1, dependent_job_body(id(4), 2, {id(3)})));
   ASSERT_TRUE(accepts(2, dependent_job_body(id(5), 2, {id(4), id(0)})));
-  const Json stranger = dependent_job_body(id(6), 1, {"j-never"});
-  EXPECT_EQ(submit(0, stranger), 422);
+  const Json with_unknown_dependency = dependent_job_body(id(6), 1, {"j-never"});
+  EXPECT_EQ(submit(0, with_unknown_dependency), 422);
   ASSERT_TRUE(within(20, [&] {
     return call_node(1, "POST", "/submissions/" + id(3) + "/withdraw").status == 200;
   }));
   EXPECT_TRUE(accepts(2, dependent_job_body(id(7), 1, {id(3)})))
-      << "accepted, and cancelled with it";
+      << "the job is accepted, and cancelled like its dependency";
   for (int i : {4, 5, 7}) {
     EXPECT_TRUE(within(20, [&] { return job_phase(i % kNodeCount, id(i)) == "aborted"; })) << i;
   }
   EXPECT_TRUE(within(60, [&] { return job_phase(0, id(2)) == "done"; }));
   EXPECT_EQ(submit(1, dependent_job_body(id(5), 2, {id(4), id(0)})), 200)
-      << "known, whatever it needs";
-  EXPECT_TRUE(accepts(1, dependent_job_body(id(8), 1, {id(0), id(2)}))) << "all of it is over";
+      << "the job is known, so its dependencies are not checked again";
+  EXPECT_TRUE(accepts(1, dependent_job_body(id(8), 1, {id(0), id(2)})))
+      << "all its dependencies are done";
   EXPECT_TRUE(within(60, [&] { return job_phase(2, id(8)) == "done"; }));
 }
 
-// What stands under the key, with its revision; 0: nothing.
-inline std::pair<Json, std::uint64_t> read_entry(lab::StateServer& state, const std::string& key) {
-  return state.with_model([&](const lab::StateService& model) -> std::pair<Json, std::uint64_t> {
+// The value of a key and its revision; null and 0 if the key is absent.
+inline std::pair<Json, std::uint64_t> read_entry(lab::StateServer& store, const std::string& key) {
+  return store.with_model([&](const lab::StateService& model) -> std::pair<Json, std::uint64_t> {
     const auto at = model.items().find(key);
     if (at == model.items().end()) return {Json(), 0};
     return {at->second.value, at->second.revision};
   });
 }
 
-// All ways between nodes and to the key-value store, each of which can be cut; workers and users
-// are not.
+// Connects the nodes to each other and to the key-value store through proxies that can be cut.
+// Workers and users connect directly.
 class CutOff : public EndToEnd {
  protected:
-  std::uint16_t connect_port(int from, std::uint16_t to, int other) override {
+  std::uint16_t connect_port(int from_node, std::uint16_t to, int to_node) override {
     const std::uint16_t port = ports_.reserve();
-    links_.push_back({from, other, std::make_unique<TcpProxy>(port, to)});
+    links_.push_back({from_node, to_node, std::make_unique<TcpProxy>(port, to)});
     return port;
   }
+  // Cuts or restores the connections between the node and the other nodes, and between it and the
+  // key-value store.
   void set_node_cut(int node, bool cut) {
-    for (auto& [from, other, proxy] : links_) {
-      if (from == node || other == node) proxy->set_blocked(cut);
+    for (auto& [from_node, to_node, proxy] : links_) {
+      if (from_node == node || to_node == node) proxy->set_blocked(cut);
     }
   }
+  // Cuts or restores the connections of all nodes to the key-value store.
   void set_store_cut(bool cut) {
-    for (auto& [from, other, proxy] : links_) {
-      if (from == other) proxy->set_blocked(cut);
+    for (auto& [from_node, to_node, proxy] : links_) {
+      if (from_node == to_node) proxy->set_blocked(cut);
     }
   }
-  // What a worker that comes to the node is told.
+  // The HTTP status of the node's response to a report from a worker that is unknown to it.
   int report_status(int node) {
     const Json report{{"host", "n-999999"},      {"address", "127.0.0.1:1"},
                       {"rig", "small"},          {"hall", "a"},
@@ -327,6 +360,8 @@
     links_.clear();
   }
 
+  // The proxy that `from_node` connects to instead of `to_node` or, if both are equal, instead of
+  // the key-value store.
   struct ProxiedLink {
     int from_node, to_node;
     std::unique_ptr<TcpProxy> proxy;
