--- a/test/end_to_end_test.cpp
+++ b/test/end_to_end_test.cpp
@@ -7,8 +7,8 @@
 namespace reachramp::test {
 namespace {
 
-// Each node is killed in turn while jobs run. The jobs must end all the same, and all nodes must
-// answer alike; invalid requests must get their error statuses.
+// Each node is killed in turn while jobs run. The jobs must still end, and all nodes must report
+// the same outcome. Invalid requests must get the right error status.
 TEST_F(EndToEnd, JobsOutliveTheLeaderAndAnswersAgree) {
   ASSERT_EQ(submit(0, job_body("j-1", 20)), 201);
   EXPECT_EQ(submit(1, job_body("j-1", 20)), 200) << "the job is known already";
@@ -342,8 +342,9 @@
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// The same during an outage of the key-value store, in which the leader cannot renew its own lease.
-// It then rents and returns no machines, except to end cancelled tasks.
+// All machines that run a job's tasks hang during an outage of the key-value store, in which the
+// leader cannot renew its own lease. In such an outage it rents and returns no machines, except to
+// end cancelled tasks.
 TEST_F(CutOff, CancelledTasksOnMachinesThatHangAreGoneInTimeInAnOutage) {
   ASSERT_NO_FATAL_FAILURE(run_and_hang("j-1", 12));
   ASSERT_EQ(call_node(0, "POST", "/submissions/j-1/withdraw").body.value("phase", ""), "aborted");
@@ -364,8 +365,8 @@
   double cancel_s() const override { return 2; }
 };
 
-// With such a cancel_s no bound on stale answers could end the tasks in time, so users are told
-// that a job is cancelled only after its tasks have ended.
+// A leader cannot end tasks within a cancel_s that is shorter than their lease. So users must be
+// told that a job is cancelled only after its tasks have ended.
 TEST_F(ShortCancelTime, UsersAreToldOfACancellationOnceItsTasksAreGone) {
   endless_jobs_.insert("j-1");
   ASSERT_TRUE(accepts(0, job_body("j-1", 8)));
--- a/test/failure_artifacts.h
+++ b/test/failure_artifacts.h
@@ -17,8 +17,8 @@
 
 namespace reachramp::test {
 
-// The directory of one test's files, below REACHRAMP_EVIDENCE. It is made when the test starts; the
-// destructor deletes it or, after a failure, keeps it.
+// The directory of one test's files, below REACHRAMP_EVIDENCE. The constructor creates it; the
+// destructor deletes it, or keeps it after a failure.
 class FailureArtifacts {
  public:
   // The size limit of one log of a node. What a node logs beyond it is lost.
--- a/test/process_cluster.h
+++ b/test/process_cluster.h
@@ -151,7 +151,8 @@
                               .max_log_bytes = FailureArtifacts::kMaxLog_bytes});
   }
 
-  // Writes the histories of the machines and of the key-value store beside the nodes' logs.
+  // Writes the histories of the machines and of the key-value store beside the nodes' logs, and
+  // prints the history of each broken rule.
   void write_artifacts() {
     if (!cloud_) return;
     artifacts_.write_lines("machines.log", cloud_->history());
@@ -159,7 +160,7 @@
     for (const std::string& line : cloud_->history_of_violations()) std::cout << line << "\n";
   }
 
-  // Kills the node's process and waits for its end, if it runs.
+  // Kills the node's process, if one runs, and waits for its end.
   void kill_node(int node) {
     if (pids_[node] <= 0) return;
     lab::kill_and_wait(pids_[node]);
@@ -193,8 +194,8 @@
   }
 
   // Uploads a well-formed job to the emulated cloud, then submits it at `node`. Retries for up to
-  // 30 s while the node does not respond or responds 503, as it does until a node knows the machine
-  // types.
+  // 30 s while the node does not respond or responds with status 503, as all nodes do until one of
+  // them knows the machine types.
   int submit(int node, const Json& body) {
     const jobs::Spec spec = jobs::decode_spec(body);
     cloud_->upload(
--- a/test/recording_server.h
+++ b/test/recording_server.h
@@ -18,7 +18,7 @@
   wire::Json body;           // null if the request has none
 };
 
-// Serves from construction to destruction. All functions may be called from any thread.
+// The server runs from construction to destruction. All functions may be called from any thread.
 class RecordingServer {
  public:
   // `handler` makes the response to every request.
--- a/test/simulated_cluster.h
+++ b/test/simulated_cluster.h
@@ -62,10 +62,11 @@
   std::map<std::pair<std::string, std::uint64_t>, SimulatedTask> tasks;
   std::optional<std::uint64_t> awaited_sequence_number;  // of the report in flight
   double response_timeout_at = 0;
-  double inbound_blocked_until = 0;  // until then its reports arrive, but nothing reaches it
-  // Until then its reports are lost, but commands that are sent to its own address reach it.
+  // Until then the machine receives nothing, though its reports arrive.
+  double inbound_blocked_until = 0;
+  // Until then the machine's reports are lost, though commands to its own address arrive.
   double outbound_blocked_until = 0;
-  double hung_until = 0;  // until then it makes no progress
+  double hung_until = 0;  // until then the machine does nothing
   int generation = 0;     // grows when the machine restarts under its name with a new worker
 };
 
@@ -78,8 +79,8 @@
   double restarts_at = 0;
   double upgrades_at = 0;  // when a later version is started here; 0: no upgrade is planned
   std::uint64_t lease_id = 0;
-  // The lease of the claim that the dead process on this node left, and when it ends if nobody
-  // renews it.
+  // The lease of the claim that the previous process on this node left behind, and when that lease
+  // ends if no process renews it.
   std::uint64_t predecessor_lease_id = 0;
   double predecessor_lease_ends_at = 0;
   int process_count = 0;  // processes that have run here
@@ -144,11 +145,11 @@
   void run_for(double seconds);
   // Ends all faults for good. From then on every node runs the newest version.
   void end_faults();
-  // Makes the key-value store refuse the leader, and `leader_only_s` later everybody for
+  // Makes the key-value store refuse the leader, and `leader_only_s` later all nodes for
   // `outage_s`. Users cancel jobs in the first of these two periods.
   void start_store_outage(double leader_only_s, double outage_s);
   // Ends the leader's lease, so that a node is elected anew. The former leader may continue for a
-  // while because it does not know.
+  // while without knowing that its lease has ended.
   void change_leader();
   // Cancels every job that has unfinished tasks on machines, and hangs these machines for `hang_s`.
   void cancel_running_jobs(double hang_s);
@@ -172,7 +173,7 @@
  private:
   // True with the given probability; always false once the faults have ended.
   bool happens(double probability);
-  // Adds a rule to `violations`, unless it is there.
+  // Adds a broken rule to `violations` when it is reported for the first time.
   void report_violation(const std::string& what);
 
   // Calls a function after `delay` seconds of simulated time.
@@ -186,7 +187,7 @@
 
   // Whether no node runs version 0.2.0 any longer.
   bool all_upgraded() const { return now_ >= all_upgraded_at_; }
-  // Whether the key-value store refuses everybody.
+  // Whether the key-value store refuses all nodes.
   bool is_store_down() const { return now_ >= outage_starts_at_ && now_ < outage_ends_at_; }
   // Whether the key-value store refuses the leader.
   bool is_leader_refused() const { return now_ < leader_refused_until_ || is_store_down(); }
@@ -208,8 +209,8 @@
   // The identity of the process that runs on the node.
   leadership::Identity identity(const SimulatedNode& node) const;
 
-  // Ends the leadership of the process that ran on this node before, if its record is still there.
-  // Version 0.3.0 does not do that.
+  // Deletes the leader's record if an earlier process on this node wrote it, which ends that
+  // process's leadership. Version 0.3.0 does not do that.
   void end_predecessor_leadership(const SimulatedNode& node);
 
   // Announces the levels that the process on the node supports, or adopts an equal claim of its
@@ -247,16 +248,17 @@
 
   // ---- leadership
 
-  // Ends the leader's lease. The leader itself may go on as the former leader.
+  // Ends the leader's lease. The leader either stops at once or continues as former_leader_.
   void depose();
 
-  // Elects a node at random once the leader's key is free, and starts a leader there.
+  // Once the leader's key is free and a pause is over, elects a random node and starts a leader
+  // there.
   void elect();
 
-  // Delivers to the leader what its watch of the jobs has brought.
+  // Delivers the changes of jobs since the last call to the leader, as its watch would.
   void deliver_job_changes();
 
-  // Carries out everything that the leader requests.
+  // Carries out what the leader requests, with random delays and losses.
   void execute_effects(const Effects& effects);
 
   // Checks that only records in the format of version 0.2.0 are written while a node of that
@@ -266,10 +268,10 @@
   // Checks a transaction against the rules and commits it.
   kv::CommitResult apply_transaction(const kv::Transaction& transaction);
 
-  // As apply_transaction(), within the write limit of the store.
+  // Applies a transaction, or refuses it when the store's write limit is exceeded.
   kv::CommitResult commit_transaction(const kv::Transaction& transaction);
 
-  // Reads the end of a job for the leader; some reads fail.
+  // Reads the record of a job's end for the leader. Some reads fail.
   void read_job_end(std::uint64_t fencing_token, const std::string& id);
 
   // Delivers the outcome of a transaction to the leader that requested it.
@@ -277,10 +279,12 @@
 
   // ---- cloud
 
-  // Carries out a scale-out or scale-in; retries when the response is lost.
+  // Carries out a scale-out or scale-in request in the simulated cloud. If the response is lost,
+  // the request is repeated 1 s later.
   void send_cloud_request(std::uint64_t fencing_token, const CloudRequest& request);
 
-  // Delivers a list of machines to the leader, as of some time ago.
+  // Delivers the cloud's list of machines to the leader. The list is out of date by up to twice
+  // list_lag_s.
   void list_machines();
 
   // ---- machines
@@ -303,7 +307,7 @@
   void deliver_report(const std::string& name, int generation, const workers::Heartbeat& report,
                       double sent_at);
 
-  // Carries out the commands of a response to a report, unless it comes too late.
+  // Carries out the commands of a response to a report, unless the response comes too late.
   void execute_response(const std::string& name, int generation, const workers::Heartbeat& report,
                         double sent_at, const Json& body);
 
@@ -325,13 +329,14 @@
   void check_rules();
   std::map<std::string, double> used_cpus() const;  // cores by team
 
-  // Sets unknown_to_leader_at_ for every cancelled job of which no leader knows at present that it
-  // is cancelled.
+  // Sets unknown_to_leader_at_ to the present time for every cancelled job that the leader, if
+  // there is one, does not know to be cancelled.
   void note_unknown_cancellations();
 
   // Whether the current leader has led, and known of the cancellation, for long enough to have
-  // returned a hung machine before cancel_s was over. Without a leader, or with one that cannot be
-  // reached by any node that knows of the cancellation, nothing can be done about such a machine.
+  // returned a hung machine within cancel_s after the cancellation. Without a leader, or with one
+  // that no node that knows of the cancellation can reach, nothing can be done about such a
+  // machine.
   bool could_have_returned_machines(const std::string& id, double cancelled_at) const;
 
   // The earliest time at which the job or one that it depends on, directly or indirectly, was
@@ -358,7 +363,8 @@
   double election_at_ = 0, next_listing_at_ = 0, faults_ended_at_ = 0;
   // A node that the other nodes cannot reach while the leader is refused; users can reach it.
   SimulatedNode* unreachable_node_ = nullptr;
-  // Until when the key-value store refuses the leader, and from when to when it refuses everybody.
+  // Until when the key-value store refuses the leader, and from when until when it refuses all
+  // nodes.
   double leader_refused_until_ = 0, outage_starts_at_ = 0, outage_ends_at_ = 0;
   std::map<std::string, SimulatedMachine> machines_;
   std::map<std::string, std::vector<std::string>> rentals_;
@@ -368,7 +374,7 @@
   std::vector<workers::Heartbeat> report_copies_;
   std::map<std::string, jobs::Spec> specs_;
   std::map<std::string, double> cancelled_at_;
-  // For each cancelled job, when no leader knew of the cancellation last.
+  // For each cancelled job, the last time at which no leader knew of the cancellation.
   std::map<std::string, double> unknown_to_leader_at_;
   double led_since_ = 0;
   std::map<std::string, bool> ended_as_cancelled_;
--- a/test/tcp_proxy.h
+++ b/test/tcp_proxy.h
@@ -18,7 +18,7 @@
 
 namespace reachramp::test {
 
-// Forwards connections from construction to destruction.
+// The proxy runs from construction to destruction.
 class TcpProxy {
  public:
   // Listens on `listen_port` and connects to `target_port`, both on loopback.
@@ -108,7 +108,7 @@
     return true;
   }
 
-  // Forwards what one read returns; false once the connection has ended. Each read from a client is
+  // Forwards the bytes of one read; false once the connection has ended. Each read from a client is
   // stored as one request: a request that arrives in several reads is replayed in pieces, which the
   // target refuses.
   bool forward_once(const wire::Socket& from, const wire::Socket& to, bool is_request) {
