--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -26,8 +26,8 @@
 // Adds the machines, the jobs and their running tasks to an empty cluster.
 void fill_cluster(placement::Cluster& cluster, const FleetSize& size, double now);
 
-// The same fleet as a new leader learns of it: the records of the key-value store, the cloud's list
-// of machines, and the workers' heartbeats.
+// The fleet of fill_cluster() as a new leader learns of it: the records of the key-value store, the
+// cloud's list of machines, and the workers' heartbeats.
 struct FleetSnapshot {
   explicit FleetSnapshot(const FleetSize& size);
 
--- a/lab/checker/event_history.h
+++ b/lab/checker/event_history.h
@@ -23,7 +23,7 @@
 
   // All events, a line each: time, subject, what happened.
   std::vector<std::string> lines() const;
-  // The same for events of these subjects in the given period.
+  // Only the events of these subjects whose times lie between `from` and `until`, a line each.
   std::vector<std::string> lines_about(const std::set<std::string>& subjects, double from,
                                        double until) const;
 
--- a/lab/checker/placing_rules.cpp
+++ b/lab/checker/placement_checker.cpp
@@ -1,4 +1,4 @@
-#include "checker/placing_rules.h"
+#include "checker/placement_checker.h"
 
 #include <fmt/format.h>
 
--- a/lab/checker/placing_rules.h
+++ b/lab/checker/placement_checker.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "model/field.h"
+#include "model/shared_task_state.h"
 
 namespace reachramp::lab {
 
@@ -22,7 +22,7 @@
     bool spot = false;
   };
 
-  // `teams`: whose resource limits are checked.
+  // `teams`: the teams whose resource limits are checked.
   explicit PlacementChecker(std::vector<settings::Team> teams) : teams_(std::move(teams)) {}
 
   // Replaces the set of tasks on the machine and checks the rules for those that are new there.
@@ -38,7 +38,7 @@
   // A rule that was broken.
   struct Violation {
     std::string text;                // "ran_twice j-1/3 on n-2, also on n-1, at 12.5"
-    std::set<std::string> machines;  // that hold the task; empty for a team's limit
+    std::set<std::string> machines;  // those that hold the task; none for a team's limit
     double at = 0;
   };
   // All violations, in the order in which they were found.
--- a/lab/cli/main.cpp
+++ b/lab/cli/main.cpp
@@ -16,8 +16,8 @@
 #include "kv/steady_clock.h"
 #include "load/load.h"
 #include "loopback/balancer.h"
+#include "loopback/controller_processes.h"
 #include "loopback/fleet_server.h"
-#include "loopback/nodes.h"
 #include "loopback/state_server.h"
 
 namespace {
--- a/lab/load/load.h
+++ b/lab/load/load.h
@@ -18,8 +18,8 @@
 struct LoadSpec {
   wire::Address address;  // where users are served
   double jobs_per_second = 1;
-  double submit_for_s = 30;  // users submit for so long, then wait until their jobs end
-  double max_wait_s = 120;   // a user gives up so long after the submission was due
+  double submit_for_s = 30;  // users submit for this long, then wait until their jobs end
+  double max_wait_s = 120;   // a user gives up this long after the submission was due
   double poll_interval_s = 1;
   double withdrawn_share = 0;  // share of jobs that are withdrawn soon after acceptance
   std::uint32_t tasks_per_job = 10;
--- a/lab/loopback/nodes.cpp
+++ b/lab/loopback/controller_processes.cpp
@@ -1,4 +1,4 @@
-#include "loopback/nodes.h"
+#include "loopback/controller_processes.h"
 
 #include <fmt/format.h>
 #include <sys/wait.h>
--- a/lab/loopback/nodes.h
+++ b/lab/loopback/controller_processes.h
@@ -14,7 +14,8 @@
 // Owns one child process per controller node.
 class ControllerProcesses {
  public:
-  // Writes the settings file of each node to `folder`, where its log goes as well. Starts none.
+  // Writes the settings file of each node to `folder`, where its log goes as well. Starts no
+  // process.
   ControllerProcesses(std::string program, std::string folder,
                       const std::vector<settings::Platform>& platforms);
   ~ControllerProcesses();  // kills those that run
@@ -22,9 +23,9 @@
 
   // Starts the node's controller. Throws std::system_error if the program can't be started.
   void start(const std::string& name);
-  // Kills it with SIGKILL, if it runs.
+  // Kills the node's controller with SIGKILL, if it runs.
   void kill(const std::string& name);
-  // Whether it runs; false after it has exited by itself.
+  // Whether the node's controller runs; false after it has exited by itself.
   bool is_running(const std::string& name);
 
  private:
--- a/lab/loopback/fleet_server.h
+++ b/lab/loopback/fleet_server.h
@@ -10,9 +10,9 @@
 #include <thread>
 
 #include "checker/event_history.h"
-#include "checker/placing_rules.h"
+#include "checker/placement_checker.h"
 #include "model/cloud.h"
-#include "model/field.h"
+#include "model/shared_task_state.h"
 #include "model/worker.h"
 #include "wire/http.h"
 #include "wire/thread_pool.h"
@@ -23,9 +23,9 @@
 struct FleetSpec {
   CloudSpec cloud;
   settings::WorkerTimings workers;
-  std::vector<settings::Team> teams;                 // whose limits are checked
-  std::map<std::string, wire::Address> controllers;  // by name: where they take reports
-  std::uint16_t worker_port = 0;  // of direct orders, on addresses from 127.16.0.1 on; 0: none
+  std::vector<settings::Team> teams;                 // the teams whose limits are checked
+  std::map<std::string, wire::Address> controllers;  // by name: where each takes reports
+  std::uint16_t worker_port = 0;  // for direct orders, on addresses from 127.16.0.1 on; 0: none
 };
 
 // Runs the emulated cloud and one thread per worker, and checks the placement of all tasks whenever
@@ -59,8 +59,8 @@
   std::vector<std::string> history_of_violations();
   // How many of the job's tasks are on machines.
   std::size_t held_task_count(const std::string& job);
-  // Makes every machine that holds a task of the job hang until it is returned, and returns how
-  // many those are.
+  // Makes every machine that holds a task of the job hang until it is returned. Returns the
+  // number of these machines.
   std::size_t hang_machines_of(const std::string& job);
 
  private:
@@ -108,7 +108,7 @@
   PlacementChecker placement_checker_;
   EventHistory history_;
   std::map<std::string, WorkerPtr> workers_;
-  double next_lease_end_ = kInfinity_s;     // no worker's lease ends before
+  double next_lease_end_ = kInfinity_s;     // no worker's lease ends before this
   std::vector<WorkerPtr> removed_workers_;  // whose order servers are still to be closed
   bool stopping_ = false;
   wire::ConnectionLimiter connection_limiter_;
--- a/lab/model/cloud.h
+++ b/lab/model/cloud.h
@@ -69,7 +69,7 @@
     bool was_listed = false;      // a list has shown it, so later lists must as well
   };
 
-  // `seed`: of all random choices.
+  // `seed` determines all random choices.
   Cloud(CloudSpec spec, std::uint64_t seed);
 
   // Answers an HTTP request as the cloud does, its rate limit and outages included.
--- a/lab/model/field.cpp
+++ b/lab/model/shared_task_state.cpp
@@ -1,4 +1,4 @@
-#include "model/field.h"
+#include "model/shared_task_state.h"
 
 #include <algorithm>
 #include <cmath>
--- a/lab/model/field.h
+++ b/lab/model/shared_task_state.h
@@ -59,7 +59,8 @@
   void save_progress(const TaskId& task, double progress_s);
 
   // ---- gangs, identified by job and attempt
-  // Adds a task that has its image, on a machine of this speed. The gang starts once all are there.
+  // Adds a task whose image is fetched, on a machine of this speed. The gang starts once all its
+  // tasks have joined.
   void join_gang(const TaskId& task, std::uint64_t attempt, double speed, double now);
   // Records a stop order. `saves`: it leaves enough time for a checkpoint.
   void stop_gang_task(const TaskId& task, std::uint64_t attempt, bool saves, double now);
@@ -84,7 +85,7 @@
     double started_at = kInfinity_s;
     double initial_progress_s = 0;        // at the start of this attempt, from the last checkpoint
     double speed = 1;                     // that of the slowest member's machine
-    double first_stop_at = kInfinity_s;   // no progress after a member's first stop order
+    double first_stop_at = kInfinity_s;   // first stop order of a member; no progress after it
     double member_lost_at = kInfinity_s;  // when the first member was lost
     bool progress_saved = false;
   };
--- a/lab/model/state_service.h
+++ b/lab/model/state_service.h
@@ -46,7 +46,7 @@
     std::deque<kv::KeyChange> change_log;
   };
 
-  // `seed`: of all random choices.
+  // `seed` determines all random choices.
   StateService(const settings::StoreLimits& limits, std::uint64_t seed);
 
   // Answers an HTTP request of a node as the store does, or keeps it as a pending watch.
@@ -66,10 +66,11 @@
   // lifetime again.
   void begin_outage(double now) { outage_since_ = now; }
   void end_outage(double now);
-  // Whether requests of this node alone are answered with 503.
+  // Sets whether requests of this node are answered with 503; other nodes are not affected.
   void set_refused(const std::string& node, bool refused);
   Backup backup() const { return {items_, store_revision_, change_log_}; }
-  // Replaces all data by the copy; revisions continue from there, so they repeat.
+  // Replaces all data by the copy. Revisions continue from the copy's, so those assigned since then
+  // are assigned again.
   void restore(Backup backup);
 
   // ---- direct access, without HTTP, rate limits and outages, for tests in one process
--- a/lab/model/worker.h
+++ b/lab/model/worker.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "cloud/client.h"
-#include "model/field.h"
+#include "model/shared_task_state.h"
 #include "settings/settings.h"
 #include "wire/http.h"
 
@@ -62,7 +62,7 @@
   // ---- fault injection
   // Tells the worker that the cloud takes its machine in `remaining_s`; its reports say so.
   void on_reclaim_notice(double remaining_s, double now) { reclaim_at_ = now + remaining_s; }
-  // Until resume(), it neither reports nor executes tasks, and its lease doesn't end them.
+  // Until resume(), the worker neither reports nor executes tasks, and its lease doesn't end them.
   void hang(double now);
   void resume(double now);
   bool is_hung() const { return hung_; }
@@ -119,7 +119,7 @@
   bool lease_has_ended(double now) const;
   // The machine's state and all attempts as the body of a report.
   wire::Json make_report(double now);
-  // Sends the next report to the next node, after a pause.
+  // Makes the next node the one that gets the reports, after a pause.
   void switch_node(double now);
   bool is_gang_task(const AttemptKey& key) const;
 
@@ -134,7 +134,7 @@
   std::uint64_t incarnation_ = 1, tick_ = 0, fencing_token_ = 0;
   double lease_starts_at_;
   double reclaim_at_ = kInfinity_s;
-  std::size_t current_node_ = 0;  // index in nodes_; gets the reports
+  std::size_t current_node_ = 0;  // index in nodes_ of the node that gets the reports
   bool report_in_flight_ = false;
   std::uint64_t sent_incarnation_ = 0;  // of the report in flight
   double report_sent_at_ = 0;           // of the report in flight
--- a/lab/model/worker_test.cpp
+++ b/lab/model/worker_test.cpp
@@ -5,7 +5,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "checker/placing_rules.h"
+#include "checker/placement_checker.h"
 #include "workers/heartbeat.h"
 
 namespace reachramp::lab {
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -285,7 +285,9 @@
   bool recheck_deferred_responses_ = false;
   // Jobs that others depend on and of which nothing is known.
   std::vector<std::string> unknown_dependencies_;
-  std::map<std::string, double> returned_hosts_;  // machine and when it was returned
+  // Machines that were returned, have failed or are no longer listed, with the time at which the
+  // leader removed them.
+  std::map<std::string, double> returned_hosts_;
   // Jobs whose end was stored in this term, with the revision of the end. The watch may still
   // report older versions of their headers.
   std::map<std::string, std::uint64_t> recently_ended_jobs_;
--- a/src/controller/leader_test.cpp
+++ b/src/controller/leader_test.cpp
@@ -636,7 +636,7 @@
 
 // Task range records that do not fit into the transaction that ends their job must stay until the
 // end is stored, because they tell which tasks are done.
-TEST_F(LeaderTest, ChunksOfALargeJobAreRemovedOnlyAfterItsEnd) {
+TEST_F(LeaderTest, TaskRangesOfALargeJobAreRemovedOnlyAfterItsEnd) {
   std::vector<kv::Entry> task_ranges;
   constexpr std::uint32_t kTasks = 700;
   const Leader size_reference = make_leader(snapshot({job_entry("j-1", kTasks)}));
--- a/src/controller/server_bytes_test.cpp
+++ b/src/controller/server_bytes_test.cpp
@@ -8,7 +8,7 @@
 #include <thread>
 
 #include "loopback/child_process.h"
-#include "loopback/nodes.h"
+#include "loopback/controller_processes.h"
 #include "loopback/state_server.h"
 #include "recording_server.h"
 
--- a/test/answer_history.h
+++ b/test/answer_history.h
@@ -17,7 +17,7 @@
 // thread.
 class AnswerHistory {
  public:
-  // The most advanced state of `job` that any user has received. A user reads it just before
+  // The most advanced state of `job` that any user has received. A user calls this just before
   // sending a request.
   JobView newest_view(const std::string& job) {
     const std::lock_guard lock(mutex_);
--- a/test/process_cluster.h
+++ b/test/process_cluster.h
@@ -32,8 +32,8 @@
 
 // The number of controller processes.
 inline constexpr int kNodeCount = 3;
-// The setting cancel_s. It is well above a lease, so that a test machine that stalls for a second
-// does not change what a leader may answer.
+// The setting cancel_s. It is well above the duration of a worker's lease, so that a second in
+// which the machine that runs the tests stalls does not change what a leader may answer.
 inline constexpr double kCancelTime_s = 20;
 // Limits of the key-value store: requests and writes a second, KB of a value, operations of a
 // transaction.
@@ -173,7 +173,7 @@
     return clients_[node]->call(method, path, body, 3000ms);
   }
 
-  // Polls `condition` every 100 ms; false if it has not held after `seconds`.
+  // Polls `condition` every 100 ms until it holds; false if it does not hold within `seconds`.
   template <class Condition>
   bool within(double seconds, Condition condition) {
     const double end = kv::steady_now() + seconds;
--- a/test/simulated_cluster.h
+++ b/test/simulated_cluster.h
@@ -15,9 +15,9 @@
 //   writes records that this version can read. Some time later the key-value store lowers its
 //   limits.
 // - The nodes are upgraded further, through the schema levels. Each process supports some levels
-//   and announces them in a claim while it lives. Processes die, restart as older versions, or hold
-//   the level down. Claims outlive their processes; a process that restarts at once adopts the
-//   claim of its predecessor and ends the predecessor's leadership.
+//   and announces them in a claim while it lives. Processes die or restart as older versions, and
+//   operators limit the level. Claims outlive their processes; a process that restarts at once
+//   adopts the claim of its predecessor and ends the predecessor's leadership.
 // - Operators drain machines and end the drains.
 // - The key-value store refuses the leader and some time later all nodes, while users cancel jobs
 //   at other nodes.
@@ -60,7 +60,8 @@
   double next_report_at = 0;
   // By name (job/task) and attempt.
   std::map<std::pair<std::string, std::uint64_t>, SimulatedTask> tasks;
-  std::optional<std::uint64_t> awaited_sequence_number;  // of the report in flight
+  // Of the report in flight; none: no report is in flight.
+  std::optional<std::uint64_t> awaited_sequence_number;
   double response_timeout_at = 0;
   // Until then the machine receives nothing, though its reports arrive.
   double inbound_blocked_until = 0;
@@ -86,7 +87,7 @@
   int process_count = 0;  // processes that have run here
   // The cancellations that the current process has confirmed to users.
   std::unique_ptr<peers::RecentCancellations> recent_cancellations;
-  // When the current process observed which revisions of the key-value store.
+  // When the current process observed each revision of the key-value store.
   kv::RevisionClock revision_clock;
   // The newest level in this node's last claim, and when the process that wrote it was last alive.
   std::uint32_t claimed_level = 0;
@@ -111,8 +112,8 @@
   double all_upgraded_after_s = -1;  // until all nodes support compact records; negative: random
   double message_delay_factor = 1;   // multiplies the usual delays of messages
   double min_boot_s = 0.5, max_boot_s = 8;
-  int machines_per_pool =
-      3;  // machines that the cloud has of each type, zone and kind (spot or not)
+  // Machines that the cloud has of each type, zone and kind (spot or not).
+  int machines_per_pool = 3;
   // Share of transactions that are applied without a response.
   double unanswered_transaction_share = 0.04;
   double rental_response_delay_s = 0;  // until the cloud's response to a scale-out request arrives
@@ -363,8 +364,8 @@
   double election_at_ = 0, next_listing_at_ = 0, faults_ended_at_ = 0;
   // A node that the other nodes cannot reach while the leader is refused; users can reach it.
   SimulatedNode* unreachable_node_ = nullptr;
-  // Until when the key-value store refuses the leader, and from when until when it refuses all
-  // nodes.
+  // When the key-value store stops refusing the leader, and when its refusal of all nodes starts
+  // and ends.
   double leader_refused_until_ = 0, outage_starts_at_ = 0, outage_ends_at_ = 0;
   std::map<std::string, SimulatedMachine> machines_;
   std::map<std::string, std::vector<std::string>> rentals_;
