--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kMachinesPerLargeOne = 10;
+constexpr std::size_t kMachinesPerLargeMachine = 10;
 constexpr const char* kZones[] = {"a", "b", "c"};
 
 std::string machine_name(std::size_t i) {
@@ -71,7 +71,7 @@
   std::uint32_t task = 0;
   for (std::size_t i = 0; i < size.machines; ++i) {
     const Index host = cluster.add_host(machine_name(i), now);
-    const bool large = i % kMachinesPerLargeOne == 0;
+    const bool large = i % kMachinesPerLargeMachine == 0;
     cluster.set_host_type(host, large ? "large" : "small", kZones[i % 3], i % 2 == 0);
     cluster.hosts[host]->phase = placement::HostPhase::up;
     cluster.hosts[host]->last_heartbeat_at = now;
--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -84,8 +84,8 @@
   controller::Leader leader;
 };
 
-// One second of heartbeats, at the rate of the platform. The leader runs a full round after each,
-// as its owning thread does while it keeps up with the load.
+// One second of heartbeats: each machine sends one per report interval. The leader runs a full
+// round after each, as its owning thread does while it keeps up with the load.
 void second(benchmark::State& state) {
   LeaderWithFleet fixture(size_of(state));
   const std::size_t machines = fixture.fleet.heartbeats.size();
@@ -107,7 +107,7 @@
   state.SetComplexityN(state.range(0));
 }
 
-// One heartbeat.
+// Takes in one heartbeat.
 void report(benchmark::State& state) {
   LeaderWithFleet fixture(size_of(state));
   std::size_t next = 0;
@@ -115,7 +115,7 @@
     fixture.deliver_heartbeat(next++ % fixture.fleet.heartbeats.size());
     state.PauseTiming();
     if (next % 64 == 0)
-      fixture.leader.advance(fixture.now += 1);  // answers the heartbeats that wait
+      fixture.leader.advance(fixture.now += 1);  // responds to the deferred heartbeats
     state.ResumeTiming();
   }
   state.SetComplexityN(state.range(0));
--- a/lab/cli/main.cpp
+++ b/lab/cli/main.cpp
@@ -31,6 +31,7 @@
 std::atomic<bool> stopping{false};
 void on_signal(int) { stopping = true; }
 
+// Options of `ramplab up`.
 struct UpOptions {
   std::string program = "target/bin/reachramp";
   std::string folder;
@@ -94,7 +95,7 @@
   });
 }
 
-// Numbers for a line of progress on standard output.
+// The figures in a line of progress on standard output.
 struct Counts {
   std::size_t live_jobs = 0, ended_jobs = 0, machines = 0;
   double total_cost = 0;
@@ -126,11 +127,13 @@
   for (const std::string& what : result.contradictions) std::cout << "broken: " << what << "\n";
 }
 
+// Whether every submitted job was accepted and has its end, and no response contradicted another.
 bool load_succeeded(const lab::LoadGenerator::Result& result) {
   return result.contradictions.empty() && result.without_end == 0 &&
          result.accepted == result.submitted;
 }
 
+// Runs `ramplab up` and returns the exit code.
 int run_up(UpOptions up) {
   if (up.folder.empty()) {
     up.folder =
@@ -243,6 +246,7 @@
   return up.jobs_per_second > 0 && !stopped_by_user && !load_succeeded(result) ? kExitBroken : 0;
 }
 
+// Runs `ramplab load` and returns the exit code.
 int run_load(const lab::LoadSpec& spec, std::uint64_t seed) {
   const lab::LoadGenerator::Result result = lab::LoadGenerator(spec, seed).run(stopping);
   print_result(result);
--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -12,7 +12,7 @@
 using wire::Json;
 using namespace std::chrono_literals;
 
-// Connections kept open for reuse.
+// The most connections that are kept open for reuse.
 constexpr std::size_t kMaxIdleUserConnections = 256;
 // Set by PROTOCOL: for how long users wait for a response, and for how long and how often they
 // repeat a submission.
--- a/lab/loopback/balancer.cpp
+++ b/lab/loopback/balancer.cpp
@@ -7,7 +7,7 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t kMaxUserConnections = 2000;
-// Connections kept open to each node for reuse.
+// The most connections to a node that are kept open for reuse.
 constexpr std::size_t kMaxIdleConnectionsPerNode = 64;
 constexpr std::size_t kMaxNodesTried = 3;  // set by PROTOCOL
 constexpr auto kForwardTimeout = 5s;
--- a/lab/loopback/fleet_server.cpp
+++ b/lab/loopback/fleet_server.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::size_t kMaxFleetConnections = 4000;
 constexpr auto kReportTimeout = 4000ms;  // set by PROTOCOL
-// Threads that wait for the next event of an emulator wake up within these limits.
+// Limits of the time for which a thread waits for the next event of an emulator.
 constexpr double kMaxClockWait_s = 1;
 constexpr double kMinClockWait_s = 0.002;
 // For how long a worker's thread is kept for reuse after its worker has gone.
@@ -23,7 +23,7 @@
 // Reports that get an answer sooner than this, with status 200 and without orders, are left out of
 // the history.
 constexpr double kSlowReport_s = 0.5;
-// history_of_violations() shows the events of this period before and after each violation.
+// history_of_violations() shows the events from this long before each violation to this long after.
 constexpr double kHistoryBefore_s = 20;
 constexpr double kHistoryAfter_s = 2;
 
--- a/lab/model/cloud.cpp
+++ b/lab/model/cloud.cpp
@@ -18,7 +18,7 @@
 // PROTOCOL sets these values.
 constexpr std::uint64_t kMaxMachinesPerRent = 50;
 constexpr std::uint64_t kMaxMachinesPerListPage = 500;
-// Requests may come in bursts of this many seconds' worth.
+// The number of requests that the rate limit allows at once, in seconds of its rate.
 constexpr double kRequestBurst_s = 2;
 // Boot times vary between these multiples of the type's nominal one.
 constexpr double kMinBootFactor = 0.6, kMaxBootFactor = 1.5;
@@ -26,7 +26,7 @@
 constexpr double kSpotPriceAmplitude = 1.0 / 3;
 // A machine that is returned is charged for at least this long.
 constexpr double kMinCharge_s = 60;
-// Lists show a crashed machine as running until this much later.
+// Lists show a crashed machine as running for this long after the crash.
 constexpr double kCrashListedAfter_s = 30;
 // A reclaim notice varies by this share: 0.5 to 1.5 times the nominal one.
 constexpr double kNoticeJitter = 0.5;
--- a/lab/model/shared_task_state.cpp
+++ b/lab/model/shared_task_state.cpp
@@ -134,7 +134,7 @@
   const auto member = gang.members.find(task.task);
   if (member == gang.members.end()) return;
   // If the gang has not started yet, the other members go on waiting, and a replacement for the
-  // lost one can complete it.
+  // lost one can complete the gang.
   if (gang.started_at == kInfinity_s) {
     gang.members.erase(member);
     return;
--- a/lab/model/state_service.cpp
+++ b/lab/model/state_service.cpp
@@ -22,9 +22,9 @@
 constexpr std::size_t kMaxList_bytes = 512 * 1024;
 constexpr std::size_t kMaxTransaction_bytes = 64 * 1024;
 constexpr std::size_t kMaxKey_bytes = 200;
-// Preconditions of a transaction, as a multiple of its allowed writes.
+// The most preconditions of a transaction, as a multiple of the most writes.
 constexpr std::size_t kMaxPreconditionsPerOp = 4;
-// By how much a lease may expire late.
+// A lease may expire up to this long after its lifetime.
 constexpr double kMaxExpiryDelay_s = 0.1;
 constexpr std::uint64_t kMinLeaseLifetime_ms = 100;
 constexpr std::uint64_t kMaxLeaseLifetime_ms = 600000;
--- a/test/combined_faults_test.cpp
+++ b/test/combined_faults_test.cpp
@@ -84,8 +84,8 @@
 }
 
 // Jobs are cancelled in the seconds in which the leadership changes, and leaders change ten times
-// in two minutes. The tasks of jobs with two or three of them end far apart, before and
-// after a change of leaders.
+// in two minutes. The jobs have two or three tasks, which end far apart, before and after a change
+// of leaders.
 TEST(CombinedFaults, CancelledWhileTheLeadChangesHandsTenTimesInTwoMinutes) {
   SimulationOptions options = current_version_options();
   options.task_duration_s = 9;
--- a/test/doc_names_test.sh
+++ b/test/doc_names_test.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# scripts/doc-names: a name that stands nowhere fails with file, line and name; the real pages pass. doc_names_test.sh
+# Tests that scripts/doc-names prints file, line and name of each name that stands nowhere, and accepts the real pages.
+# Usage: doc_names_test.sh
 set -euo pipefail
 cd "$(dirname "$0")/.."
 page=$(mktemp)
 trap 'rm -f "$page"' EXIT
 
-expect() {  # content of the page, exit code, output
+expect() {  # content of the page, expected exit code, expected output
   local output code=0
   printf '%s' "$1" >"$page"
   output=$(scripts/doc-names "$page" 2>&1) || code=$?
--- a/test/end_to_end_test.cpp
+++ b/test/end_to_end_test.cpp
@@ -30,7 +30,7 @@
 
   ASSERT_TRUE(within(30, [&] { return job_phase(0, "j-3") == "running"; }));
   for (int i = 0; i < kNodeCount; ++i) {
-    kill_node(i);  // one of them leads; another node takes over
+    kill_node(i);  // one of the three leads; another node takes over from it
     const int other = (i + 1) % kNodeCount;
     EXPECT_TRUE(within(30, [&] { return !job_phase(other, "j-1").empty(); }));
     start_node(i);
@@ -155,8 +155,8 @@
   EXPECT_EQ(cloud_->rule_violations(), std::vector<std::string>{});
 }
 
-// A node that alone is cut from the key-value store reports that it is not ready, so that users go
-// to other nodes. In an outage for all nodes, all of them stay ready.
+// If only one node is cut from the key-value store, this node reports that it is not ready, so that
+// users go to other nodes. In an outage for all nodes, all of them stay ready.
 TEST_F(CutOff, ANodeThatTheStateServiceDoesNotReachIsNotReady) {
   ASSERT_TRUE(accepts(0, job_body("j-1", 2)));
   const auto ready = [&](int node) { return call_node(node, "GET", "/ready").status == 200; };
@@ -175,7 +175,7 @@
   }
 }
 
-// Each node connects to a port of its own of the key-value store, which can refuse that node alone.
+// The key-value store has a port for each node, so that it can refuse a single node.
 class RefusedAlone : public CutOff {
  protected:
   std::uint16_t connect_port(int from_node, std::uint16_t to, int to_node) override {
@@ -214,8 +214,8 @@
   store_->with_model([](lab::StateService& model) { model.begin_outage(kv::steady_now()); });
   EXPECT_TRUE(within(30, [&] { return cloud_->held_task_count("j-1") == 0; }))
       << "the outage has not ended";
-  // Longer than a leader may answer workers without the other nodes' cancellation digests, and a
-  // lease more; the outage outlasts cancel_s.
+  // Longer than a leader may answer workers without the other nodes' cancellation digests, plus the
+  // duration of a worker's lease. The outage lasts longer than cancel_s.
   std::this_thread::sleep_for(21s);
   EXPECT_EQ(cloud_->held_task_count("j-stays"), 3u)
       << "all nodes have sent their cancellation digests, so leases must be renewed";
--- a/test/simulated_cluster.cpp
+++ b/test/simulated_cluster.cpp
@@ -460,8 +460,8 @@
   const std::uint32_t current_level =
       level.empty() ? schema::kCompact : schema::decode_stored(level.front().value).level;
   for (SimulatedNode& node : nodes_) {
-    // Version 0.3.0 knows no schema levels, so the stored level does not exclude it from leading;
-    // the levels so far do it no harm.
+    // Version 0.3.0 knows no schema levels, so the stored level does not exclude it from leading.
+    // The levels defined so far do not disturb it.
     if (node.alive &&
         (node.newest_level >= current_level || node.newest_level == schema::kCompact)) {
       candidates.push_back(&node);
--- a/test/simulated_machines.cpp
+++ b/test/simulated_machines.cpp
@@ -74,7 +74,7 @@
   return now_ >= machine.up_at && now_ < machine.dead_at;
 }
 
-// The tasks of a hung machine make no progress, so they end later by the same time.
+// The tasks of a hung machine make no progress, so they end later, by the duration of the hang.
 void SimulatedCluster::hang(SimulatedMachine& machine, double seconds) {
   machine.hung_until = now_ + seconds;
   for (auto& [key, task] : machine.tasks) task.ends_at += seconds;
